--- a/src/admission/calendar.ts
+++ b/src/admission/calendar.ts
@@ -33,18 +33,18 @@
   return IANAZone.isValidZone(name);
 }
 
-const MINUTES_A_DAY = 24 * 60;
+const MINUTES_PER_DAY = 24 * 60;
 
 /**
  * Start and end of the period that begins on the day of `at`. Local times that a change of clocks skips are moved on by as
  * much; of those that come twice the first counts.
  */
-function occurrence(period: Period, day: DateTime): { from: DateTime; to: DateTime } {
+function occurrenceOn(period: Period, day: DateTime): { from: DateTime; to: DateTime } {
   const at = (minute: MinuteOfDay, date: DateTime): DateTime =>
     date.set({ hour: Math.floor(minute / 60), minute: minute % 60, second: 0, millisecond: 0 });
   const lastDay = period.to <= period.from ? day.plus({ days: 1 }) : day;
   const to =
-    period.to % MINUTES_A_DAY === 0 && period.to > 0
+    period.to % MINUTES_PER_DAY === 0 && period.to > 0
       ? at(0, day.plus({ days: 1 }))
       : at(period.to, lastDay);
   return { from: at(period.from, day), to };
@@ -55,7 +55,7 @@
   // One that began yesterday may go on past midnight.
   for (const day of [today, today.minus({ days: 1 })]) {
     if (!period.days.includes(day.weekday as Weekday)) continue;
-    const { from, to } = occurrence(period, day);
+    const { from, to } = occurrenceOn(period, day);
     if (from <= local && local < to) return true;
   }
   return false;
--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -3,7 +3,7 @@
  * window and on the ledger of each team that is charged, so it is carried out only if the verdicts still hold.
  */
 import type { JobSpec } from "../core/model.js";
-import type { Change, Condition } from "../wire/state.js";
+import type { Change, Precondition } from "../wire/key-value.js";
 import { ADMISSION_KEY, encodeLedger } from "./codec.js";
 import { charge, decide } from "./decision.js";
 import type { TeamLedger } from "./model.js";
@@ -11,42 +11,43 @@
 
 export class ClaimBatch {
   private readonly ledgers = new Map<string, TeamLedger>();
-  private readonly marks = new Map<string, number>();
-  private readonly windowMark: number;
+  private readonly ledgerModRevisions = new Map<string, number>();
+  private readonly windowModRevision: number;
 
   constructor(private readonly replica: AdmissionReplica) {
-    this.windowMark = replica.windowMark;
+    this.windowModRevision = replica.windowModRevision;
   }
 
   private ledgerOf(team: string): TeamLedger | null {
-    return this.ledgers.get(team) ?? this.replica.ledger(team);
+    return this.ledgers.get(team) ?? this.replica.ledgerOf(team);
   }
 
   /** Changes that the transaction gets beside the job itself, if it is admitted. */
-  cost(job: JobSpec): number {
-    return this.replica.limited && !this.ledgers.has(job.team) ? 1 : 0;
+  extraChanges(job: JobSpec): number {
+    return this.replica.isLimited && !this.ledgers.has(job.team) ? 1 : 0;
   }
 
   /** False: by what this controller has read, the job's class has used its grant. */
-  admit(job: JobSpec): boolean {
+  tryAdmit(job: JobSpec): boolean {
     const { replica } = this;
     const window = replica.window?.value ?? null;
     const ledger = this.ledgerOf(job.team);
     const verdict = decide(window, replica.epoch, ledger, job);
     if (!verdict.admitted) return false;
     if (verdict.claim > 0 && window !== null) {
-      if (!this.marks.has(job.team)) this.marks.set(job.team, replica.ledgerMark(job.team));
+      if (!this.ledgerModRevisions.has(job.team))
+        this.ledgerModRevisions.set(job.team, replica.ledgerModRevisionOf(job.team));
       this.ledgers.set(job.team, charge(window, ledger, job, verdict.claim));
     }
     return true;
   }
 
-  get conditions(): Condition[] {
-    const ledgers = [...this.marks].map(([team, mark]) => ({
+  get preconditions(): Precondition[] {
+    const ledgers = [...this.ledgerModRevisions].map(([team, modRevision]) => ({
       key: ADMISSION_KEY.ledger(team),
-      mark,
+      modRevision,
     }));
-    return [{ key: ADMISSION_KEY.window, mark: this.windowMark }, ...ledgers];
+    return [{ key: ADMISSION_KEY.window, modRevision: this.windowModRevision }, ...ledgers];
   }
 
   get changes(): Change[] {
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -11,21 +11,24 @@
 import type { JobSpec } from "../core/model.js";
 import {
   type AdmissionWindow,
-  type Amounts,
-  amountsOf,
   type Grant,
   laneOf,
   RESOURCES,
+  type ResourceVector,
+  resourcesOf,
   type TeamLedger,
   type Verdict,
-  WHOLE,
+  WHOLE_SHARE,
 } from "./model.js";
 
 /** A class that the window does not name is charged under this name, which no class has. */
 export const OTHER_CLASSES = "";
 
 /** Is the window in force under this term, and does it limit anything? */
-export function limits(window: AdmissionWindow | null, epoch: number): window is AdmissionWindow {
+export function isLimiting(
+  window: AdmissionWindow | null,
+  epoch: number,
+): window is AdmissionWindow {
   return window !== null && window.mode === "limited" && window.epoch === epoch;
 }
 
@@ -41,7 +44,7 @@
 }
 
 /** The largest share of any resource that these amounts are of the capacity, in units of `WHOLE`, rounded up. */
-export function dominantShare(amounts: Amounts, capacity: Amounts): number {
+export function dominantShare(amounts: ResourceVector, capacity: ResourceVector): number {
   let most = 0;
   for (const resource of RESOURCES) {
     if (amounts[resource] <= 0) continue;
@@ -49,7 +52,7 @@
     const share = capacity[resource] > 0 ? amounts[resource] / capacity[resource] : 1;
     most = Math.max(most, share);
   }
-  return Math.min(Number.MAX_SAFE_INTEGER, Math.ceil(WHOLE * most));
+  return Math.min(Number.MAX_SAFE_INTEGER, Math.ceil(WHOLE_SHARE * most));
 }
 
 /** The name under which a job is charged in its team's ledger. */
@@ -63,13 +66,13 @@
   ledger: TeamLedger | null,
   job: JobSpec,
 ): Verdict {
-  if (!limits(window, epoch)) return { admitted: true, reason: "open", claim: 0 };
+  if (!isLimiting(window, epoch)) return { admitted: true, reason: "open", claim: 0 };
   const lane = laneOf(job);
   const granted = grantFor(window, job.team, job.class)?.lanes[lane] ?? 0;
   const current = ledger !== null && ledger.window === window.version ? ledger : null;
   const used = current?.used.get(chargedClass(window, job))?.[lane] ?? 0;
   if (used >= granted) return { admitted: false, reason: "share used", claim: 0 };
-  const claim = Math.max(1, dominantShare(amountsOf(job, job.tasks), window.capacity));
+  const claim = Math.max(1, dominantShare(resourcesOf(job, job.tasks), window.capacity));
   return { admitted: true, reason: "within share", claim };
 }
 
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -7,12 +7,12 @@
 export class FairQueue<T> implements PendingQueue<T> {
   /** Groups with anything in them; the first is served next. */
   private readonly groups = new Map<string, T[]>();
-  private returned: T[] = [];
+  private requeued: T[] = [];
 
   constructor(private readonly groupOf: (item: T) => string) {}
 
   get size(): number {
-    let size = this.returned.length;
+    let size = this.requeued.length;
     for (const items of this.groups.values()) size += items.length;
     return size;
   }
@@ -24,16 +24,16 @@
     else items.push(item);
   }
 
-  putBack(items: readonly T[]): void {
-    this.returned.unshift(...items);
+  requeue(items: readonly T[]): void {
+    this.requeued.unshift(...items);
   }
 
   peek(): T | undefined {
-    return this.returned[0] ?? this.groups.values().next().value?.[0];
+    return this.requeued[0] ?? this.groups.values().next().value?.[0];
   }
 
   shift(): T | undefined {
-    if (this.returned.length > 0) return this.returned.shift();
+    if (this.requeued.length > 0) return this.requeued.shift();
     const first = this.groups.entries().next().value;
     if (first === undefined) return undefined;
     const [name, items] = first;
@@ -44,9 +44,9 @@
     return item;
   }
 
-  takeWhere(test: (item: T) => boolean): T[] {
-    const taken = this.returned.filter(test);
-    this.returned = this.returned.filter((item) => !test(item));
+  removeWhere(test: (item: T) => boolean): T[] {
+    const taken = this.requeued.filter(test);
+    this.requeued = this.requeued.filter((item) => !test(item));
     for (const [name, items] of [...this.groups]) {
       const left = items.filter((item) => !test(item));
       if (left.length === items.length) continue;
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -11,12 +11,19 @@
   encodeWindow,
 } from "./codec.js";
 export {
-  type Admission,
   AdmissionControl,
   type AdmissionPorts,
   type LeaderView,
+  type SubmissionVerdict as Admission,
 } from "./control.js";
-export { charge, chargedClass, decide, dominantShare, grantFor, limits } from "./decision.js";
+export {
+  charge,
+  chargedClass,
+  decide,
+  dominantShare,
+  grantFor,
+  isLimiting as limits,
+} from "./decision.js";
 export { FairQueue } from "./fair-queue.js";
 export { type Claimant, type FairShareInput, fairFractions } from "./fair-share.js";
 export * from "./model.js";
@@ -27,8 +34,8 @@
 export {
   type ClassUsage,
   limitedWindow,
+  loadRatio as pressure,
   openWindow,
-  pressure,
   type WindowInput,
 } from "./window.js";
 export { type PlannerInput, WindowPlanner } from "./window-planner.js";
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from "../core/model.js";
 
 /** Amounts of the resources that are shared. */
-export interface Amounts {
+export interface ResourceVector {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -11,26 +11,26 @@
 export const RESOURCES = ["cpus", "gpus", "memoryGb"] as const;
 export type Resource = (typeof RESOURCES)[number];
 
-export const NO_AMOUNTS: Amounts = { cpus: 0, gpus: 0, memoryGb: 0 };
+export const NO_RESOURCES: ResourceVector = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-export function addAmounts(a: Amounts, b: Amounts): Amounts {
+export function addResources(a: ResourceVector, b: ResourceVector): ResourceVector {
   return { cpus: a.cpus + b.cpus, gpus: a.gpus + b.gpus, memoryGb: a.memoryGb + b.memoryGb };
 }
 
-export function scaleAmounts(a: Amounts, factor: number): Amounts {
+export function scaleResources(a: ResourceVector, factor: number): ResourceVector {
   return { cpus: a.cpus * factor, gpus: a.gpus * factor, memoryGb: a.memoryGb * factor };
 }
 
 /** What so many tasks of a job take together. */
-export function amountsOf(job: JobSpec, tasks: number): Amounts {
-  return scaleAmounts(job, tasks);
+export function resourcesOf(job: JobSpec, tasks: number): ResourceVector {
+  return scaleResources(job, tasks);
 }
 
 /**
  * The whole of a cluster's dominant resource, in the units in which grants and claims are counted. Integers, so that
  * sums are exact and the same at every controller.
  */
-export const WHOLE = 100_000_000;
+export const WHOLE_SHARE = 100_000_000;
 
 /** A grant that binds nobody. */
 export const UNLIMITED = Number.MAX_SAFE_INTEGER;
@@ -61,7 +61,7 @@
   /** `open`: everything is admitted. */
   readonly mode: "open" | "limited";
   /** What grants are parts of. */
-  readonly capacity: Amounts;
+  readonly capacity: ResourceVector;
   readonly grants: readonly Grant[];
   /** Names of the calendar's periods that the grants follow. */
   readonly periods: readonly string[];
@@ -80,7 +80,7 @@
   readonly lane: Lane;
   /** Different jobs, those included whose ids do not fit. */
   readonly jobs: number;
-  readonly amounts: Amounts;
+  readonly resources: ResourceVector;
   /** As many of the jobs' ids as fit. */
   readonly ids: readonly string[];
 }
@@ -94,7 +94,7 @@
   readonly classes: readonly RefusedClass[];
 }
 
-export type Reason =
+export type DecisionReason =
   /** No window limits admission. */
   | "open"
   /** The class had some of its grant left. */
@@ -106,7 +106,7 @@
 
 export interface Verdict {
   readonly admitted: boolean;
-  readonly reason: Reason;
+  readonly reason: DecisionReason;
   /** Units that an admitted job takes from its grant; 0 where none is charged. */
   readonly claim: number;
 }
@@ -121,7 +121,7 @@
       readonly team: string;
       readonly class: string;
       readonly lane: Lane;
-      readonly reason: Reason;
+      readonly reason: DecisionReason;
     }
   | {
       readonly kind: "reject";
@@ -133,7 +133,7 @@
       readonly team: string;
       readonly class: string;
       readonly lane: Lane;
-      readonly reason: Reason;
+      readonly reason: DecisionReason;
     }
   /**
    * What was stored before this revision was read as a whole: its single decisions, and all rejections of windows up to
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -3,59 +3,59 @@
  * order. All controllers that have read up to a revision hold the same state and have logged the same decisions.
  */
 import type { JobSpec } from "../core/model.js";
-import { KEY, type Marked, type StoredJob } from "../core/records.js";
-import type { Event, Item } from "../wire/state.js";
-import { decodeLedger, decodeRejections, decodeWindow, parseKey } from "./codec.js";
-import { decide, limits } from "./decision.js";
+import { KEY, type StoredJob, type Versioned } from "../core/state/state-replica.js";
+import type { ChangeEvent, KeyValueItem } from "../wire/key-value.js";
+import { decodeLedger, decodeRejections, decodeWindow, parseAdmissionKey } from "./codec.js";
+import { decide, isLimiting } from "./decision.js";
 import {
   type AdmissionWindow,
+  type DecisionReason,
   type LoggedDecision,
   laneOf,
-  type Reason,
   type RejectionRecord,
   type TeamLedger,
   type Verdict,
 } from "./model.js";
 
-const JOB_PREFIX = KEY.live("");
+const JOB_PREFIX = KEY.activeJob("");
 /** The version of a job's value as it is submitted; each later write has a higher one. */
-const SUBMITTED = 1;
+const SUBMITTED_VERSION = 1;
 /** Rejections of so many earlier windows may still be on their way. */
 const LATE_WINDOWS = 4;
 
 export class AdmissionReplica {
-  window: Marked<AdmissionWindow> | null = null;
+  window: Versioned<AdmissionWindow> | null = null;
   /** Current term, under which the window must have been written to be in force. */
   epoch = 0;
   /** Every change up to this revision is in. */
   revision = -1;
-  private readonly ledgers = new Map<string, Marked<TeamLedger>>();
-  private readonly rejections = new Map<string, Marked<RejectionRecord>>();
+  private readonly ledgers = new Map<string, Versioned<TeamLedger>>();
+  private readonly rejections = new Map<string, Versioned<RejectionRecord>>();
   /** By window: jobs whose rejection is logged, as two controllers may each have refused one. */
-  private readonly rejected = new Map<number, Set<string>>();
+  private readonly loggedRejections = new Map<number, Set<string>>();
   /** Newest window when everything was read as a whole. */
-  private rereadWindow = 0;
+  private versionAtReset = 0;
 
   /** Starts afresh from a full read. */
-  reset(items: readonly Item[], revision: number): LoggedDecision[] {
+  reset(items: readonly KeyValueItem[], revision: number): LoggedDecision[] {
     this.window = null;
     this.epoch = 0;
     this.ledgers.clear();
     this.rejections.clear();
-    this.rejected.clear();
-    for (const item of items) this.store(item.key, item.value, item.mark);
+    this.loggedRejections.clear();
+    for (const item of items) this.store(item.key, item.value, item.modRevision);
     this.revision = revision;
-    this.rereadWindow = this.version;
-    return [{ kind: "reread", revision, window: this.rereadWindow }];
+    this.versionAtReset = this.windowVersion;
+    return [{ kind: "reread", revision, window: this.versionAtReset }];
   }
 
   /** Applies what following returned, and returns the decisions in it; changes that are in already are passed over. */
-  apply(events: readonly Event[], revision: number): LoggedDecision[] {
+  apply(events: readonly ChangeEvent[], revision: number): LoggedDecision[] {
     const out: LoggedDecision[] = [];
-    let same: Event[] = [];
+    let same: ChangeEvent[] = [];
     for (const event of events) {
-      if (event.mark <= this.revision) continue;
-      if (same.length > 0 && same[0]!.mark !== event.mark) {
+      if (event.modRevision <= this.revision) continue;
+      if (same.length > 0 && same[0]!.modRevision !== event.modRevision) {
         this.applyRevision(same, out);
         same = [];
       }
@@ -67,30 +67,30 @@
   }
 
   /** The changes of one transaction. */
-  private applyRevision(events: readonly Event[], out: LoggedDecision[]): void {
-    const revision = events[0]!.mark;
+  private applyRevision(events: readonly ChangeEvent[], out: LoggedDecision[]): void {
+    const revision = events[0]!.modRevision;
     const charged = new Set<string>();
     for (const event of events) {
-      const key = parseKey(event.key);
+      const key = parseAdmissionKey(event.key);
       if (key?.kind === "ledger") charged.add(key.team);
       if (event.removed) this.remove(event.key);
-      else this.store(event.key, event.value, event.mark);
+      else this.store(event.key, event.value, event.modRevision);
       if (key?.kind === "rejections") this.logRejections(key.member, revision, out);
     }
     for (const event of events) {
-      const job = submittedIn(event);
-      if (job !== null) out.push(this.admission(job, revision, charged.has(job.team)));
+      const job = submittedJob(event);
+      if (job !== null) out.push(this.admissionDecision(job, revision, charged.has(job.team)));
     }
     this.revision = revision;
   }
 
-  private admission(job: JobSpec, revision: number, charged: boolean): LoggedDecision {
-    const limited = limits(this.window?.value ?? null, this.epoch);
-    const uncharged: Reason = limited ? "not charged" : "open";
+  private admissionDecision(job: JobSpec, revision: number, charged: boolean): LoggedDecision {
+    const limited = isLimiting(this.window?.value ?? null, this.epoch);
+    const uncharged: DecisionReason = limited ? "not charged" : "open";
     return {
       kind: "admit",
       revision,
-      window: this.version,
+      window: this.windowVersion,
       job: job.id,
       team: job.team,
       class: job.class,
@@ -103,9 +103,9 @@
     const record = this.rejections.get(member)?.value;
     // Which jobs the others have logged of a window that began before everything was read is not known here. (A node
     // that came back logged jobs of such a window again, which the others had logged before.)
-    if (record === undefined || record.window <= this.rereadWindow) return;
-    const logged = this.rejected.get(record.window) ?? new Set<string>();
-    this.rejected.set(record.window, logged);
+    if (record === undefined || record.window <= this.versionAtReset) return;
+    const logged = this.loggedRejections.get(record.window) ?? new Set<string>();
+    this.loggedRejections.set(record.window, logged);
     for (const refused of record.classes) {
       const { team, class: className, lane } = refused;
       const line = {
@@ -131,28 +131,28 @@
       this.epoch = (value as { n: number }).n;
       return;
     }
-    const parsed = parseKey(key);
+    const parsed = parseAdmissionKey(key);
     if (parsed === null) return;
     if (parsed.kind === "window") this.storeWindow(decodeWindow(value), mark);
     else if (parsed.kind === "ledger") {
       const ledger = decodeLedger(value);
       // What cannot be read counts as empty; its mark is needed all the same to replace it.
-      this.ledgers.set(parsed.team, { value: ledger ?? EMPTY_LEDGER, mark });
+      this.ledgers.set(parsed.team, { value: ledger ?? EMPTY_LEDGER, modRevision: mark });
     } else {
       const record = decodeRejections(parsed.member, value);
-      if (record !== null) this.rejections.set(parsed.member, { value: record, mark });
+      if (record !== null) this.rejections.set(parsed.member, { value: record, modRevision: mark });
     }
   }
 
   private storeWindow(window: AdmissionWindow | null, mark: number): void {
-    this.window = { value: window ?? UNREADABLE_WINDOW, mark };
-    for (const version of this.rejected.keys()) {
-      if (version < this.version - LATE_WINDOWS) this.rejected.delete(version);
+    this.window = { value: window ?? UNREADABLE_WINDOW, modRevision: mark };
+    for (const version of this.loggedRejections.keys()) {
+      if (version < this.windowVersion - LATE_WINDOWS) this.loggedRejections.delete(version);
     }
   }
 
   private remove(key: string): void {
-    const parsed = parseKey(key);
+    const parsed = parseAdmissionKey(key);
     if (parsed === null) return;
     if (parsed.kind === "window") this.window = null;
     else if (parsed.kind === "ledger") this.ledgers.delete(parsed.team);
@@ -160,28 +160,28 @@
   }
 
   /** Version of the newest window; 0: there is none. */
-  get version(): number {
+  get windowVersion(): number {
     return this.window?.value.version ?? 0;
   }
 
   /** Does a window limit admission now? */
-  get limited(): boolean {
-    return limits(this.window?.value ?? null, this.epoch);
+  get isLimited(): boolean {
+    return isLimiting(this.window?.value ?? null, this.epoch);
   }
 
-  get windowMark(): number {
-    return this.window?.mark ?? 0;
+  get windowModRevision(): number {
+    return this.window?.modRevision ?? 0;
   }
 
-  ledger(team: string): TeamLedger | null {
+  ledgerOf(team: string): TeamLedger | null {
     return this.ledgers.get(team)?.value ?? null;
   }
 
-  ledgerMark(team: string): number {
-    return this.ledgers.get(team)?.mark ?? 0;
+  ledgerModRevisionOf(team: string): number {
+    return this.ledgers.get(team)?.modRevision ?? 0;
   }
 
-  rejectionsOf(member: string): Marked<RejectionRecord> | null {
+  rejectionsOf(member: string): Versioned<RejectionRecord> | null {
     return this.rejections.get(member) ?? null;
   }
 
@@ -191,7 +191,7 @@
   }
 
   decide(job: JobSpec): Verdict {
-    return decide(this.window?.value ?? null, this.epoch, this.ledger(job.team), job);
+    return decide(this.window?.value ?? null, this.epoch, this.ledgerOf(job.team), job);
   }
 }
 
@@ -207,8 +207,8 @@
 };
 
 /** The job that an event submits; null: it does something else. */
-function submittedIn(event: Event): JobSpec | null {
+function submittedJob(event: ChangeEvent): JobSpec | null {
   if (event.removed || !event.key.startsWith(JOB_PREFIX)) return null;
   const stored = event.value as StoredJob;
-  return stored.v === SUBMITTED ? stored.j : null;
+  return stored.v === SUBMITTED_VERSION ? stored.j : null;
 }
--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -1,6 +1,6 @@
 /** The operators' settings of admission control: sections `admission` and `admission.calendar.<name>` of the INI file. */
 import * as z from "zod";
-import { flag, number } from "../config/ini-values.js";
+import { iniBoolean, iniNumber } from "../config/ini-values.js";
 import { type Calendar, isTimeZone, type Period, type Weekday } from "./calendar.js";
 
 export interface AdmissionSettings {
@@ -22,20 +22,20 @@
   sun: 7,
 };
 const EVERY_DAY = Object.keys(WEEKDAYS).join(",");
-const TIME = /^([01]\d|2[0-4]):([0-5]\d)$/;
-const MINUTES_A_DAY = 24 * 60;
+const TIME_OF_DAY = /^([01]\d|2[0-4]):([0-5]\d)$/;
+const MINUTES_PER_DAY = 24 * 60;
 
-const timeOfDay = z.string().transform((text, context) => {
-  const found = TIME.exec(text);
+const timeOfDaySchema = z.string().transform((text, context) => {
+  const found = TIME_OF_DAY.exec(text);
   const minutes = found === null ? Number.NaN : 60 * Number(found[1]) + Number(found[2]);
-  if (!(minutes <= MINUTES_A_DAY)) {
+  if (!(minutes <= MINUTES_PER_DAY)) {
     context.addIssue({ code: "custom", message: "not a time of day HH:MM" });
     return z.NEVER;
   }
   return minutes;
 });
 
-const weekdays = z.string().transform((text, context) => {
+const weekdaysSchema = z.string().transform((text, context) => {
   const days: Weekday[] = [];
   for (const word of text.split(",")) {
     const day = WEEKDAYS[word.trim().toLowerCase()];
@@ -48,21 +48,21 @@
   return days;
 });
 
-const period = z.object({
-  days: weekdays.default(() => weekdays.parse(EVERY_DAY)),
-  from: timeOfDay,
-  to: timeOfDay,
+const periodSchema = z.object({
+  days: weekdaysSchema.default(() => weekdaysSchema.parse(EVERY_DAY)),
+  from: timeOfDaySchema,
+  to: timeOfDaySchema,
   team: z.string().min(1),
   class: z.string().min(1).optional(),
-  weight: number(0.01, 100),
+  weight: iniNumber(0.01, 100),
 });
 
-const schema = z.object({
-  enabled: flag.default(false),
-  window_ratio: number(0.2, 20).default(1),
-  queue_ratio: number(0.1, 100).default(2),
+const admissionSchema = z.object({
+  enabled: iniBoolean.default(false),
+  window_ratio: iniNumber(0.2, 20).default(1),
+  queue_ratio: iniNumber(0.1, 100).default(2),
   time_zone: z.string().refine(isTimeZone, "not a time zone").default("UTC"),
-  calendar: z.record(z.string(), period).default({}),
+  calendar: z.record(z.string(), periodSchema).default({}),
 });
 
 export interface DecodedAdmission {
@@ -78,9 +78,9 @@
   }
   const section = (given ?? {}) as Record<string, unknown>;
   const unknown = Object.keys(section)
-    .filter((key) => !(key in schema.shape))
+    .filter((key) => !(key in admissionSchema.shape))
     .map((key) => `admission.${key}`);
-  const read = schema.safeParse(section);
+  const read = admissionSchema.safeParse(section);
   if (!read.success) {
     const faults = read.error.issues.map((i) => `admission.${i.path.join(".")}: ${i.message}`);
     return { settings: null, faults, unknown };
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -1,6 +1,6 @@
 /** What is in force, for operators: the window, what each class was granted and has used, and what was refused. */
-import { limits, OTHER_CLASSES } from "./decision.js";
-import { type AdmissionWindow, type Grant, type Lane, UNLIMITED, WHOLE } from "./model.js";
+import { isLimiting, OTHER_CLASSES } from "./decision.js";
+import { type AdmissionWindow, type Grant, type Lane, UNLIMITED, WHOLE_SHARE } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
 
 /** One class of a team, in one lane; shares are parts of the cluster's dominant resource. */
@@ -28,10 +28,10 @@
 const LANES: readonly Lane[] = ["new", "follower"];
 
 function grantedShare(units: number): number | null {
-  return units >= UNLIMITED / 2 ? null : units / WHOLE;
+  return units >= UNLIMITED / 2 ? null : units / WHOLE_SHARE;
 }
 
-function refusedJobs(
+function countRefusedJobs(
   replica: AdmissionReplica,
   window: AdmissionWindow,
   grant: Grant,
@@ -52,13 +52,13 @@
   return jobs;
 }
 
-function statusOf(
+function classStatusOf(
   replica: AdmissionReplica,
   window: AdmissionWindow,
   grant: Grant,
   lane: Lane,
 ): ClassStatus {
-  const ledger = replica.ledger(grant.team);
+  const ledger = replica.ledgerOf(grant.team);
   const charged = ledger?.window === window.version ? ledger.used : undefined;
   const used = charged?.get(grant.class ?? OTHER_CLASSES)?.[lane] ?? 0;
   return {
@@ -66,17 +66,17 @@
     class: grant.class,
     lane,
     granted: grantedShare(grant.lanes[lane]),
-    used: used / WHOLE,
-    refusedJobs: refusedJobs(replica, window, grant, lane),
+    used: used / WHOLE_SHARE,
+    refusedJobs: countRefusedJobs(replica, window, grant, lane),
   };
 }
 
 /** The admission state of a replica. */
 export function admissionStatus(replica: AdmissionReplica): AdmissionStatus {
   const window = replica.window?.value ?? null;
-  const limited = limits(window, replica.epoch);
+  const limited = isLimiting(window, replica.epoch);
   const classes = limited
-    ? window.grants.flatMap((g) => LANES.map((lane) => statusOf(replica, window, g, lane)))
+    ? window.grants.flatMap((g) => LANES.map((lane) => classStatusOf(replica, window, g, lane)))
     : [];
   return {
     window: window?.version ?? null,
@@ -87,7 +87,7 @@
   };
 }
 
-const percent = (share: number | null): string =>
+const formatShare = (share: number | null): string =>
   share === null ? "unlimited" : `${(100 * share).toFixed(2)}%`;
 
 /** A table for a terminal: those of which most was refused first. */
@@ -103,8 +103,8 @@
       c.team,
       c.class ?? "(others)",
       c.lane,
-      percent(c.granted),
-      percent(c.used),
+      formatShare(c.granted),
+      formatShare(c.used),
       String(c.refusedJobs),
     ]);
   if (rows.length === 0) return `${head}\n`;
--- a/src/admission/window-planner.ts
+++ b/src/admission/window-planner.ts
@@ -1,7 +1,7 @@
 /** When the leader writes a window, and whether it limits admission. Pure: time comes with each call. */
-import { limits } from "./decision.js";
+import { isLimiting } from "./decision.js";
 import type { AdmissionWindow } from "./model.js";
-import { limitedWindow, openWindow, pressure, type WindowInput } from "./window.js";
+import { limitedWindow, loadRatio, openWindow, type WindowInput } from "./window.js";
 
 /** Windows without pressure or rejections after which admission is open again. */
 const CALM_WINDOWS = 2;
@@ -18,7 +18,7 @@
   ) {}
 
   /** The window that is to be stored now; null: the stored one stays. */
-  next(
+  nextWindow(
     now: number,
     stored: AdmissionWindow | null,
     epoch: number,
@@ -26,7 +26,7 @@
     input: PlannerInput,
   ): AdmissionWindow | null {
     const version = (stored?.version ?? 0) + 1;
-    const load = pressure(input);
+    const load = loadRatio(input);
     const over = load > 1 + input.queueRatio;
     if (stored === null || stored.mode === "open") {
       this.calmSince = null;
@@ -39,11 +39,11 @@
       return openWindow({ version, epoch });
     }
     // Of an earlier term, it is not in force.
-    const due = !limits(stored, epoch) || now - this.writtenAt >= this.windowS;
+    const due = !isLimiting(stored, epoch) || now - this.writtenAt >= this.windowS;
     return due ? limitedWindow({ ...input, version, epoch }) : null;
   }
 
-  written(now: number): void {
+  markWritten(now: number): void {
     this.writtenAt = now;
   }
 }
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -7,12 +7,12 @@
 import { type Claimant, type FairShareInput, fairFractions } from "./fair-share.js";
 import {
   type AdmissionWindow,
-  type Amounts,
-  addAmounts,
+  addResources,
   type Grant,
-  NO_AMOUNTS,
+  NO_RESOURCES,
   RESOURCES,
-  scaleAmounts,
+  type ResourceVector,
+  scaleResources,
   UNLIMITED,
 } from "./model.js";
 
@@ -22,9 +22,9 @@
   readonly class: string;
   readonly production: boolean;
   /** Of admitted jobs that are not over and wait for no other: all their tasks that are not done. */
-  readonly unfinished: Amounts;
+  readonly unfinished: ResourceVector;
   /** Of jobs that were refused lately. */
-  readonly refused: Amounts;
+  readonly refused: ResourceVector;
   /** Factor on its weight, by the calendar. */
   readonly weight: number;
 }
@@ -33,7 +33,7 @@
   readonly version: number;
   readonly epoch: number;
   /** Of the machines that are up or coming up. */
-  readonly capacity: Amounts;
+  readonly capacity: ResourceVector;
   /** The cloud gives more machines when they are asked for: only teams' limits bind. */
   readonly growing: boolean;
   readonly teams: readonly Team[];
@@ -47,24 +47,24 @@
 }
 
 /** Part of the capacity that is shared out before guarantees, so that nobody's share is zero. */
-const FLOOR = 0.05;
+const FLOOR_RATIO = 0.05;
 /** A class that has nothing left is admitted one job a window by this grant, whatever the job's size. */
-const ENTRY = 1;
+const ONE_JOB_GRANT = 1;
 /** Weight of production work against other work of its team, within the team's guarantee. */
 const PRODUCTION_WEIGHT = 1000;
 
-const demandOf = (c: ClassUsage): Amounts => addAmounts(c.unfinished, c.refused);
+const demandOf = (c: ClassUsage): ResourceVector => addResources(c.unfinished, c.refused);
 
 /** A maximum of 0 is none. */
-const limitOf = (max: number): number => (max > 0 ? max : Number.POSITIVE_INFINITY);
+const limitOrUnbounded = (max: number): number => (max > 0 ? max : Number.POSITIVE_INFINITY);
 
-function teamLimits(teams: readonly Team[]): Map<string, Amounts> {
+function teamLimitsOf(teams: readonly Team[]): Map<string, ResourceVector> {
   return new Map(
     teams.map((t) => [
       t.name,
       {
-        cpus: limitOf(t.cpusMax),
-        gpus: limitOf(t.gpusMax),
+        cpus: limitOrUnbounded(t.cpusMax),
+        gpus: limitOrUnbounded(t.gpusMax),
         memoryGb: Number.POSITIVE_INFINITY,
       },
     ]),
@@ -72,7 +72,7 @@
 }
 
 /** Like the guarantees, as dominant shares of the capacity; a team without one has the least weight of all. */
-function baseWeights(input: WindowInput): Map<string, number> {
+function baseWeightsOf(input: WindowInput): Map<string, number> {
   const shares = input.teams.map((t) =>
     dominantShare({ cpus: t.cpus, gpus: t.gpus, memoryGb: 0 }, input.capacity),
   );
@@ -87,19 +87,22 @@
 }
 
 /** A team's guarantee as a bound on what it is given before others; a resource without a guarantee promises nothing. */
-function guarantees(input: WindowInput): Map<string, Amounts> {
-  const out = new Map<string, Amounts>();
+function guaranteesOf(input: WindowInput): Map<string, ResourceVector> {
+  const out = new Map<string, ResourceVector>();
   for (const t of input.teams) {
     const none = t.cpus <= 0 && t.gpus <= 0;
     const bound = (n: number): number => (n > 0 ? n : Number.POSITIVE_INFINITY);
     const within = { cpus: bound(t.cpus), gpus: bound(t.gpus), memoryGb: Number.POSITIVE_INFINITY };
-    out.set(t.name, none ? NO_AMOUNTS : within);
+    out.set(t.name, none ? NO_RESOURCES : within);
   }
   return out;
 }
 
 /** The smaller of two bounds, for each team and resource. */
-function tighter(a: Map<string, Amounts>, b: Map<string, Amounts>): Map<string, Amounts> {
+function tighterBounds(
+  a: Map<string, ResourceVector>,
+  b: Map<string, ResourceVector>,
+): Map<string, ResourceVector> {
   return new Map(
     [...a].map(([team, x]) => {
       const y = b.get(team)!;
@@ -115,7 +118,7 @@
   );
 }
 
-const INFINITE: Amounts = {
+const UNBOUNDED: ResourceVector = {
   cpus: Number.POSITIVE_INFINITY,
   gpus: Number.POSITIVE_INFINITY,
   memoryGb: Number.POSITIVE_INFINITY,
@@ -126,17 +129,17 @@
  * first, then the rest of what is demanded, then what is left over. `idle` claimants want nothing yet and have part in the
  * last step only.
  */
-function entitlements(
+function entitledFractions(
   input: WindowInput,
   wanting: readonly Claimant[],
   idle: readonly Claimant[],
   production: readonly boolean[],
 ): number[] {
-  const limits = teamLimits(input.teams);
-  const capacity = input.growing ? INFINITE : input.capacity;
+  const limits = teamLimitsOf(input.teams);
+  const capacity = input.growing ? UNBOUNDED : input.capacity;
   const base: FairShareInput = {
     claimants: wanting,
-    teamWeights: baseWeights(input),
+    teamWeights: baseWeightsOf(input),
     capacity,
     teamLimits: limits,
   };
@@ -144,7 +147,7 @@
   const floor = fairFractions({
     ...base,
     teamWeights: new Map(input.teams.map((t) => [t.name, 1])),
-    capacity: scaleAmounts(capacity, FLOOR),
+    capacity: scaleResources(capacity, FLOOR_RATIO),
   });
   const withinGuarantee: FairShareInput = {
     ...base,
@@ -152,7 +155,7 @@
       ...c,
       weight: c.weight * (production[i] ? PRODUCTION_WEIGHT : 1),
     })),
-    teamLimits: tighter(guarantees(input), limits),
+    teamLimits: tighterBounds(guaranteesOf(input), limits),
   };
   const guaranteed = fairFractions(withinGuarantee, 1, floor);
   const demanded = fairFractions(base, 1, guaranteed);
@@ -161,58 +164,60 @@
 }
 
 /** Units that a claimant may have unfinished, by the fraction of its demand that it is entitled to. */
-function allowance(fraction: number, demand: Amounts, input: WindowInput): number {
+function allowance(fraction: number, demand: ResourceVector, input: WindowInput): number {
   if (fraction === Number.POSITIVE_INFINITY) return UNLIMITED;
-  const share = dominantShare(scaleAmounts(demand, fraction), input.capacity);
+  const share = dominantShare(scaleResources(demand, fraction), input.capacity);
   return Math.min(UNLIMITED, Math.ceil((1 + input.queueRatio) * share));
 }
 
 /** For classes that the window does not name: as if they wanted a little of everything. */
-function othersOf(team: string, capacity: Amounts): Claimant {
+function claimantForOthers(team: string, capacity: ResourceVector): Claimant {
   const demand = RESOURCES.some((r) => capacity[r] > 0)
-    ? scaleAmounts(capacity, FLOOR)
+    ? scaleResources(capacity, FLOOR_RATIO)
     : { cpus: 1, gpus: 0, memoryGb: 0 };
   return { team, weight: 1, demand };
 }
 
 function grantOf(team: string, name: string | null, left: number): Grant {
   // A follower's turn comes in each window: those that it follows were admitted, and it must not wait for good.
-  return { team, class: name, lanes: { new: left, follower: Math.max(ENTRY, left) } };
+  return { team, class: name, lanes: { new: left, follower: Math.max(ONE_JOB_GRANT, left) } };
 }
 
 /** Classes that want most first; those that do not fit the stored value share the grant for others. */
-function named(input: WindowInput): ClassUsage[] {
+function namedClasses(input: WindowInput): ClassUsage[] {
   const size = (c: ClassUsage): number =>
     JSON.stringify([c.team, c.class]).length + 2 * String(UNLIMITED).length + 4;
   const wants = (c: ClassUsage): number => dominantShare(demandOf(c), input.capacity);
   const listed = input.classes
     .filter((c) => RESOURCES.some((r) => demandOf(c)[r] > 0))
-    .sort((a, b) => wants(b) - wants(a) || compare(a.team, b.team) || compare(a.class, b.class));
-  let bytes = input.teams.reduce((sum, t) => sum + size({ ...NOBODY, team: t.name }), 0);
+    .sort(
+      (a, b) => wants(b) - wants(a) || compareText(a.team, b.team) || compareText(a.class, b.class),
+    );
+  let bytes = input.teams.reduce((sum, t) => sum + size({ ...EMPTY_USAGE, team: t.name }), 0);
   return listed.filter((c) => {
     bytes += size(c);
     return bytes <= input.maxBytes;
   });
 }
 
-const compare = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
-const NOBODY: ClassUsage = {
+const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
+const EMPTY_USAGE: ClassUsage = {
   team: "",
   class: "",
   production: false,
-  unfinished: NO_AMOUNTS,
-  refused: NO_AMOUNTS,
+  unfinished: NO_RESOURCES,
+  refused: NO_RESOURCES,
   weight: 1,
 };
 
 export function limitedWindow(input: WindowInput): AdmissionWindow {
-  const classes = named(input);
+  const classes = namedClasses(input);
   const wanting = classes.map(
     (c): Claimant => ({ team: c.team, weight: c.weight, demand: demandOf(c) }),
   );
-  const others = input.teams.map((t) => othersOf(t.name, input.capacity));
+  const others = input.teams.map((t) => claimantForOthers(t.name, input.capacity));
   const production = classes.map((c) => c.production);
-  const fractions = entitlements(input, wanting, others, production);
+  const fractions = entitledFractions(input, wanting, others, production);
   const grants = classes.map((c, i) => {
     const unfinished = dominantShare(c.unfinished, input.capacity);
     const allowed = allowance(fractions[i]!, demandOf(c), input);
@@ -220,7 +225,7 @@
   });
   const grantsOfOthers = others.map((c, i) => {
     const allowed = allowance(fractions[classes.length + i]!, c.demand, input);
-    return grantOf(c.team, null, Math.max(ENTRY, allowed));
+    return grantOf(c.team, null, Math.max(ONE_JOB_GRANT, allowed));
   });
   return {
     version: input.version,
@@ -233,21 +238,21 @@
 }
 
 export function openWindow(input: Pick<WindowInput, "version" | "epoch">): AdmissionWindow {
-  return { ...input, mode: "open", capacity: NO_AMOUNTS, grants: [], periods: [] };
+  return { ...input, mode: "open", capacity: NO_RESOURCES, grants: [], periods: [] };
 }
 
 /**
  * By how much the unfinished work exceeds what can be used at one time: of the cluster, if it cannot grow, or of a
  * team by its limits. 1: all of it can run now.
  */
-export function pressure(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
-  const limits = teamLimits(input.teams);
-  const sums = new Map<string, Amounts>();
-  let total: Amounts = NO_AMOUNTS;
+export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
+  const limits = teamLimitsOf(input.teams);
+  const sums = new Map<string, ResourceVector>();
+  let total: ResourceVector = NO_RESOURCES;
   for (const c of input.classes) {
     const demand = demandOf(c);
-    total = addAmounts(total, demand);
-    sums.set(c.team, addAmounts(sums.get(c.team) ?? NO_AMOUNTS, demand));
+    total = addResources(total, demand);
+    sums.set(c.team, addResources(sums.get(c.team) ?? NO_RESOURCES, demand));
   }
   let most = 0;
   for (const r of RESOURCES) {
--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -14,12 +14,12 @@
 export const TOP: Expression = [[]];
 
 /** What the controllers can do about an event (Section 4 of the paper). */
-export interface Attributes {
+export interface EventAttributes {
   readonly triggerable: boolean;
   readonly rejectable: boolean;
   readonly delayable: boolean;
 }
-export type AttributesOf = (event: string) => Attributes;
+export type AttributesOf = (event: string) => EventAttributes;
 
 export const complement = (atom: Atom): Atom => (atom.startsWith("~") ? atom.slice(1) : `~${atom}`);
 export const eventOf = (atom: Atom): string => (atom.startsWith("~") ? atom.slice(1) : atom);
@@ -27,7 +27,7 @@
 export const isTop = (e: Expression): boolean => e.some((t) => t.length === 0);
 
 /** No admissible trace repeats an event or holds it beside its complement. */
-function admissible(term: Term): boolean {
+function isAdmissible(term: Term): boolean {
   return new Set(term.map(eventOf)).size === term.length;
 }
 
@@ -35,12 +35,12 @@
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
   const seen = new Map<string, Term>();
-  for (const t of terms) if (admissible(t)) seen.set(t.join("."), t);
+  for (const t of terms) if (isAdmissible(t)) seen.set(t.join("."), t);
   return [...seen.values()];
 }
 
 /** Reads `~d + s.d`; `0` and `T` stand for zero and top. */
-export function parse(text: string): Expression {
+export function parseExpression(text: string): Expression {
   if (text.trim() === "0") return ZERO;
   return normalise(
     text.split("+").map((part) => {
@@ -50,7 +50,7 @@
   );
 }
 
-export function format(e: Expression): string {
+export function formatExpression(e: Expression): string {
   if (isZero(e)) return "0";
   return e.map((t) => (t.length === 0 ? "T" : t.join("."))).join(" + ");
 }
@@ -75,7 +75,7 @@
 export const mentions = (e: Expression, atom: Atom): boolean =>
   e.some((t) => t.some((a) => eventOf(a) === eventOf(atom)));
 
-function controllable(term: Term, of: AttributesOf): boolean {
+function isControllable(term: Term, of: AttributesOf): boolean {
   return term.every((a) => (a.startsWith("~") ? of(eventOf(a)).rejectable : of(a).triggerable));
 }
 
@@ -84,14 +84,14 @@
  * be met by triggering and rejecting alone, or, whichever way an event outside their control
  * falls, what is left is secure (so `f + ~f` always is, as in Example 12).
  */
-export function secure(e: Expression, of: AttributesOf): boolean {
+export function isSecure(e: Expression, of: AttributesOf): boolean {
   if (isZero(e)) return false;
-  if (isTop(e) || e.some((t) => controllable(t, of))) return true;
+  if (isTop(e) || e.some((t) => isControllable(t, of))) return true;
   const events = new Set(e.flatMap((t) => t.map(eventOf)));
   for (const event of events) {
     const a = of(event);
     if (a.triggerable && a.rejectable) continue;
-    if (secure(residuate(e, event), of) && secure(residuate(e, `~${event}`), of)) return true;
+    if (isSecure(residuate(e, event), of) && isSecure(residuate(e, `~${event}`), of)) return true;
   }
   return false;
 }
--- a/src/api/pending-queue.ts
+++ b/src/api/pending-queue.ts
@@ -3,12 +3,12 @@
   readonly size: number;
   push(item: T): void;
   /** Takes back what was taken and did not go: it goes before everything else, in this order. */
-  putBack(items: readonly T[]): void;
+  requeue(items: readonly T[]): void;
   /** The next one, which stays. */
   peek(): T | undefined;
   shift(): T | undefined;
   /** Takes out all for which this holds. */
-  takeWhere(test: (item: T) => boolean): T[];
+  removeWhere(test: (item: T) => boolean): T[];
 }
 
 /** First come, first served. */
@@ -21,7 +21,7 @@
   push(item: T): void {
     this.items.push(item);
   }
-  putBack(items: readonly T[]): void {
+  requeue(items: readonly T[]): void {
     this.items.unshift(...items);
   }
   peek(): T | undefined {
@@ -30,7 +30,7 @@
   shift(): T | undefined {
     return this.items.shift();
   }
-  takeWhere(test: (item: T) => boolean): T[] {
+  removeWhere(test: (item: T) => boolean): T[] {
     const taken = this.items.filter(test);
     if (taken.length > 0) this.items = this.items.filter((item) => !test(item));
     return taken;
--- a/src/api/server.ts
+++ b/src/api/server.ts
@@ -2,35 +2,35 @@
 import { createServer, type RequestListener, type Server } from "node:http";
 import type { Socket } from "node:net";
 import Fastify, { type FastifyInstance, type FastifyReply } from "fastify";
-import type { AdaptiveLimit } from "../core/limit.js";
 import type { JobSpec, JobView } from "../core/model.js";
+import type { AdaptiveConcurrencyLimit } from "../core/overload/adaptive-concurrency-limit.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
-import { decodeJob, encodeView, idIsValid } from "../wire/schema.js";
-import type { IntakeResult } from "./intake.js";
-import { type ReportBackend, Reports } from "./reports.js";
-import type { SubmissionOutcome } from "./submissions.js";
+import { decodeJob, encodeJobView, isValidJobId } from "../wire/schema.js";
+import { type HeartbeatBackend, HeartbeatHandler } from "./heartbeats.js";
+import type { SubmissionOutcome } from "./submission-service.js";
+import type { WriteResult } from "./submission-writer.js";
 import { WorkerConnections } from "./worker-connections.js";
 
 const BODY_LIMIT = 64 * 1024;
 /** Those refused for being too many come back over so many seconds. */
-const TURNS = 3;
+const RETRY_SPREAD_S = 3;
 
 /** What the server asks of the controller it is the front of. */
-export interface ApiBackend extends ReportBackend {
-  healthy(): boolean;
+export interface ApiBackend extends HeartbeatBackend {
+  isHealthy(): boolean;
   /** Users are to go to other nodes, though what they ask here is answered. */
-  leavesUsers(): boolean;
+  shedsUsers(): boolean;
   /** A verified read: null for a job that was never accepted, "unavailable" if nobody can tell. */
-  read(id: string): Promise<JobView | null | "unavailable">;
+  readJob(id: string): Promise<JobView | null | "unavailable">;
   /** Can it ever run? "unknown" while the machine types are not known. */
-  judge(spec: JobSpec): "fits" | "never" | "unknown";
+  checkFeasibility(spec: JobSpec): "fits" | "never" | "unknown";
   /** "never": it names a job that was never accepted, or is too large to be stored. */
   submit(spec: JobSpec): Promise<SubmissionOutcome>;
   /** "ok": the cancellation is stored; "known": it, or the job's end, was there already. */
-  cancel(id: string): Promise<IntakeResult>;
+  cancel(id: string): Promise<WriteResult>;
   /** The job's end, done or cancelled, once it is stored; null if it is not in so many seconds. */
-  ended(id: string, withinS: number): Promise<JobView | null>;
+  waitForEnd(id: string, withinS: number): Promise<JobView | null>;
 }
 
 export interface ServerOptions {
@@ -38,19 +38,19 @@
    * Limits on what is in progress: of questions, and of submissions and cancellations. They are apart,
    * so that a storm of questions refuses none of the others.
    */
-  readonly questions: AdaptiveLimit;
-  readonly mutations: AdaptiveLimit;
+  readonly queryLimit: AdaptiveConcurrencyLimit;
+  readonly mutationLimit: AdaptiveConcurrencyLimit;
   readonly now: () => number;
   /** Seconds after which a refused client may come back. */
   readonly retryAfterS: number;
   /** Seconds within which a cancelled job is to be over; its user is told to come back otherwise. */
-  readonly maxWaitS: number;
+  readonly cancellationWaitS: number;
   /** Seconds after which an idle connection is closed. */
-  readonly idleS: number;
+  readonly idleTimeoutS: number;
   /** Told of faults of our own. */
-  readonly fault: (error: Error) => void;
+  readonly onFault: (error: Error) => void;
   /** Told how long each request took, in seconds, and what was answered. */
-  readonly took: (what: string, seconds: number, status: number) => void;
+  readonly onRequestDone: (what: string, seconds: number, status: number) => void;
 }
 
 const send = (reply: FastifyReply, status: number, body: unknown): FastifyReply =>
@@ -68,18 +68,18 @@
 /** The id that a body names, if it is of a form that ids have. */
 function idOf(body: unknown): string | null {
   const id = (body as { nameId?: unknown } | null | undefined)?.nameId;
-  return typeof id === "string" && idIsValid(id) ? id : null;
+  return typeof id === "string" && isValidJobId(id) ? id : null;
 }
 
 /** The server for users, workers and health checks; it listens to nothing yet. */
 export function buildServer(backend: ApiBackend, options: ServerOptions): FastifyInstance {
-  const reports = new Reports(backend, options);
+  const reports = new HeartbeatHandler(backend, options);
   let workers: WorkerConnections | null = null;
   const app = Fastify({
     logger: false,
     bodyLimit: BODY_LIMIT,
     serverFactory: (handler) => {
-      const front = serverOf(handler, reports, options.idleS);
+      const front = serverOf(handler, reports, options.idleTimeoutS);
       workers = front.workers;
       return front.server;
     },
@@ -95,16 +95,20 @@
 }
 
 /** The HTTP server, with the workers' connections in front of it. */
-function serverOf(handler: RequestListener, reports: Reports, idleS: number): ServerWithWorkers {
+function serverOf(
+  handler: RequestListener,
+  reports: HeartbeatHandler,
+  idleS: number,
+): ServerWithWorkers {
   const server = createServer({ keepAliveTimeout: idleS * 1000 }, handler);
   server.requestTimeout = 0;
   const [attach] = server.listeners("connection") as ((socket: Socket) => void)[];
   server.removeAllListeners("connection");
   const workers = new WorkerConnections({
-    reply: (body) => reports.reply(body),
-    handOver: (socket) => attach!.call(server, socket),
-    bodyLimit: BODY_LIMIT,
-    idleS,
+    onHeartbeat: (body) => reports.reply(body),
+    onOtherRequests: (socket) => attach!.call(server, socket),
+    maxBodyBytes: BODY_LIMIT,
+    idleTimeoutS: idleS,
   });
   server.on("connection", (socket: Socket) => workers.accept(socket));
   return { server, workers };
@@ -122,7 +126,7 @@
   constructor(
     private readonly app: FastifyInstance,
     private readonly backend: ApiBackend,
-    private readonly reports: Reports,
+    private readonly reports: HeartbeatHandler,
     private readonly options: ServerOptions,
   ) {}
 
@@ -131,18 +135,18 @@
     app.setErrorHandler((error: Error & { statusCode?: number }, _req, reply) => {
       const status = error.statusCode ?? 500;
       if (status >= 500) {
-        options.fault(error);
+        options.onFault(error);
         this.refuse(reply, 503, "trouble");
       } else send(reply, status === 413 ? 400 : status, { error: error.message });
     });
     app.get(PATH.health, (_req, reply) =>
-      backend.healthy() ? send(reply, 200, { ok: true }) : send(reply, 503, { ok: false }),
+      backend.isHealthy() ? send(reply, 200, { ok: true }) : send(reply, 503, { ok: false }),
     );
     app.post(PATH.jobs, (req, reply) =>
-      this.limited(options.mutations, reply, () => this.submit(unpack(req.body), reply)),
+      this.limited(options.mutationLimit, reply, () => this.submit(unpack(req.body), reply)),
     );
     app.get<{ Params: { id: string } }>(`${PATH.jobs}/:id`, (req, reply) =>
-      this.limited(options.questions, reply, () => this.query(req.params.id, reply)),
+      this.limited(options.queryLimit, reply, () => this.query(req.params.id, reply)),
     );
     app.post<{ Params: { id: string } }>(`${PATH.jobs}/:id/${PATH.cancel}`, (req, reply) =>
       this.cancel(req.params.id, reply),
@@ -162,29 +166,30 @@
 
   /** Past the limit users' requests are refused at once, and told to come back in turns. */
   private async limited<T>(
-    limit: AdaptiveLimit,
+    limit: AdaptiveConcurrencyLimit,
     reply: FastifyReply,
     work: () => Promise<T>,
   ): Promise<T | FastifyReply> {
-    if (!limit.enter()) return this.refuse(reply, 429, "busy", this.refusedAsBusy++ % TURNS);
+    if (!limit.tryAcquire())
+      return this.refuse(reply, 429, "busy", this.refusedAsBusy++ % RETRY_SPREAD_S);
     const began = this.options.now();
     // A connection closed with its answer is not reset later with a request on its way.
-    if (this.backend.leavesUsers()) reply.header("connection", "close");
+    if (this.backend.shedsUsers()) reply.header("connection", "close");
     try {
       return await work();
     } finally {
       const tookS = this.options.now() - began;
-      limit.leave(tookS);
-      const what = limit === this.options.questions ? "question" : "mutation";
-      this.options.took(what, tookS, reply.statusCode);
+      limit.release(tookS);
+      const what = limit === this.options.queryLimit ? "question" : "mutation";
+      this.options.onRequestDone(what, tookS, reply.statusCode);
     }
   }
 
   /** Answers with the state of a job that is known, or that nobody can tell; null: it never was accepted. */
   private async answerKnown(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
-    const known = await this.backend.read(id);
+    const known = await this.backend.readJob(id);
     if (known === "unavailable") return this.refuse(reply, 503, "unavailable");
-    return known === null ? null : send(reply, 200, encodeView(known, true));
+    return known === null ? null : send(reply, 200, encodeJobView(known, true));
   }
 
   private async submit(body: unknown, reply: FastifyReply): Promise<FastifyReply> {
@@ -195,7 +200,7 @@
       const answered = id === null ? null : await this.answerKnown(id, reply);
       return answered ?? send(reply, 400, { error: "malformed" });
     }
-    const verdict = this.backend.judge(spec);
+    const verdict = this.backend.checkFeasibility(spec);
     if (verdict !== "fits") {
       const answered = await this.answerKnown(spec.id, reply);
       if (answered !== null) return answered;
@@ -205,7 +210,7 @@
     const result = await this.backend.submit(spec);
     if (result === "ok") {
       const accepted: JobView = { id: spec.id, state: "queued", done: 0, running: 0 };
-      return send(reply, 201, encodeView(accepted, false));
+      return send(reply, 201, encodeJobView(accepted, false));
     }
     if (result === "never") return send(reply, 422, { error: "can never run" });
     if (typeof result === "object") {
@@ -217,33 +222,33 @@
   }
 
   private async query(id: string, reply: FastifyReply): Promise<FastifyReply> {
-    const answered = idIsValid(id) ? await this.answerKnown(id, reply) : null;
+    const answered = isValidJobId(id) ? await this.answerKnown(id, reply) : null;
     return answered ?? send(reply, 404, { error: "no such job" });
   }
 
   private async cancel(id: string, reply: FastifyReply): Promise<FastifyReply> {
     const { options, backend } = this;
-    const deadline = options.now() + options.maxWaitS;
-    const answered = await this.limited(options.mutations, reply, () =>
+    const deadline = options.now() + options.cancellationWaitS;
+    const answered = await this.limited(options.mutationLimit, reply, () =>
       this.storeCancellation(id, reply),
     );
     if (answered !== null) return answered;
     // How long machines take to be rid of the tasks says nothing about how busy this node is: the
     // limit does not measure it.
-    const ended = await backend.ended(id, Math.max(0, deadline - options.now()));
-    if (ended !== null) return send(reply, 200, encodeView(ended, false));
+    const ended = await backend.waitForEnd(id, Math.max(0, deadline - options.now()));
+    if (ended !== null) return send(reply, 200, encodeJobView(ended, false));
     reply.header("retry-after", String(Math.max(1, Math.ceil(options.retryAfterS))));
     return send(reply, 503, { error: "not over yet" });
   }
 
   /** Null: the cancellation is stored, and the job's end is to be waited for. */
   private async storeCancellation(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
-    if (!idIsValid(id)) return send(reply, 404, { error: "no such job" });
-    const known = await this.backend.read(id);
+    if (!isValidJobId(id)) return send(reply, 404, { error: "no such job" });
+    const known = await this.backend.readJob(id);
     if (known === "unavailable") return this.refuse(reply, 503, "unavailable");
     if (known === null) return send(reply, 404, { error: "no such job" });
     if (known.state === "done" || known.state === "cancelled") {
-      return send(reply, 200, encodeView(known, false));
+      return send(reply, 200, encodeJobView(known, false));
     }
     const stored = await this.backend.cancel(id);
     return stored === "unavailable" ? this.refuse(reply, 503, "unavailable") : null;
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -10,26 +10,26 @@
 import type { Socket } from "node:net";
 import { HTTPParser, type HTTPParserJS } from "http-parser-js";
 import { PATH } from "../wire/names.js";
-import type { ReportReply } from "./reports.js";
+import type { HeartbeatReply } from "./heartbeats.js";
 
 /** How a connection begins over which a worker reports. */
-const REPORT_BEGINS = Buffer.from(`POST ${PATH.report} HTTP/1.1\r\n`);
+const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATH.report} HTTP/1.1\r\n`);
 /** Answers that a peer may leave unread, in bytes, before its connection is ended. */
-const MOST_UNREAD = 64 * 1024;
+const MAX_UNREAD_BYTES = 64 * 1024;
 
 export interface WorkerConnectionsOptions {
   /** The reply to the body of a report. */
-  readonly reply: (body: Buffer) => ReportReply;
+  readonly onHeartbeat: (body: Buffer) => HeartbeatReply;
   /** Takes a connection with requests that are no reports. */
-  readonly handOver: (socket: Socket) => void;
+  readonly onOtherRequests: (socket: Socket) => void;
   /** Largest body, in bytes. */
-  readonly bodyLimit: number;
+  readonly maxBodyBytes: number;
   /** Seconds after which an idle connection is closed. */
-  readonly idleS: number;
+  readonly idleTimeoutS: number;
 }
 
 /** Head and body as Latin-1 text, which Node.js sends in one write. */
-function responseText({ status, body, retryAfterS }: ReportReply, close: boolean): string {
+function responseText({ status, body, retryAfterS }: HeartbeatReply, close: boolean): string {
   return (
     `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\n` +
     `Content-Type: application/msgpack\r\nContent-Length: ${body.length}\r\n` +
@@ -40,60 +40,61 @@
 }
 
 export class WorkerConnections {
-  private readonly open = new Set<Socket>();
+  private readonly openSockets = new Set<Socket>();
   /** The text of the last reply that kept its connection: most are the same one. */
-  private last: { reply: ReportReply; text: string } | null = null;
+  private lastResponse: { reply: HeartbeatReply; text: string } | null = null;
 
   constructor(readonly options: WorkerConnectionsOptions) {}
 
   /** Looks at what a new connection begins with. */
   accept(socket: Socket): void {
-    this.open.add(socket);
+    this.openSockets.add(socket);
     socket.on("error", ignore);
-    socket.setTimeout(1000 * this.options.idleS, () => socket.destroy());
-    socket.on("end", endToo);
-    socket.once("close", () => this.open.delete(socket));
+    socket.setTimeout(1000 * this.options.idleTimeoutS, () => socket.destroy());
+    socket.on("end", endWithPeer);
+    socket.once("close", () => this.openSockets.delete(socket));
     socket.once("data", (first: Buffer) => {
-      const begins = first.subarray(0, REPORT_BEGINS.length);
-      if (begins.equals(REPORT_BEGINS)) new WorkerConnection(this, socket).take(first);
-      else this.handOver(socket, first);
+      const begins = first.subarray(0, HEARTBEAT_REQUEST_LINE.length);
+      if (begins.equals(HEARTBEAT_REQUEST_LINE)) new WorkerConnection(this, socket).onData(first);
+      else this.passToHttpServer(socket, first);
     });
   }
 
   /** Ends all of them. */
   close(): void {
-    for (const socket of this.open) socket.destroy();
+    for (const socket of this.openSockets) socket.destroy();
   }
 
   /** Gives a connection to the HTTP server, with what was read of it. */
-  handOver(socket: Socket, read: Buffer): void {
-    this.open.delete(socket);
+  passToHttpServer(socket: Socket, read: Buffer): void {
+    this.openSockets.delete(socket);
     socket.pause();
     socket.removeAllListeners("timeout");
-    socket.removeListener("end", endToo);
+    socket.removeListener("end", endWithPeer);
     socket.setTimeout(0);
     socket.unshift(read);
-    this.options.handOver(socket);
+    this.options.onOtherRequests(socket);
     // What was read is passed on only once the server listens.
     socket.resume();
   }
 
   /** Sends a reply; `keep`: more reports may follow. */
-  send(socket: Socket, reply: ReportReply, keep: boolean): void {
+  send(socket: Socket, reply: HeartbeatReply, keep: boolean): void {
     if (!keep || reply.retryAfterS !== null || reply.status === 400) {
       socket.end(responseText(reply, true), "latin1");
       return;
     }
-    if (this.last?.reply !== reply) this.last = { reply, text: responseText(reply, false) };
-    socket.write(this.last.text, "latin1");
-    if (socket.writableLength > MOST_UNREAD) socket.destroy();
+    if (this.lastResponse?.reply !== reply)
+      this.lastResponse = { reply, text: responseText(reply, false) };
+    socket.write(this.lastResponse.text, "latin1");
+    if (socket.writableLength > MAX_UNREAD_BYTES) socket.destroy();
   }
 }
 
 const ignore = (): void => {};
 
 /** The HTTP server leaves a socket open when its peer ends; a worker that was sent on would hold one until it idles out. */
-function endToo(this: Socket): void {
+function endWithPeer(this: Socket): void {
   this.end();
 }
 
@@ -101,58 +102,60 @@
 class WorkerConnection {
   private readonly parser: HTTPParserJS = new HTTPParser(HTTPParser.REQUEST);
   /** What was read since the last request was complete. */
-  private unanswered: Buffer[] = [];
-  private body: Buffer[] = [];
+  private unansweredChunks: Buffer[] = [];
+  private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
-  private keep = true;
+  private keepsAlive = true;
   /** A request came that is no report. */
-  private foreign = false;
+  private isForeign = false;
 
   constructor(
-    private readonly all: WorkerConnections,
+    private readonly connections: WorkerConnections,
     private readonly socket: Socket,
   ) {
     this.parser[HTTPParser.kOnHeadersComplete] = (info) => {
-      this.keep = info.shouldKeepAlive;
+      this.keepsAlive = info.shouldKeepAlive;
       const isReport = HTTPParser.methods[info.method!] === "POST" && info.url === PATH.report;
       const waitsForGoAhead = info.headers.some((h) => h.toLowerCase() === "expect");
-      if (!isReport || waitsForGoAhead) this.foreign = true;
+      if (!isReport || waitsForGoAhead) this.isForeign = true;
     };
     this.parser[HTTPParser.kOnBody] = (chunk, offset, length) => {
       this.bodyBytes += length;
-      if (this.bodyBytes <= all.options.bodyLimit) {
-        this.body.push(chunk.subarray(offset, offset + length));
+      if (this.bodyBytes <= connections.options.maxBodyBytes) {
+        this.bodyChunks.push(chunk.subarray(offset, offset + length));
       }
     };
-    this.parser[HTTPParser.kOnMessageComplete] = () => this.complete();
-    socket.on("data", this.take);
+    this.parser[HTTPParser.kOnMessageComplete] = () => this.completeRequest();
+    socket.on("data", this.onData);
   }
 
   /** Bytes from the worker. */
-  readonly take = (chunk: Buffer): void => {
-    this.unanswered.push(chunk);
+  readonly onData = (chunk: Buffer): void => {
+    this.unansweredChunks.push(chunk);
     const parsed = this.parser.execute(chunk);
-    if (this.foreign) this.handOver();
-    else if (parsed instanceof Error || this.bodyBytes > this.all.options.bodyLimit) this.refuse();
+    if (this.isForeign) this.handOver();
+    else if (parsed instanceof Error || this.bodyBytes > this.connections.options.maxBodyBytes)
+      this.refuse();
   };
 
-  private complete(): void {
-    if (this.foreign || this.bodyBytes > this.all.options.bodyLimit) return;
-    const body = this.body.length === 1 ? this.body[0]! : Buffer.concat(this.body);
-    this.unanswered = [];
-    this.body = [];
+  private completeRequest(): void {
+    if (this.isForeign || this.bodyBytes > this.connections.options.maxBodyBytes) return;
+    const body =
+      this.bodyChunks.length === 1 ? this.bodyChunks[0]! : Buffer.concat(this.bodyChunks);
+    this.unansweredChunks = [];
+    this.bodyChunks = [];
     this.bodyBytes = 0;
-    this.all.send(this.socket, this.all.options.reply(body), this.keep);
+    this.connections.send(this.socket, this.connections.options.onHeartbeat(body), this.keepsAlive);
   }
 
   private handOver(): void {
-    this.socket.removeListener("data", this.take);
-    this.all.handOver(this.socket, Buffer.concat(this.unanswered));
+    this.socket.removeListener("data", this.onData);
+    this.connections.passToHttpServer(this.socket, Buffer.concat(this.unansweredChunks));
   }
 
   private refuse(): void {
-    this.socket.removeListener("data", this.take);
+    this.socket.removeListener("data", this.onData);
     const malformed = { status: 400, body: Buffer.alloc(0), retryAfterS: null };
-    this.all.send(this.socket, malformed, false);
+    this.connections.send(this.socket, malformed, false);
   }
 }
--- a/src/bundle/bundle.cts
+++ b/src/bundle/bundle.cts
@@ -52,6 +52,6 @@
 }
 
 /** V8 takes the cache that is there, under the flags of this process. */
-export function cacheIsTaken(): boolean {
+export function isCodeCacheAccepted(): boolean {
   return compile(readFileSync(CODE_CACHE)).cachedDataRejected === false;
 }
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -3,20 +3,20 @@
 import { Command, InvalidArgumentError } from "commander";
 import { pino } from "pino";
 import { AdmissionReplica, admissionStatus, formatStatus } from "./admission/index.js";
-import { decodeOperator, type Operator } from "./config/operator.js";
-import { Controller } from "./controller.js";
-import { Store } from "./state/store.js";
-import { decodeSettings, type Settings } from "./wire/settings.js";
+import { decodeOperatorSettings, type OperatorSettings } from "./config/operator.js";
+import { Controller } from "./node/controller.js";
+import { KeyValueClient } from "./state/key-value-client.js";
+import { decodeSettings, type NodeSettings } from "./wire/settings.js";
 
 const VERSION = "0.1.0";
-const BAD_SETTINGS = 2;
+const EXIT_BAD_SETTINGS = 2;
 
 interface Flags {
   config?: string;
   operator?: string;
 }
 
-const existing = (path: string): string => {
+const existingFile = (path: string): string => {
   try {
     readFileSync(path);
     return path;
@@ -26,30 +26,34 @@
 };
 
 /** Both files, or the end of the program with one line a fault. */
-function load(flags: Flags): { settings: Settings; operator: Operator; unknown: string[] } {
-  if (flags.config === undefined) fail(["--config: missing"]);
+function loadConfiguration(flags: Flags): {
+  settings: NodeSettings;
+  operator: OperatorSettings;
+  unknown: string[];
+} {
+  if (flags.config === undefined) exitWithErrors(["--config: missing"]);
   const read = decodeSettings(readFileSync(flags.config, "utf8"));
-  const ini = decodeOperator(
+  const ini = decodeOperatorSettings(
     flags.operator === undefined ? "" : readFileSync(flags.operator, "utf8"),
   );
   const faults = [...("faults" in read ? read.faults : []), ...ini.faults];
-  if ("faults" in read || ini.operator === null) fail(faults);
+  if ("faults" in read || ini.operator === null) exitWithErrors(faults);
   return { settings: read.settings, operator: ini.operator, unknown: ini.unknown };
 }
 
-function fail(lines: readonly string[]): never {
+function exitWithErrors(lines: readonly string[]): never {
   for (const line of lines) process.stderr.write(`${line}\n`);
-  process.exit(BAD_SETTINGS);
+  process.exit(EXIT_BAD_SETTINGS);
 }
 
 const program = new Command("peatsaddle")
   .description("A cluster scheduler whose job dependencies are expressions over events")
   .version(VERSION)
-  .option("--config <file>", "settings handed over by the platform (JSON)", existing)
-  .option("--operator <file>", "operators' own settings (INI)", existing)
-  .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : BAD_SETTINGS))
+  .option("--config <file>", "settings handed over by the platform (JSON)", existingFile)
+  .option("--operator <file>", "operators' own settings (INI)", existingFile)
+  .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : EXIT_BAD_SETTINGS))
   .action(async (flags: Flags) => {
-    const { settings, operator, unknown } = load(flags);
+    const { settings, operator, unknown } = loadConfiguration(flags);
     const log = pino(
       { level: process.env.LOG_LEVEL ?? "info", base: { member: settings.member } },
       pino.destination({ fd: 2, sync: true }),
@@ -63,7 +67,7 @@
   .command("check")
   .description("validate both files and print what would be in force")
   .action((_: unknown, command: Command) => {
-    const { settings, operator, unknown } = load(command.optsWithGlobals<Flags>());
+    const { settings, operator, unknown } = loadConfiguration(command.optsWithGlobals<Flags>());
     for (const key of unknown) process.stderr.write(`${key}: unknown, ignored\n`);
     process.stdout.write(`${JSON.stringify({ settings, operator }, null, 2)}\n`);
   });
@@ -76,11 +80,16 @@
   .description("print the admission window that is in force, and what was used and refused of it")
   .option("--json", "as JSON")
   .action(async (own: { json?: boolean }, command: Command) => {
-    const { settings } = load(command.optsWithGlobals<Flags>());
-    const store = new Store(settings.state, () => performance.now() / 1000, STATE_TIMEOUT_MS);
+    const { settings } = loadConfiguration(command.optsWithGlobals<Flags>());
+    const store = new KeyValueClient(
+      settings.stateServiceAddress,
+      () => performance.now() / 1000,
+      STATE_TIMEOUT_MS,
+    );
     const all = await store.readAll();
     store.close();
-    if (all === null) fail([`${settings.state}: the state service gives no answer`]);
+    if (all === null)
+      exitWithErrors([`${settings.stateServiceAddress}: the state service gives no answer`]);
     const replica = new AdmissionReplica();
     replica.reset(all.items, all.revision);
     const status = admissionStatus(replica);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,29 +1,29 @@
 /** The cloud, through its protocol. */
 import type { ListedMachine, MachineType } from "../core/model.js";
-import { Peer, type Reply } from "../net/client.js";
+import { HttpConnectionPool, type HttpResponse } from "../net/http-connection-pool.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
 import {
   decodeCatalog,
-  decodeMachines,
-  decodeRented,
-  encodeRent,
-  encodeReturn,
+  decodeMachineList,
+  decodeProvisionedMachines,
+  encodeRelease,
+  encodeScaleOut,
 } from "../wire/schema.js";
 
-export class Cloud {
-  private readonly peer: Peer;
+export class CloudClient {
+  private readonly connections: HttpConnectionPool;
 
   constructor(
     address: string,
     private readonly timeoutMs: number,
   ) {
-    this.peer = new Peer(address, 8);
+    this.connections = new HttpConnectionPool(address, 8);
   }
 
-  private async call(method: string, path: string, body?: unknown): Promise<Reply | null> {
+  private async call(method: string, path: string, body?: unknown): Promise<HttpResponse | null> {
     try {
-      return await this.peer.request(
+      return await this.connections.request(
         method,
         path,
         body === undefined ? null : encode(body),
@@ -34,18 +34,18 @@
     }
   }
 
-  async catalog(): Promise<MachineType[] | null> {
+  async fetchCatalog(): Promise<MachineType[] | null> {
     const r = await this.call("GET", PATH.catalog);
     return r?.status === 200 ? decodeCatalog(decode(r.body)) : null;
   }
 
-  async list(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const out: ListedMachine[] = [];
     let since = "";
     for (;;) {
       const r = await this.call("GET", `${PATH.machines}?since=${since}&most=500`);
       if (r?.status !== 200) return null;
-      const page = decodeMachines(decode(r.body));
+      const page = decodeMachineList(decode(r.body));
       if (page === null) return null;
       out.push(...page.machines);
       if (!page.more || page.machines.length === 0) return out;
@@ -53,17 +53,17 @@
     }
   }
 
-  async rent(
+  async scaleOut(
     name: string,
     type: string,
     zone: string,
     spot: boolean,
     count: number,
   ): Promise<{ machines: string[] } | "no capacity" | "trouble"> {
-    const r = await this.call("POST", PATH.machines, encodeRent(name, type, zone, spot, count));
+    const r = await this.call("POST", PATH.machines, encodeScaleOut(name, type, zone, spot, count));
     if (r === null) return "trouble";
     if (r.status === 200) {
-      const machines = decodeRented(decode(r.body));
+      const machines = decodeProvisionedMachines(decode(r.body));
       return machines === null ? "trouble" : { machines };
     }
     if (r.status === 503) {
@@ -73,8 +73,8 @@
     return r.status === 400 ? "no capacity" : "trouble";
   }
 
-  async giveBack(machines: readonly string[]): Promise<boolean> {
-    const r = await this.call("POST", PATH.returnMachines, encodeReturn(machines));
+  async releaseMachines(machines: readonly string[]): Promise<boolean> {
+    const r = await this.call("POST", PATH.returnMachines, encodeRelease(machines));
     return r?.status === 200;
   }
 }
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -2,30 +2,30 @@
 import { parse } from "ini";
 import * as z from "zod";
 import { type AdmissionSettings, decodeAdmission } from "../admission/index.js";
-import { flag } from "./ini-values.js";
+import { iniBoolean } from "./ini-values.js";
 
-const ratio = (d: number, min: number, max: number) =>
+const ratioSchema = (d: number, min: number, max: number) =>
   z.coerce.number().min(min).max(max).default(d);
 
-const schema = {
+const sectionSchemas = {
   term: z.object({
     /** Length of the term's lease, as a ratio to the workers' report interval. */
-    lease_ratio: ratio(0.5, 0.2, 10),
+    lease_ratio: ratioSchema(0.5, 0.2, 10),
     /** How long a leader that lost the state service answers reports, as a ratio to lease_s. */
-    grace_ratio: ratio(1, 0, 4),
+    grace_ratio: ratioSchema(1, 0, 4),
     /**
      * How long a node that is cut off keeps machines with replicas or gangs alive, as a ratio to
      * lease_s. It is no shorter than the grace.
      */
-    keep_ratio: ratio(6, 0, 50),
+    keep_ratio: ratioSchema(6, 0, 50),
   }),
   renting: z.object({
     /** Free room kept for each class of jobs, as a ratio to what it uses. */
-    spare_ratio: ratio(1, 0, 10),
+    spare_ratio: ratioSchema(1, 0, 10),
     /** Machines at the most. */
     max_machines: z.coerce.number().int().min(1).max(100_000).default(100_000),
     /** Idle machines beyond the spare room go back after this many worker leases. */
-    idle_leases: ratio(20, 1, 1000),
+    idle_leases: ratioSchema(20, 1, 1000),
   }),
   api: z.object({
     /** Requests in progress at the most, whatever the measured times. */
@@ -33,25 +33,25 @@
   }),
   tracing: z.object({
     /** Spans of jobs, for programs that registered a provider of OpenTelemetry. */
-    enabled: flag.default(false),
+    enabled: iniBoolean.default(false),
   }),
 } as const;
 
-export interface Operator {
+export interface OperatorSettings {
   readonly termLeaseRatio: number;
   readonly graceRatio: number;
-  readonly keepRatio: number;
-  readonly spareRatio: number;
+  readonly extensionRatio: number;
+  readonly spareCapacityRatio: number;
   readonly maxMachines: number;
-  readonly idleLeases: number;
-  readonly maxInProgress: number;
+  readonly maxIdleLeases: number;
+  readonly maxConcurrentRequests: number;
   readonly admission: AdmissionSettings;
-  readonly tracing: boolean;
+  readonly tracingEnabled: boolean;
 }
 
 /** Faults stop the program; unknown keys are only reported. */
-export function decodeOperator(text: string): {
-  operator: Operator | null;
+export function decodeOperatorSettings(text: string): {
+  operator: OperatorSettings | null;
   faults: string[];
   unknown: string[];
 } {
@@ -73,12 +73,12 @@
     return null;
   };
   for (const key of Object.keys(raw)) {
-    if (!(key in schema) && key !== "admission") unknown.push(key);
+    if (!(key in sectionSchemas) && key !== "admission") unknown.push(key);
   }
-  const term = read("term", schema.term);
-  const renting = read("renting", schema.renting);
-  const api = read("api", schema.api);
-  const tracing = read("tracing", schema.tracing);
+  const term = read("term", sectionSchemas.term);
+  const renting = read("renting", sectionSchemas.renting);
+  const api = read("api", sectionSchemas.api);
+  const tracing = read("tracing", sectionSchemas.tracing);
   const admission = decodeAdmission(raw.admission);
   faults.push(...admission.faults);
   unknown.push(...admission.unknown);
@@ -95,17 +95,17 @@
     operator: {
       termLeaseRatio: term.lease_ratio,
       graceRatio: term.grace_ratio,
-      keepRatio: Math.max(term.keep_ratio, term.grace_ratio),
-      spareRatio: renting.spare_ratio,
+      extensionRatio: Math.max(term.keep_ratio, term.grace_ratio),
+      spareCapacityRatio: renting.spare_ratio,
       maxMachines: renting.max_machines,
-      idleLeases: renting.idle_leases,
-      maxInProgress: api.max_in_progress,
+      maxIdleLeases: renting.idle_leases,
+      maxConcurrentRequests: api.max_in_progress,
       admission: admission.settings,
-      tracing: tracing.enabled,
+      tracingEnabled: tracing.enabled,
     },
     faults,
     unknown,
   };
 }
 
-export const DEFAULT_OPERATOR: Operator = decodeOperator("").operator!;
+export const DEFAULT_OPERATOR_SETTINGS: OperatorSettings = decodeOperatorSettings("").operator!;
--- a/src/core/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -1,5 +1,5 @@
 /** How long a machine may boot before it counts as one that never comes up. */
-import type { Machine } from "./machine.js";
+import type { Machine } from "../machines/machine.js";
 
 /** Usual times to boot after which a machine goes back, at first and at most. */
 const FIRST_TIMEOUT = 4;
@@ -13,25 +13,25 @@
   private readonly byType = new Map<string, number>();
 
   /** It came up: others of its type may take as long. */
-  cameUp(m: Machine, now: number): void {
+  noteMachineUp(m: Machine, now: number): void {
     const took = (now - m.bootingSince) / m.type.bootS;
-    const timeout = Math.max(FIRST_TIMEOUT, 2 * took, DECAY * this.of(m));
+    const timeout = Math.max(FIRST_TIMEOUT, 2 * took, DECAY * this.timeoutFor(m));
     this.byType.set(m.type.name, Math.min(timeout, LONGEST_TIMEOUT));
   }
 
-  isOver(m: Machine, now: number): boolean {
-    return now - m.bootingSince > this.of(m) * m.type.bootS;
+  isExpired(m: Machine, now: number): boolean {
+    return now - m.bootingSince > this.timeoutFor(m) * m.type.bootS;
   }
 
   /**
    * It went back: the next of its type has longer, up to a bound. (If all take longer than what is waited for, none
    * would ever come.)
    */
-  expired(m: Machine): void {
-    this.byType.set(m.type.name, Math.min(GROWTH * this.of(m), LONGEST_TIMEOUT));
+  noteExpired(m: Machine): void {
+    this.byType.set(m.type.name, Math.min(GROWTH * this.timeoutFor(m), LONGEST_TIMEOUT));
   }
 
-  private of(m: Machine): number {
+  private timeoutFor(m: Machine): number {
     return this.byType.get(m.type.name) ?? FIRST_TIMEOUT;
   }
 }
--- a/src/core/renting.ts
+++ b/src/core/capacity/scaling.ts
@@ -1,15 +1,15 @@
 /** Which machines to rent, ahead of need and for what waits, and which to give back. */
-import type { Cluster } from "./cluster.js";
-import type { LiveJob } from "./live-job.js";
-import { type Machine, slots } from "./machine.js";
-import type { ClusterSettings, JobSpec, MachineType } from "./model.js";
-import { machineAllowed, type ZoneOccupancy } from "./placement-rules.js";
-import { mayMove } from "./zone-moves.js";
+import type { Cluster } from "../cluster.js";
+import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { type Machine, taskSlots } from "../machines/machine.js";
+import type { ClusterSettings, JobSpec, MachineType } from "../model.js";
+import { mayRelocate } from "../planning/zone-relocation.js";
 
 /** Machines of one request at the most, by the protocol. */
-const MOST = 50;
+const MAXIMUM_MACHINES_PER_REQUEST = 50;
 
-export interface Rental {
+export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -18,27 +18,27 @@
 }
 
 /** The shape of a class of jobs, as last seen, and how much of it runs. */
-export interface Shape {
+export interface JobShape {
   readonly spec: JobSpec;
-  running: number;
+  runningTasks: number;
 }
 
-export interface RentContext {
+export interface ScalingContext {
   readonly cluster: Cluster;
   readonly settings: ClusterSettings;
   readonly types: readonly MachineType[];
   readonly now: number;
   /** Kinds refused for lack of capacity, and until when not to ask again. */
-  readonly refused: ReadonlyMap<string, number>;
+  readonly capacityBackoffUntil: ReadonlyMap<string, number>;
   /** Free room to keep for each class, as a ratio to what it uses. */
-  readonly spare: number;
+  readonly spareRatio: number;
   readonly maxMachines: number;
-  readonly inZone: ReadonlyMap<string, number>;
+  readonly machinesByZone: ReadonlyMap<string, number>;
   /** How many machines of a kind are late now. */
-  readonly late: ReadonlyMap<string, number>;
+  readonly lateBootsByOffer: ReadonlyMap<string, number>;
 }
 
-export function machinesInZones(cluster: Cluster): Map<string, number> {
+export function countMachinesByZone(cluster: Cluster): Map<string, number> {
   const inZone = new Map<string, number>();
   for (const m of cluster.machines.values()) {
     inZone.set(m.zone, (inZone.get(m.zone) ?? 0) + 1);
@@ -46,10 +46,10 @@
   return inZone;
 }
 
-export function lateOfKinds(cluster: Cluster, now: number): Map<string, number> {
+export function countLateBootsByOffer(cluster: Cluster, now: number): Map<string, number> {
   const late = new Map<string, number>();
   for (const m of cluster.machines.values()) {
-    if (!isLate(m, now)) continue;
+    if (!isBootLate(m, now)) continue;
     const key = offerKey(m.type.name, m.zone, m.spot);
     late.set(key, (late.get(key) ?? 0) + 1);
   }
@@ -64,16 +64,17 @@
  * others are rented meanwhile, elsewhere if there is a choice. (All that was booting counted for four
  * times the usual, and while machines came late or never nobody rented another.)
  */
-const COMING = 2;
-export const isLate = (m: Machine, now: number): boolean =>
-  m.state === "booting" && now - m.bootingSince > COMING * m.type.bootS;
+const ON_TIME_BOOT_RATIO = 2;
+export const isBootLate = (m: Machine, now: number): boolean =>
+  m.state === "booting" && now - m.bootingSince > ON_TIME_BOOT_RATIO * m.type.bootS;
 
 /** A machine that fell silent, or is late, offers no room, though it may come. */
-function willTake(m: Machine, now: number): boolean {
+function acceptsNewTasks(m: Machine, now: number): boolean {
   return (
-    ((m.state === "booting" && !isLate(m, now)) || (m.state === "up" && m.deafSince === null)) &&
-    m.drain === null &&
-    m.takenAt === null
+    ((m.state === "booting" && !isBootLate(m, now)) ||
+      (m.state === "up" && m.unreachableSince === null)) &&
+    m.drainReason === null &&
+    m.interruptionAt === null
   );
 }
 
@@ -81,38 +82,39 @@
 export function freeSlots(cluster: Cluster, spec: JobSpec, now: number): number {
   let n = 0;
   for (const m of cluster.machines.values()) {
-    if (!willTake(m, now) || !machineAllowed(spec, m)) continue;
-    n += slots(spec, m.freeCpus, m.freeGpus, m.freeMemory);
+    if (!acceptsNewTasks(m, now) || !isMachineAllowed(spec, m)) continue;
+    n += taskSlots(spec, m.freeCpus, m.freeGpus, m.freeMemoryGb);
   }
   return n;
 }
 
 /** Machines of a kind that are late: more of them speak no louder. */
-const DOUBT = 3;
+const MAXIMUM_DOUBT = 3;
 
 /** Zones in which machines are rented. */
-type ZoneFilter = (zone: string) => boolean;
-const anyZone: ZoneFilter = () => true;
+type ZonePredicate = (zone: string) => boolean;
+const anyZone: ZonePredicate = () => true;
 
 /** A kind of machine that the cloud may have, and the tasks of a shape that one takes. */
 interface Offer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  readonly perMachine: number;
+  readonly tasksPerMachine: number;
 }
 
 /** What the shape may run on, less what the cloud refused a moment ago. */
-function* offers(spec: JobSpec, ctx: RentContext, mayRentIn: ZoneFilter): Generator<Offer> {
+function* offers(spec: JobSpec, ctx: ScalingContext, mayRentIn: ZonePredicate): Generator<Offer> {
   for (const type of ctx.types) {
-    const perMachine = slots(spec, type.cpus, type.gpus, type.memoryGb);
+    const perMachine = taskSlots(spec, type.cpus, type.gpus, type.memoryGb);
     if (perMachine < 1) continue;
     for (const zone of type.zones) {
       if (!mayRentIn(zone)) continue;
       for (const spot of [true, false]) {
-        if (!machineAllowed(spec, { type, zone, spot })) continue;
-        const until = ctx.refused.get(offerKey(type.name, zone, spot));
-        if (until === undefined || until <= ctx.now) yield { type, zone, spot, perMachine };
+        if (!isMachineAllowed(spec, { type, zone, spot })) continue;
+        const until = ctx.capacityBackoffUntil.get(offerKey(type.name, zone, spot));
+        if (until === undefined || until <= ctx.now)
+          yield { type, zone, spot, tasksPerMachine: perMachine };
       }
     }
   }
@@ -120,18 +122,19 @@
 
 /** Price for each task, weighted by what speaks against the kind of machine. */
 function costOf(
-  { type, zone, spot, perMachine }: Offer,
+  { type, zone, spot, tasksPerMachine: perMachine }: Offer,
   spec: JobSpec,
   want: number,
-  ctx: RentContext,
+  ctx: ScalingContext,
 ) {
   // Work without GPUs takes GPU machines only as a last resort.
   const gpuWaste = type.gpus > 0 && spec.gpus === 0 ? 100 : 1;
   const price = spot ? type.spotPrice : type.price;
   // Another kind for as much again rather than one of which several do not come up.
-  const doubt = 1 + Math.min(DOUBT, ctx.late.get(offerKey(type.name, zone, spot)) ?? 0);
+  const doubt =
+    1 + Math.min(MAXIMUM_DOUBT, ctx.lateBootsByOffer.get(offerKey(type.name, zone, spot)) ?? 0);
   // Zones with fewer machines first, by a little.
-  const crowding = 1e-4 * (ctx.inZone.get(zone) ?? 0);
+  const crowding = 1e-4 * (ctx.machinesByZone.get(zone) ?? 0);
   return (gpuWaste * doubt * price) / Math.min(perMachine, Math.max(want, 1)) + crowding;
 }
 
@@ -139,8 +142,8 @@
 function cheapestOffer(
   spec: JobSpec,
   want: number,
-  ctx: RentContext,
-  mayRentIn: ZoneFilter,
+  ctx: ScalingContext,
+  mayRentIn: ZonePredicate,
 ): Offer | null {
   let best: Offer | null = null;
   let bestCost = Infinity;
@@ -154,16 +157,16 @@
 }
 
 /** At most one rental a call: the cloud takes few requests, and each answer changes the view. */
-export function wanted(
-  ctx: RentContext,
-  waiting: readonly LiveJob[],
-  shapes: Iterable<Shape>,
-): Rental | null {
+export function planScaleOut(
+  ctx: ScalingContext,
+  waiting: readonly ActiveJob[],
+  shapes: Iterable<JobShape>,
+): ScaleOutRequest | null {
   if (ctx.cluster.machines.size >= ctx.maxMachines) return null;
-  const booting = bootingRoom(ctx.cluster, ctx.now);
+  const booting = allocateBootingCapacity(ctx.cluster, ctx.now);
   // Who comes first decides what is asked for; those behind it whom the same kind serves best join in.
   // (One request for each job took a minute to rent what was on offer.)
-  let first = null as Rental | null;
+  let first = null as ScaleOutRequest | null;
   for (const job of waiting) {
     const need = Math.min(
       job.pendingCount,
@@ -173,56 +176,56 @@
     const zones = job.zones.copy();
     const coming = booting(job, zones, need);
     if (coming >= need) continue;
-    const r = rentalFor(job, need - coming, zones, ctx);
+    const r = scaleOutForJob(job, need - coming, zones, ctx);
     if (r === null) continue;
     if (first === null) first = r;
     else if (r.type === first.type && r.zone === first.zone && r.spot === first.spot) {
-      first = { ...first, count: Math.min(MOST, first.count + r.count) };
+      first = { ...first, count: Math.min(MAXIMUM_MACHINES_PER_REQUEST, first.count + r.count) };
     }
-    if (first.count >= MOST) break;
+    if (first.count >= MAXIMUM_MACHINES_PER_REQUEST) break;
   }
   if (first !== null) {
     return { ...first, count: Math.min(first.count, ctx.maxMachines - ctx.cluster.machines.size) };
   }
   for (const shape of shapes) {
-    const keep = Math.max(1, Math.ceil(ctx.spare * shape.running));
+    const keep = Math.max(1, Math.ceil(ctx.spareRatio * shape.runningTasks));
     const free = freeSlots(ctx.cluster, shape.spec, ctx.now);
     if (free >= keep) continue;
     const why = `spare room for ${shape.spec.class}`;
-    const r = rental(shape.spec, keep - free, why, ctx, anyZone);
+    const r = scaleOutFor(shape.spec, keep - free, why, ctx, anyZone);
     if (r !== null) return r;
   }
   return null;
 }
 
 /** Room for a waiting job, where its other tasks allow it. */
-function rentalFor(
-  job: LiveJob,
+function scaleOutForJob(
+  job: ActiveJob,
   want: number,
   zones: ZoneOccupancy,
-  ctx: RentContext,
-): Rental | null {
+  ctx: ScalingContext,
+): ScaleOutRequest | null {
   const why = `${job.spec.id} waits for room`;
-  const r = rental(job.spec, want, why, ctx, (zone) => zones.roomIn(zone) > 0);
-  if (r !== null || !mayMove(job, ctx.now)) return r;
+  const r = scaleOutFor(job.spec, want, why, ctx, (zone) => zones.capacityIn(zone) > 0);
+  if (r !== null || !mayRelocate(job, ctx.now)) return r;
   // Nothing more is to be had in the zone that it is in: room for all of it in another.
   const elsewhere = (zone: string): boolean => zone !== job.zones.mainZone;
-  return rental(job.spec, job.spec.tasks, why, ctx, elsewhere);
+  return scaleOutFor(job.spec, job.spec.tasks, why, ctx, elsewhere);
 }
 
-function rental(
+function scaleOutFor(
   spec: JobSpec,
   want: number,
   why: string,
-  ctx: RentContext,
-  mayRentIn: ZoneFilter,
-): Rental | null {
+  ctx: ScalingContext,
+  mayRentIn: ZonePredicate,
+): ScaleOutRequest | null {
   const o = cheapestOffer(spec, want, ctx, mayRentIn);
   if (o === null) return null;
   const count = Math.min(
-    Math.ceil(want / o.perMachine),
+    Math.ceil(want / o.tasksPerMachine),
     ctx.maxMachines - ctx.cluster.machines.size,
-    MOST,
+    MAXIMUM_MACHINES_PER_REQUEST,
   );
   return count <= 0 ? null : { type: o.type.name, zone: o.zone, spot: o.spot, count, why };
 }
@@ -231,13 +234,13 @@
  * Room on machines that are coming up, handed out once to each asker in turn, and taken in `zones`. (A gang is placed
  * as a whole once all of it fits somewhere, so what comes up for it counts in any zone.)
  */
-function bootingRoom(
+function allocateBootingCapacity(
   cluster: Cluster,
   now: number,
-): (job: LiveJob, zones: ZoneOccupancy, need: number) => number {
+): (job: ActiveJob, zones: ZoneOccupancy, need: number) => number {
   const left = new Map<Machine, { cpus: number; gpus: number; memory: number }>();
   for (const m of cluster.machines.values()) {
-    if (m.state === "booting" && !isLate(m, now)) {
+    if (m.state === "booting" && !isBootLate(m, now)) {
       left.set(m, { cpus: m.type.cpus, gpus: m.type.gpus, memory: m.type.memoryGb });
     }
   }
@@ -246,9 +249,9 @@
     let got = 0;
     for (const [m, room] of left) {
       if (got >= need) break;
-      if (!machineAllowed(spec, m)) continue;
-      const fits = Math.min(need - got, slots(spec, room.cpus, room.gpus, room.memory));
-      const n = inAnyZone ? fits : zones.takeRoom(m.zone, fits);
+      if (!isMachineAllowed(spec, m)) continue;
+      const fits = Math.min(need - got, taskSlots(spec, room.cpus, room.gpus, room.memory));
+      const n = inAnyZone ? fits : zones.reserveIn(m.zone, fits);
       if (n <= 0) continue;
       got += n;
       room.cpus -= n * spec.cpus;
@@ -260,7 +263,11 @@
 }
 
 /** Machines that stand idle although there is more than enough room for every class. */
-export function surplus(ctx: RentContext, shapes: readonly Shape[], idleS: number): Machine[] {
+export function findSurplusMachines(
+  ctx: ScalingContext,
+  shapes: readonly JobShape[],
+  idleS: number,
+): Machine[] {
   const idle = [...ctx.cluster.machines.values()].filter(
     (m) => m.state === "up" && m.placements.size === 0 && ctx.now - m.idleSince >= idleS,
   );
@@ -268,9 +275,9 @@
   const free = new Map(shapes.map((s) => [s, freeSlots(ctx.cluster, s.spec, ctx.now)]));
   for (const m of idle) {
     const needed = shapes.some((s) => {
-      if (!machineAllowed(s.spec, m)) return false;
-      const here = slots(s.spec, m.type.cpus, m.type.gpus, m.type.memoryGb);
-      const keep = Math.max(1, Math.ceil(ctx.spare * s.running));
+      if (!isMachineAllowed(s.spec, m)) return false;
+      const here = taskSlots(s.spec, m.type.cpus, m.type.gpus, m.type.memoryGb);
+      const keep = Math.max(1, Math.ceil(ctx.spareRatio * s.runningTasks));
       return here > 0 && free.get(s)! - here < keep;
     });
     if (!needed) return [m];
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -1,29 +1,30 @@
 /** The leader's view of all machines and jobs, and what each team uses. Bookkeeping only. */
-import { GangStarts } from "./gang-starts.js";
-import type { LiveJob } from "./live-job.js";
-import type { Machine } from "./machine.js";
+
+import type { Placement } from "./dispatch/placement.js";
+import type { ActiveJob } from "./jobs/active-job.js";
+import { GangStarts } from "./jobs/gang-starts.js";
+import type { Machine } from "./machines/machine.js";
 import { AMOUNT_TOLERANCE, type JobSpec, type MachineType, type Team } from "./model.js";
-import type { Placement } from "./placement.js";
 
-export interface Usage {
+export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 
 export class Cluster {
-  readonly jobs = new Map<string, LiveJob>();
+  readonly jobs = new Map<string, ActiveJob>();
   readonly machines = new Map<string, Machine>();
-  readonly usage = new Map<string, Usage>();
+  readonly usage = new Map<string, TeamUsage>();
   readonly teams = new Map<string, Team>();
   /** Classes of which a starving job has just gone first, and until when the others do. */
-  readonly othersFirst = new Map<string, number>();
+  readonly classCooldownUntil = new Map<string, number>();
   readonly gangStarts = new GangStarts();
 
   constructor(teams: readonly Team[]) {
     for (const t of teams) this.teams.set(t.name, t);
   }
 
-  usageOf(team: string): Usage {
+  usageOf(team: string): TeamUsage {
     let u = this.usage.get(team);
     if (u === undefined) {
       u = { cpus: 0, gpus: 0 };
@@ -46,7 +47,7 @@
   }
 
   /** Does what is placed keep the team's limit, as far as is known now? */
-  withinLimit(teamName: string): boolean {
+  isWithinLimit(teamName: string): boolean {
     const team = this.teams.get(teamName);
     if (team === undefined) return true;
     const { cpus, gpus } = this.usageOf(teamName);
@@ -68,26 +69,26 @@
   }
 
   /** Books a placement on its machine and against its team, where it counts until released. */
-  add(p: Placement, unrecorded = false): void {
+  addPlacement(p: Placement, unrecorded = false): void {
     if (unrecorded) p.job.unrecorded.add(p);
     else p.job.placements.set(p.task, p);
-    const part = p.job.partOf(p.task);
-    if (p.version > part.placed) part.placed = p.version;
-    if (part.startsWait) p.job.unstoredSince ??= p.placedAt;
-    p.job.moved();
+    const part = p.job.shardOf(p.task);
+    if (p.version > part.placedVersion) part.placedVersion = p.version;
+    if (part.hasUnpersistedPlacement) p.job.unpersistedSince ??= p.placedAt;
+    p.job.invalidatePendingCount();
     p.machine.placements.set(p.key, p);
     p.job.zones.add(p.machine.zone);
     const { cpus, gpus, memoryGb } = p.job.spec;
     p.machine.cpusUsed += cpus;
     p.machine.gpusUsed += gpus;
-    p.machine.memoryUsed += memoryGb;
+    p.machine.memoryUsedGb += memoryGb;
     const u = this.usageOf(p.job.spec.team);
     u.cpus += cpus;
     u.gpus += gpus;
   }
 
   /** The attempt is proven gone. */
-  release(p: Placement, now: number): void {
+  releasePlacement(p: Placement, now: number): void {
     if (!p.machine.placements.delete(p.key)) return;
     if (p.job.placements.get(p.task) === p) p.job.placements.delete(p.task);
     p.job.unrecorded.delete(p);
@@ -95,12 +96,12 @@
     const { cpus, gpus, memoryGb } = p.job.spec;
     p.machine.cpusUsed -= cpus;
     p.machine.gpusUsed -= gpus;
-    p.machine.memoryUsed -= memoryGb;
+    p.machine.memoryUsedGb -= memoryGb;
     if (p.machine.placements.size === 0) p.machine.idleSince = now;
     const u = this.usageOf(p.job.spec.team);
     u.cpus -= cpus;
     u.gpus -= gpus;
-    p.job.touch(p.task);
+    p.job.markChanged(p.task);
   }
 
   /**
@@ -108,12 +109,12 @@
    * unfinished jobs. A guarantee of 0 promises nothing of that resource, and so cannot be
    * exceeded in it, as long as the team is guaranteed anything at all.
    */
-  withinGuarantee(): Set<string> {
+  jobsWithinGuarantee(): Set<string> {
     const out = new Set<string>();
-    const sums = new Map<string, Usage>();
-    const byAge = [...this.jobs.values()].sort((a, b) => a.submittedAt - b.submittedAt);
+    const sums = new Map<string, TeamUsage>();
+    const byAge = [...this.jobs.values()].sort((a, b) => a.submittedAtMs - b.submittedAtMs);
     for (const job of byAge) {
-      if (job.cancelled || job.complete || job.waits) continue;
+      if (job.isCancelled || job.isComplete || job.isBlockedOnDependencies) continue;
       const team = this.teams.get(job.spec.team);
       if (team === undefined || (team.cpus <= 0 && team.gpus <= 0)) continue;
       const sum = sums.get(team.name) ?? { cpus: 0, gpus: 0 };
--- a/src/core/placement-rules.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -5,7 +5,7 @@
  * machines asks it, and the moment of a start asks it again. What is not known counts as the worst case: a machine
  * whose zone is unknown may be in any.
  */
-import type { JobSpec, MachineType } from "./model.js";
+import type { JobSpec, MachineType } from "../model.js";
 
 /** Zone of a machine of which nothing says where it is. */
 export const UNKNOWN_ZONE = "";
@@ -20,7 +20,7 @@
 }
 
 /** May any task of the job be on such a machine, whatever its other tasks do? */
-export function machineAllowed(spec: JobSpec, { type, zone, spot }: MachineFacts): boolean {
+export function isMachineAllowed(spec: JobSpec, { type, zone, spot }: MachineFacts): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
     (spec.zone === null || spec.zone === zone) &&
@@ -32,7 +32,7 @@
 const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
 
 /** Can all tasks run at one time if there is room in these zones only? */
-export function zonesSuffice(spec: JobSpec, zones: number): boolean {
+export function areZonesSufficient(spec: JobSpec, zones: number): boolean {
   return !spec.spread || zones * spreadLimit(spec) >= spec.tasks;
 }
 
@@ -43,11 +43,11 @@
   constructor(private readonly spec: JobSpec) {}
 
   add(zone: string, tasks = 1): void {
-    this.counts.set(zone, this.in(zone) + tasks);
+    this.counts.set(zone, this.tasksIn(zone) + tasks);
   }
 
   remove(zone: string): void {
-    const left = this.in(zone) - 1;
+    const left = this.tasksIn(zone) - 1;
     if (left > 0) this.counts.set(zone, left);
     else this.counts.delete(zone);
   }
@@ -59,17 +59,17 @@
   }
 
   /** How many more tasks may be placed in the zone. */
-  roomIn(zone: string): number {
+  capacityIn(zone: string): number {
     const { oneZone, spread } = this.spec;
     if ((oneZone || spread) && zone === UNKNOWN_ZONE) return 0;
     if (oneZone && !this.areAllIn(zone)) return 0;
     if (!spread) return NO_LIMIT;
-    return Math.max(0, spreadLimit(this.spec) - this.in(zone) - this.in(UNKNOWN_ZONE));
+    return Math.max(0, spreadLimit(this.spec) - this.tasksIn(zone) - this.tasksIn(UNKNOWN_ZONE));
   }
 
   /** Takes up to so many places in the zone, and says how many there were. */
-  takeRoom(zone: string, most: number): number {
-    const tasks = Math.min(most, this.roomIn(zone));
+  reserveIn(zone: string, most: number): number {
+    const tasks = Math.min(most, this.capacityIn(zone));
     if (tasks > 0) this.add(zone, tasks);
     return tasks;
   }
@@ -79,7 +79,7 @@
     const { oneZone, spread } = this.spec;
     if ((oneZone || spread) && zone === UNKNOWN_ZONE) return false;
     if (oneZone && !this.areAllIn(zone)) return false;
-    return !spread || this.in(zone) + this.in(UNKNOWN_ZONE) <= spreadLimit(this.spec);
+    return !spread || this.tasksIn(zone) + this.tasksIn(UNKNOWN_ZONE) <= spreadLimit(this.spec);
   }
 
   /** Its tasks must share a zone and stand in several: nothing more may start before one is left. */
@@ -92,13 +92,13 @@
     let main: string | null = null;
     for (const [zone, tasks] of this.counts) {
       if (zone === UNKNOWN_ZONE) continue;
-      const most = main === null ? 0 : this.in(main);
+      const most = main === null ? 0 : this.tasksIn(main);
       if (tasks > most || (tasks === most && main !== null && zone < main)) main = zone;
     }
     return main;
   }
 
-  private in(zone: string): number {
+  private tasksIn(zone: string): number {
     return this.counts.get(zone) ?? 0;
   }
 
--- a/src/core/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -1,6 +1,6 @@
 /** A task's attempt on a machine: it counts there, and against its team's limit, until it is proven gone. */
-import type { LiveJob } from "./live-job.js";
-import type { Machine } from "./machine.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import type { Machine } from "../machines/machine.js";
 
 /**
  * Where a placement stands. `loaded`: read from the state after a takeover, nothing known of it.
@@ -16,7 +16,7 @@
   | "running"
   | "saving";
 
-export interface Stop {
+export interface StopRequest {
   readonly why: string;
   readonly graceS: number;
   sentAt: number;
@@ -25,8 +25,8 @@
 export class Placement {
   state: PlacementState = "planned";
   /** Direct start commands on the wire. */
-  inFlight = 0;
-  stop: Stop | null = null;
+  startsInFlight = 0;
+  stop: StopRequest | null = null;
   sentAt = Number.NEGATIVE_INFINITY;
   readonly placedAt: number;
   runningSince = 0;
@@ -34,16 +34,16 @@
    * A gang task whose machine has the image long before those of its mates: it starts once one of
    * these has it too, or after so many seconds.
    */
-  heldS = 0;
+  startDelayS = 0;
   /** Its start was seen under this leader, so that its run time is known. */
-  timed = false;
+  hasKnownStart = false;
 
   constructor(
-    readonly job: LiveJob,
+    readonly job: ActiveJob,
     readonly task: number,
     readonly attempt: number,
     readonly machine: Machine,
-    readonly session: number,
+    readonly incarnation: number,
     /** The job's version that must be stored before a start is sent. */
     readonly version: number,
     now: number,
@@ -56,8 +56,8 @@
   }
 
   /** It is held, and none of its mates has the image yet. */
-  waitsForMates(now: number): boolean {
-    if (this.heldS === 0 || now - this.placedAt >= this.heldS) return false;
+  waitsForGangPeers(now: number): boolean {
+    if (this.startDelayS === 0 || now - this.placedAt >= this.startDelayS) return false;
     for (const q of this.job.placements.values()) {
       if (q.state === "waiting" || q.state === "running") return false;
     }
--- a/src/core/outputs.ts
+++ b/src/core/effects.ts
@@ -1,14 +1,14 @@
 /** What the leader's state machine asks for, and how what it asked for ended. */
-import type { Command, Report } from "./model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "./model.js";
 
 /** Something to be sent, asked of the cloud, done by the node, or logged. */
-export type Output =
+export type Effect =
   | {
       readonly kind: "send";
       readonly machine: string;
       readonly address: string;
       readonly session: number;
-      readonly commands: readonly Command[];
+      readonly commands: readonly WorkerCommand[];
     }
   | { readonly kind: "show"; readonly machine: string; readonly address: string }
   | {
@@ -33,24 +33,24 @@
     };
 
 /** How a direct request to a worker ended; `sent`: it may have arrived. */
-export type SendOutcome =
-  | { readonly kind: "answer"; readonly executed: boolean; readonly report: Report }
+export type CommandOutcome =
+  | { readonly kind: "answer"; readonly executed: boolean; readonly report: WorkerHeartbeat }
   | { readonly kind: "lost"; readonly sent: boolean };
 
 /** How a write ended. `unknown`: it may have been carried out, or may be later. */
-export type WriteOutcome = "ok" | "conflict" | "unknown" | "refused";
+export type TransactionOutcome = "ok" | "conflict" | "unknown" | "refused";
 
 /** Figures of a leader that follow from the settings and from the other controllers. */
 export interface SchedulerOptions {
-  readonly spare: number;
+  readonly spareRatio: number;
   readonly maxMachines: number;
-  readonly idleReturnS: number;
+  readonly idleReleaseS: number;
   /** Seconds for which a former leader may still have answered reports after its term. */
-  readonly graceS: number;
+  readonly gracePeriodS: number;
   /** The same for machines that run replicas or gang tasks. */
-  readonly keepS: number;
+  readonly leaseExtensionS: number;
   /** Lines on single tasks are written: there are hundreds a second, and each costs as much as a report's answer. */
   readonly logsTasks: boolean;
   /** Other controllers in each zone: cut off with its workers, each may keep them for `keepS`. */
-  readonly othersIn: ReadonlyMap<string, number>;
+  readonly controllersPerZone: ReadonlyMap<string, number>;
 }
--- a/src/core/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -1,7 +1,13 @@
 /** Whether a job can ever run at all, by what the cloud offers and what its team may use. */
-import { slots } from "./machine.js";
-import { AMOUNT_TOLERANCE, type ClusterSettings, type JobSpec, type MachineType } from "./model.js";
-import { machineAllowed, zonesSuffice } from "./placement-rules.js";
+
+import { areZonesSufficient, isMachineAllowed } from "../dispatch/placement-constraints.js";
+import { taskSlots } from "../machines/machine.js";
+import {
+  AMOUNT_TOLERANCE,
+  type ClusterSettings,
+  type JobSpec,
+  type MachineType,
+} from "../model.js";
 
 /** Can any task of the job ever run, and does the job fit its team's limit? */
 export function canEverRun(
@@ -16,11 +22,11 @@
   if (team.gpusMax > 0 && spec.gpus * tasks > team.gpusMax + AMOUNT_TOLERANCE) return false;
   const zones = new Set<string>();
   for (const type of types) {
-    if (slots(spec, type.cpus, type.gpus, type.memoryGb) < 1) continue;
+    if (taskSlots(spec, type.cpus, type.gpus, type.memoryGb) < 1) continue;
     for (const zone of type.zones) {
-      if (machineAllowed(spec, { type, zone, spot: false })) zones.add(zone);
+      if (isMachineAllowed(spec, { type, zone, spot: false })) zones.add(zone);
     }
   }
   // Of a gang all tasks run at one time, or none does.
-  return zones.size > 0 && (spec.kind !== "gang" || zonesSuffice(spec, zones.size));
+  return zones.size > 0 && (spec.kind !== "gang" || areZonesSufficient(spec, zones.size));
 }
--- a/src/core/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,5 +1,5 @@
 /** When gangs of each class and size began, over the users' bound on beginning. */
-import { BEGIN_S, type JobSpec } from "./model.js";
+import { type JobSpec, START_BOUND_S } from "../model.js";
 
 interface StartedJob {
   readonly spec: JobSpec;
@@ -14,7 +14,7 @@
   private readonly counted = new WeakSet<StartedJob>();
 
   /** A job was placed. It counts once, however often it starts again. */
-  began(job: StartedJob, now: number): void {
+  noteStart(job: StartedJob, now: number): void {
     if (job.spec.kind !== "gang" || this.counted.has(job)) return;
     this.counted.add(job);
     const key = gangSizeKey(job.spec);
@@ -24,10 +24,10 @@
   }
 
   /** How many of a class and size began lately. */
-  recent(key: string, now: number): number {
+  recentStarts(key: string, now: number): number {
     const times = this.startTimes.get(key);
     if (times === undefined) return 0;
-    while (times.length > 0 && now - times[0]! > BEGIN_S) times.shift();
+    while (times.length > 0 && now - times[0]! > START_BOUND_S) times.shift();
     return times.length;
   }
 }
--- a/src/core/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -6,15 +6,15 @@
  * of these is an event that residuates them.
  */
 import {
-  type Attributes,
+  type EventAttributes,
   type Expression,
-  format,
+  formatExpression,
+  isSecure,
   isZero,
   mentions,
-  parse,
+  parseExpression,
   residuate,
-  secure,
-} from "../algebra/expression.js";
+} from "../../algebra/expression.js";
 
 export type JobEvent = "start" | "done" | "failed";
 
@@ -28,10 +28,10 @@
  * conditional write is through, so it can be delayed and rejected. Failed is like abort: the
  * controllers are told after the fact.
  */
-const START: Attributes = { triggerable: true, rejectable: true, delayable: true };
-const DONE: Attributes = { triggerable: false, rejectable: true, delayable: true };
-const FAILED: Attributes = { triggerable: false, rejectable: false, delayable: false };
-export const attributesOf = (event: string): Attributes =>
+const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
+const DONE: EventAttributes = { triggerable: false, rejectable: true, delayable: true };
+const FAILED: EventAttributes = { triggerable: false, rejectable: false, delayable: false };
+export const attributesOf = (event: string): EventAttributes =>
   event.startsWith("s:") ? START : event.startsWith("d:") ? DONE : FAILED;
 
 /** What every job obeys: start before done, never both done and failed, no start once failed. */
@@ -39,7 +39,11 @@
   const s = eventName("start", job);
   const d = eventName("done", job);
   const f = eventName("failed", job);
-  return [parse(`~${d} + ${s}.${d}`), parse(`~${d} + ~${f}`), parse(`~${s} + ~${f} + ${s}.${f}`)];
+  return [
+    parseExpression(`~${d} + ${s}.${d}`),
+    parseExpression(`~${d} + ~${f}`),
+    parseExpression(`~${s} + ~${f} + ${s}.${f}`),
+  ];
 }
 
 /** Its start comes after the other's done; and never, if the other fails. */
@@ -47,7 +51,7 @@
   const s = eventName("start", job);
   const d = eventName("done", other);
   const f = eventName("failed", other);
-  return [parse(`~${s} + ${d}.${s}`), parse(`~${s} + ~${f}`)];
+  return [parseExpression(`~${s} + ${d}.${s}`), parseExpression(`~${s} + ~${f}`)];
 }
 
 /** All that is stored of a job when it is submitted. */
@@ -57,39 +61,41 @@
 ];
 
 /** The other ended: the event, and that its opposite never occurs (done and failed exclude each other). */
-export function otherEnded(
+export function residuateByOutcome(
   dependencies: readonly Expression[],
   other: string,
   how: "done" | "failed",
 ): Expression[] {
   const never = how === "done" ? "failed" : "done";
-  const once = occur(dependencies, eventName(how, other));
-  return occur(once, `~${eventName(never, other)}`);
+  const once = residuateByEvent(dependencies, eventName(how, other));
+  return residuateByEvent(once, `~${eventName(never, other)}`);
 }
 
 /** Some residual can only be met if the event never occurs: a start so demanded is rejected for good. */
-export const excluded = (dependencies: readonly Expression[], atom: string): boolean =>
+export const isEventExcluded = (dependencies: readonly Expression[], atom: string): boolean =>
   dependencies.some((d) => d.length > 0 && d.every((t) => t.includes(`~${atom}`)));
 
-export const residuals = (dependencies: readonly string[]): Expression[] => dependencies.map(parse);
-export const written = (dependencies: readonly Expression[]): string[] => dependencies.map(format);
+export const parseResiduals = (dependencies: readonly string[]): Expression[] =>
+  dependencies.map(parseExpression);
+export const formatResiduals = (dependencies: readonly Expression[]): string[] =>
+  dependencies.map(formatExpression);
 
 /** An event that occurred residuates each dependency that names it. */
-export function occur(dependencies: readonly Expression[], atom: string): Expression[] {
+export function residuateByEvent(dependencies: readonly Expression[], atom: string): Expression[] {
   return dependencies.map((d) => (mentions(d, atom) ? residuate(d, atom) : d));
 }
 
 /** A waiting event is accepted when no residual becomes zero and each stays secure. */
-export function acceptable(dependencies: readonly Expression[], atom: string): boolean {
+export function isEventAcceptable(dependencies: readonly Expression[], atom: string): boolean {
   return dependencies.every((d) => {
     if (!mentions(d, atom)) return true;
     const next = residuate(d, atom);
-    return !isZero(next) && secure(next, attributesOf);
+    return !isZero(next) && isSecure(next, attributesOf);
   });
 }
 
 /** Starts that some residual can only be met by: they are triggered and queued as attempted. */
-export function required(dependencies: readonly Expression[]): string[] {
+export function requiredStarts(dependencies: readonly Expression[]): string[] {
   const out = new Set<string>();
   for (const d of dependencies) {
     if (d.length === 0) continue;
--- a/src/core/ranges.ts
+++ b/src/core/jobs/task-ranges.ts
@@ -1,23 +1,23 @@
 /** A set of task numbers kept as sorted, disjoint, closed ranges, written `0-5,7`. */
-export class Ranges {
-  private readonly spans: [number, number][] = [];
+export class TaskRanges {
+  private readonly ranges: [number, number][] = [];
   private count = 0;
 
-  static parse(text: string): Ranges {
-    const r = new Ranges();
+  static parse(text: string): TaskRanges {
+    const r = new TaskRanges();
     if (text === "") return r;
     for (const part of text.split(",")) {
       const [a, b] = part.split("-");
       const from = Number(a);
       const to = b === undefined ? from : Number(b);
-      r.spans.push([from, to]);
+      r.ranges.push([from, to]);
       r.count += to - from + 1;
     }
     return r;
   }
 
-  static of(numbers: Iterable<number>): Ranges {
-    const r = new Ranges();
+  static of(numbers: Iterable<number>): TaskRanges {
+    const r = new TaskRanges();
     for (const n of [...numbers].sort((a, b) => a - b)) r.add(n);
     return r;
   }
@@ -25,48 +25,48 @@
   get size(): number {
     return this.count;
   }
-  get spanCount(): number {
-    return this.spans.length;
+  get rangeCount(): number {
+    return this.ranges.length;
   }
 
   /** Index of the first span that ends at or after n. */
-  private find(n: number): number {
+  private indexOfRangeEndingFrom(n: number): number {
     let lo = 0;
-    let hi = this.spans.length;
+    let hi = this.ranges.length;
     while (lo < hi) {
       const mid = (lo + hi) >> 1;
-      if (this.spans[mid]![1] < n) lo = mid + 1;
+      if (this.ranges[mid]![1] < n) lo = mid + 1;
       else hi = mid;
     }
     return lo;
   }
 
   has(n: number): boolean {
-    const s = this.spans[this.find(n)];
+    const s = this.ranges[this.indexOfRangeEndingFrom(n)];
     return s !== undefined && s[0] <= n;
   }
 
   add(n: number): boolean {
-    const i = this.find(n);
-    const at = this.spans[i];
+    const i = this.indexOfRangeEndingFrom(n);
+    const at = this.ranges[i];
     if (at !== undefined && at[0] <= n) return false;
     this.count++;
-    const before = i > 0 ? this.spans[i - 1] : undefined;
+    const before = i > 0 ? this.ranges[i - 1] : undefined;
     const joinsBefore = before !== undefined && before[1] === n - 1;
     const joinsAfter = at !== undefined && at[0] === n + 1;
     if (joinsBefore && joinsAfter) {
       before[1] = at[1];
-      this.spans.splice(i, 1);
+      this.ranges.splice(i, 1);
     } else if (joinsBefore) before[1] = n;
     else if (joinsAfter) at[0] = n;
-    else this.spans.splice(i, 0, [n, n]);
+    else this.ranges.splice(i, 0, [n, n]);
     return true;
   }
 
   /** Numbers below `limit` that are not in the set, in order. */
   *missing(limit: number): Generator<number> {
     let next = 0;
-    for (const [a, b] of this.spans) {
+    for (const [a, b] of this.ranges) {
       for (; next < a && next < limit; next++) yield next;
       next = b + 1;
     }
@@ -74,10 +74,10 @@
   }
 
   *[Symbol.iterator](): Generator<number> {
-    for (const [a, b] of this.spans) for (let n = a; n <= b; n++) yield n;
+    for (const [a, b] of this.ranges) for (let n = a; n <= b; n++) yield n;
   }
 
   toString(): string {
-    return this.spans.map(([a, b]) => (a === b ? `${a}` : `${a}-${b}`)).join(",");
+    return this.ranges.map(([a, b]) => (a === b ? `${a}` : `${a}-${b}`)).join(",");
   }
 }
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -1,68 +1,74 @@
 /** What the parts of the leader's state machine share: its view, settings and token, and what it asks for. */
 import { Cluster } from "./cluster.js";
-import { Machine } from "./machine.js";
-import type { ClusterSettings, JobSpec, MachineType, Report } from "./model.js";
-import type { Output, SchedulerOptions } from "./outputs.js";
-import { ValueLimit } from "./value-limit.js";
+import type { Effect, SchedulerOptions } from "./effects.js";
+import { Machine } from "./machines/machine.js";
+import type { ClusterSettings, JobSpec, MachineType, WorkerHeartbeat } from "./model.js";
+import { ValueSizeLimit } from "./state/value-size-limit.js";
 
 /** Nodes that are cut off keep such machines alive; by what runs there, so both sides agree. */
-export const isKept = (kind: JobSpec["kind"]): boolean => kind !== "array";
+export const hasExtendableLease = (kind: JobSpec["kind"]): boolean => kind !== "array";
 
 export class LeaderContext {
   readonly cluster: Cluster;
   /** Something changed that a pass over all that waits should see. */
-  needPlan = true;
-  types = new Map<string, MachineType>();
-  readonly valueLimit: ValueLimit;
-  private collected: Output[] = [];
+  cycleRequested = true;
+  machineTypes = new Map<string, MachineType>();
+  readonly valueSizeLimit: ValueSizeLimit;
+  private collectedEffects: Effect[] = [];
 
   constructor(
     readonly settings: ClusterSettings,
     readonly options: SchedulerOptions,
     public epoch: number,
-    public epochMark: number,
+    public epochModRevision: number,
     readonly startedAt: number,
   ) {
     this.cluster = new Cluster(settings.teams);
-    this.valueLimit = new ValueLimit(1024 * settings.valueKb, settings.leaseS);
+    this.valueSizeLimit = new ValueSizeLimit(1024 * settings.valueKb, settings.leaseS);
   }
 
-  get typesKnown(): boolean {
-    return this.types.size > 0;
+  get hasMachineTypes(): boolean {
+    return this.machineTypes.size > 0;
   }
 
-  get out(): Output[] {
-    return this.collected;
+  get effects(): Effect[] {
+    return this.collectedEffects;
   }
 
   log(message: string, fields: Record<string, unknown>): void {
-    this.collected.push({ kind: "log", level: "info", message, fields });
+    this.collectedEffects.push({ kind: "log", level: "info", message, fields });
   }
 
   /** A line on a single task, made only if it will be written. */
   logTask(message: string, fields: () => Record<string, unknown>): void {
     if (!this.options.logsTasks) return;
-    this.collected.push({ kind: "log", level: "debug", message, fields: fields() });
+    this.collectedEffects.push({ kind: "log", level: "debug", message, fields: fields() });
   }
 
-  flush(): Output[] {
-    const out = this.collected;
-    this.collected = [];
+  takeEffects(): Effect[] {
+    const out = this.collectedEffects;
+    this.collectedEffects = [];
     return out;
   }
 
   /** Until a machine is heard it counts as if the former leader had renewed its lease as late as it may. */
   awaitFirstContact(m: Machine): void {
-    m.lastHeard = this.startedAt;
-    m.lastRenewed = this.startedAt + this.options.graceS;
+    m.lastMessageAt = this.startedAt;
+    m.leaseRenewedAt = this.startedAt + this.options.gracePeriodS;
   }
 
   /** The machine of that name, as the cloud or a record describes it. */
-  machine(name: string, type: string, zone: string, spot: boolean, now: number): Machine | null {
-    const t = this.types.get(type);
+  findOrAddMachine(
+    name: string,
+    type: string,
+    zone: string,
+    spot: boolean,
+    now: number,
+  ): Machine | null {
+    const t = this.machineTypes.get(type);
     const known = this.cluster.machines.get(name);
     if (known !== undefined) {
-      if (t !== undefined && !known.selfDescribed) this.describe(known, t, zone, spot);
+      if (t !== undefined && !known.isSelfDescribed) this.correctDescription(known, t, zone, spot);
       return known;
     }
     if (t === undefined) return null;
@@ -72,21 +78,21 @@
   }
 
   /** A worker is the authority on its own machine, whatever was thought of it. */
-  selfDescribed(m: Machine, r: Pick<Report, "type" | "zone" | "spot">): void {
-    m.selfDescribed = true;
-    this.describe(m, this.types.get(r.type) ?? m.type, r.zone, r.spot);
+  applySelfDescription(m: Machine, r: Pick<WorkerHeartbeat, "type" | "zone" | "spot">): void {
+    m.isSelfDescribed = true;
+    this.correctDescription(m, this.machineTypes.get(r.type) ?? m.type, r.zone, r.spot);
   }
 
-  private describe(m: Machine, type: MachineType, zone: string, spot: boolean): void {
+  private correctDescription(m: Machine, type: MachineType, zone: string, spot: boolean): void {
     if (m.type.name === type.name && m.zone === zone && m.spot === spot) return;
-    m.recordChanged = m.stored;
+    m.isRecordOutdated = m.isPersisted;
     this.log("machine corrected", { machine: m.name, type: type.name, zone, spot, was: m.zone });
     this.cluster.correctMachine(m, type, zone, spot);
-    this.needPlan = true;
+    this.cycleRequested = true;
   }
 }
 
-export function serves(m: Machine): boolean {
+export function runsServiceTasks(m: Machine): boolean {
   for (const p of m.placements.values()) if (p.job.spec.kind === "service") return true;
   return false;
 }
--- a/src/core/term.ts
+++ b/src/core/leadership/term.ts
@@ -5,14 +5,14 @@
  * act: it counts from when a renewal was sent, by its own clock, less what clocks may drift apart
  * and a margin, so that it has stopped before the lease can have lapsed.
  */
-import { CLOCK_DRIFT } from "./model.js";
+import { CLOCK_DRIFT } from "../model.js";
 
 /**
  * Processor time for which a leader may be held up, in seconds: the longest pass after a takeover, with the reports that
  * have come in meanwhile, and as much again.
  */
-const HELD_UP_S = 0.3;
-const LEAST_LEASE_S = 0.5;
+const MAXIMUM_STALL_S = 0.3;
+const MINIMUM_LEASE_S = 0.5;
 
 /**
  * Length of the term's lease. On a small share of a core a healthy leader answers late as well, and its lease is the
@@ -20,37 +20,37 @@
  * of a day, and after each move all workers had to be met anew.)
  */
 export function termLeaseS(wantedS: number, cpuShare: number): number {
-  const leaseS = Math.max(LEAST_LEASE_S, wantedS, HELD_UP_S / cpuShare);
+  const leaseS = Math.max(MINIMUM_LEASE_S, wantedS, MAXIMUM_STALL_S / cpuShare);
   // The state service takes whole milliseconds, and refuses any other length.
   return Math.ceil(1000 * leaseS) / 1000;
 }
 
-export class Term {
-  private until: number;
+export class LeadershipTerm {
+  private validUntil: number;
 
   constructor(
     readonly member: string,
     public epoch: number,
-    public epochMark: number,
-    readonly lease: number,
-    private readonly ttlS: number,
+    public epochModRevision: number,
+    readonly leaseId: number,
+    private readonly leaseS: number,
     grantSentAt: number,
     /** Time of day at which it was taken, in milliseconds. */
-    readonly at = 0,
+    readonly acquiredAtMs = 0,
   ) {
-    this.until = this.end(grantSentAt);
+    this.validUntil = this.validUntilFor(grantSentAt);
   }
 
-  private end(sentAt: number): number {
-    return sentAt + this.ttlS * (1 - 2 * CLOCK_DRIFT) - this.ttlS / 10;
+  private validUntilFor(sentAt: number): number {
+    return sentAt + this.leaseS * (1 - 2 * CLOCK_DRIFT) - this.leaseS / 10;
   }
 
-  renewed(sentAt: number): void {
-    this.until = Math.max(this.until, this.end(sentAt));
+  extendFrom(sentAt: number): void {
+    this.validUntil = Math.max(this.validUntil, this.validUntilFor(sentAt));
   }
 
-  acting(now: number): boolean {
-    return now < this.until;
+  mayAct(now: number): boolean {
+    return now < this.validUntil;
   }
 
   /**
@@ -58,7 +58,7 @@
    * the state service may be down for everybody, and workers would lose all their tasks. Whoever
    * takes over counts this time in (`graceS` of the scheduler).
    */
-  answering(now: number, graceS: number): boolean {
-    return now < this.until + graceS;
+  isWithinGracePeriod(now: number, graceS: number): boolean {
+    return now < this.validUntil + graceS;
   }
 }
--- a/src/core/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,9 +1,10 @@
 /** A rented machine as the leader knows it: what its worker last said, and what is placed on it. */
-import type { LiveJob } from "./live-job.js";
-import { AMOUNT_TOLERANCE, type JobSpec, type MachineType } from "./model.js";
-import type { Placement } from "./placement.js";
 
-export interface EndedTask {
+import type { Placement } from "../dispatch/placement.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { AMOUNT_TOLERANCE, type JobSpec, type MachineType } from "../model.js";
+
+export interface ExitedTask {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
@@ -13,63 +14,63 @@
 
 export class Machine {
   address = "";
-  session = 0;
-  seq = -1;
+  incarnation = 0;
+  sequence = -1;
   /** The worker has answered under the present token, so older commands are dropped there. */
-  fenced = false;
+  hasAcknowledgedToken = false;
   /** It has seen a token of this leader: what a former one answers is dropped there. */
-  ours = false;
+  hasMetThisLeader = false;
   /** `booting` until its worker is heard, `gone` once proven. */
   state: "booting" | "up" | "returning" | "gone" = "booting";
   /** Last time a message from the worker arrived. */
-  lastHeard = Number.NEGATIVE_INFINITY;
+  lastMessageAt = Number.NEGATIVE_INFINITY;
   /**
    * Last time a report of its own came, or when it was first heard. A machine that answers direct requests
    * but reaches no controller loses its lease, and with it all that was placed there.
    */
-  reportedAt = Number.NEGATIVE_INFINITY;
+  lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   /** Latest time at which any leader can have renewed the worker's lease. */
-  lastRenewed = Number.NEGATIVE_INFINITY;
+  leaseRenewedAt = Number.NEGATIVE_INFINITY;
   /** Time at which the cloud takes it, when told. */
-  takenAt: number | null = null;
+  interruptionAt: number | null = null;
   bootingSince = 0;
   /** A direct request is outstanding. */
-  busy = false;
-  directAfter = Number.NEGATIVE_INFINITY;
+  hasRequestInFlight = false;
+  nextRequestAt = Number.NEGATIVE_INFINITY;
   idleSince: number;
   /** Direct requests since it was last heard that got no answer. */
-  unanswered = 0;
+  consecutiveFailedRequests = 0;
   /**
    * Since when direct requests get no answer, whatever is heard of it. Its reports may arrive while
    * neither answers nor commands reach it.
    */
-  deafSince: number | null = null;
-  stored = false;
+  unreachableSince: number | null = null;
+  isPersisted = false;
   /** Its stored record describes it wrongly. */
-  recordChanged = false;
+  isRecordOutdated = false;
   readonly placements = new Map<string, Placement>();
-  readonly ended = new Map<string, EndedTask>();
+  readonly exitedTasks = new Map<string, ExitedTask>();
   /** Starts sent without an answer, by the token they carried: they may still arrive. */
   readonly unansweredStarts = new Map<string, number>();
   /** Images it holds or fetches, with the time of last use and size. */
   readonly images = new Map<string, { at: number; gb: number; ready: boolean }>();
   /** Jobs of which a task failed here, and when, until it is known who was at fault. */
-  readonly failures = new Map<LiveJob, number>();
+  readonly failedJobs = new Map<ActiveJob, number>();
   /** Tasks that took far longer here than others of their job. */
   readonly slowTasks = new Set<string>();
   /** Not used for new work; it is returned once empty. */
-  drain: string | null = null;
-  refusedUntil = Number.NEGATIVE_INFINITY;
+  drainReason: string | null = null;
+  backoffUntil = Number.NEGATIVE_INFINITY;
   /** The weakest hold of any task on it, as of the last pass: who is no stronger finds nothing here. */
-  weakest = -1;
+  weakestPrecedence = -1;
   /** Room being made for a job by stopping others, or, in this pass, held for one. */
-  reservedFor: { job: LiveJob; until: number; held: boolean } | null = null;
+  reservation: { job: ActiveJob; until: number; held: boolean } | null = null;
   cpusUsed = 0;
   gpusUsed = 0;
-  memoryUsed = 0;
+  memoryUsedGb = 0;
 
   /** Its worker has said what kind of machine it is, which nothing else overrules. */
-  selfDescribed = false;
+  isSelfDescribed = false;
 
   constructor(
     readonly name: string,
@@ -88,13 +89,13 @@
   get freeGpus(): number {
     return this.type.gpus - this.gpusUsed;
   }
-  get freeMemory(): number {
-    return this.type.memoryGb - this.memoryUsed;
+  get freeMemoryGb(): number {
+    return this.type.memoryGb - this.memoryUsedGb;
   }
 }
 
 /** How many tasks of this shape fit into these amounts. */
-export function slots(spec: JobSpec, cpus: number, gpus: number, memory: number): number {
+export function taskSlots(spec: JobSpec, cpus: number, gpus: number, memory: number): number {
   let n = Number.MAX_SAFE_INTEGER;
   if (spec.cpus > 0) n = Math.min(n, Math.floor((cpus + AMOUNT_TOLERANCE) / spec.cpus));
   if (spec.gpus > 0) n = Math.min(n, Math.floor((gpus + AMOUNT_TOLERANCE) / spec.gpus));
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,16 +1,16 @@
 /** The field's terms, shared by the core and its adapters. Wire names stay in wire/. */
 
-export type Kind = "array" | "gang" | "service";
+export type JobKind = "array" | "gang" | "service";
 export type Priority = "production" | "high" | "normal" | "low";
 
-const RANK: Record<Priority, number> = { production: 0, high: 1, normal: 2, low: 3 };
-export const rankOf = (p: Priority): number => RANK[p];
+const PRIORITY_RANKS: Record<Priority, number> = { production: 0, high: 1, normal: 2, low: 3 };
+export const priorityRank = (p: Priority): number => PRIORITY_RANKS[p];
 
 export interface JobSpec {
   readonly id: string;
   readonly class: string;
   readonly team: string;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly priority: Priority;
   readonly tasks: number;
   readonly cpus: number;
@@ -64,29 +64,29 @@
   | "busy"
   | "unknown";
 
-export interface TaskReport {
+export interface TaskStatus {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
   readonly state: TaskState;
   readonly cause: ExitCause | null;
-  readonly saved: boolean;
+  readonly checkpointed: boolean;
 }
 
-export interface Report {
+export interface WorkerHeartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
-  readonly token: number;
-  readonly noticeS: number | null;
-  readonly tasks: readonly TaskReport[];
+  readonly incarnation: number;
+  readonly sequence: number;
+  readonly fencingToken: number;
+  readonly interruptionNoticeS: number | null;
+  readonly tasks: readonly TaskStatus[];
 }
 
-export type Command =
+export type WorkerCommand =
   | { readonly op: "start"; readonly job: string; readonly task: number; readonly attempt: number }
   | {
       readonly op: "stop";
@@ -133,7 +133,7 @@
   readonly zones: readonly string[];
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
-  readonly reportS: number;
+  readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly gangWaitS: number;
   readonly gangPeerS: number;
@@ -157,4 +157,4 @@
 export const CLOCK_DRIFT = 0.0005;
 
 /** The users' bound, in seconds: every job, the largest too, is to begin within four minutes. */
-export const BEGIN_S = 240;
+export const START_BOUND_S = 240;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -1,27 +1,34 @@
 /** Placement of arrays and services: as many tasks as there is room for, within what one write can hold. */
-import { taskBytes, worstBytes } from "../job-values.js";
-import type { LiveJob } from "../live-job.js";
-import { placeableInPart } from "../parts.js";
-import { place, take } from "./assignment.js";
-import { type Candidate, candidates } from "./candidates.js";
-import type { PlanContext } from "./context.js";
-import type { GpuReserve } from "./gpu-reserve.js";
 
-export function placeTasks(job: LiveJob, ctx: PlanContext, reserve: GpuReserve): void {
+import type { ActiveJob } from "../jobs/active-job.js";
+import { placeableInShard } from "../state/job-shards.js";
+import { maxValueBytes, taskNumberBytes } from "../state/job-values.js";
+import { assignTasks, takeFirst } from "./assignment.js";
+import { type Candidate, findCandidates } from "./candidates.js";
+import type { PlanningContext } from "./context.js";
+import type { GpuReservation } from "./gpu-reservation.js";
+
+export function placeIndependentTasks(
+  job: ActiveJob,
+  ctx: PlanningContext,
+  reserve: GpuReservation,
+): void {
   const quota = ctx.cluster.quotaSlots(job.spec);
-  if (quota <= 0 || job.pendingCount === 0 || job.onTrial) return;
+  if (quota <= 0 || job.pendingCount === 0 || job.isOnProbation) return;
   // Before the look at all machines, which a long queue of large arrays would cost for nothing.
-  if (job.partSize !== null && bulkRate(job, ctx) < 1) return;
-  const on = inOneZone(job, candidates(job, ctx, reserve));
+  if (job.shardSize !== null && availableBulkTasks(job, ctx) < 1) return;
+  const on = restrictToOneZone(job, findCandidates(job, ctx, reserve));
   if (on.length === 0) return;
   const most =
-    job.partSize === null ? fittingValue(job, on, quota, ctx) : fittingParts(job, on, ctx);
+    job.shardSize === null
+      ? limitByValueSize(job, on, quota, ctx)
+      : limitByShardWrites(job, on, ctx);
   // One task shows as well as all of them whether the job still fails.
-  const limit = Math.min(quota, most.tasks, !job.suspected ? quota : 1);
-  const tasks = take(placeable(job, ctx), limit);
+  const limit = Math.min(quota, most.tasks, !job.isSuspect ? quota : 1);
+  const tasks = takeFirst(placeableTasks(job, ctx), limit);
   if (tasks.length === 0) return;
-  const placed = place(job, tasks, on.slice(0, most.machines), ctx);
-  if (job.partSize !== null) ctx.bulk.force(placed, ctx.now);
+  const placed = assignTasks(job, tasks, on.slice(0, most.machines), ctx);
+  if (job.shardSize !== null) ctx.bulkBudget.takeOnCredit(placed, ctx.now);
 }
 
 /**
@@ -29,51 +36,56 @@
  * those alike in this, the zone of the best machine. A service needs places for all its replicas in the end.
  * (The machines of all zones were offered, and the tasks of one pass stood in several.)
  */
-function inOneZone(job: LiveJob, on: readonly Candidate[]): readonly Candidate[] {
+function restrictToOneZone(job: ActiveJob, on: readonly Candidate[]): readonly Candidate[] {
   const { oneZone, kind, tasks } = job.spec;
   if (!oneZone) return on;
   const want = kind === "service" ? tasks : job.pendingCount;
   const fits = new Map<string, number>();
   for (const c of on) {
     const { zone } = c.machine;
-    fits.set(zone, Math.min(want, (fits.get(zone) ?? 0) + c.fits));
+    fits.set(zone, Math.min(want, (fits.get(zone) ?? 0) + c.freeSlots));
   }
   const [best] = [...fits].sort((a, b) => b[1] - a[1])[0] ?? [];
   return on.filter((c) => c.machine.zone === best);
 }
 
 /** Tasks that wait for a place, no more of a part than its value can hold while they are under way. */
-function* placeable(job: LiveJob, ctx: PlanContext): Generator<number> {
-  const size = job.partSize;
-  const most = size === null ? 0 : placeableInPart(size, ctx.valueBytes);
+function* placeableTasks(job: ActiveJob, ctx: PlanningContext): Generator<number> {
+  const size = job.shardSize;
+  const most = size === null ? 0 : placeableInShard(size, ctx.maxValueBytes);
   if (size === null || most >= size || job.spec.kind !== "array") {
-    yield* job.pending();
+    yield* job.pendingTasks();
     return;
   }
   const underWay = new Map<number, number>();
-  for (const task of job.placements.keys()) count(underWay, Math.floor(task / size));
-  for (const task of job.pending()) {
+  for (const task of job.placements.keys()) increment(underWay, Math.floor(task / size));
+  for (const task of job.pendingTasks()) {
     const part = Math.floor(task / size);
     if ((underWay.get(part) ?? 0) >= most) continue;
-    count(underWay, part);
+    increment(underWay, part);
     yield task;
   }
 }
 
-const count = (counts: Map<number, number>, key: number): void => {
+const increment = (counts: Map<number, number>, key: number): void => {
   counts.set(key, (counts.get(key) ?? 0) + 1);
 };
 
 /** A pipeline in one value of bounded length: no more is placed than it can hold at the worst. */
-function fittingValue(job: LiveJob, on: readonly Candidate[], quota: number, ctx: PlanContext) {
-  let room = 0.95 * ctx.valueBytes - worstBytes(job);
+function limitByValueSize(
+  job: ActiveJob,
+  on: readonly Candidate[],
+  quota: number,
+  ctx: PlanningContext,
+) {
+  let room = 0.95 * ctx.maxValueBytes - maxValueBytes(job);
   let tasks = 0;
   let machines = 0;
   for (const c of on) {
     room -= c.machine.name.length + 12;
-    const fit = Math.min(c.fits, Math.floor(room / (2 * taskBytes(job))));
+    const fit = Math.min(c.freeSlots, Math.floor(room / (2 * taskNumberBytes(job))));
     if (fit < 1) break;
-    room -= fit * 2 * taskBytes(job);
+    room -= fit * 2 * taskNumberBytes(job);
     tasks += fit;
     machines++;
     if (tasks >= quota) break;
@@ -87,17 +99,17 @@
  * so many a second. (A guest's 25,000 tasks of six seconds went out at 450 a second: reports of all
  * machines were late, 28 were taken for dead, and gangs within a guarantee waited for two minutes.)
  */
-function fittingParts(job: LiveJob, on: readonly Candidate[], ctx: PlanContext) {
+function limitByShardWrites(job: ActiveJob, on: readonly Candidate[], ctx: PlanningContext) {
   let parts = Math.floor(ctx.settings.txnOps / 4);
-  for (const part of job.unsaved) if (part.startsWait) parts--;
+  for (const part of job.unpersistedShards) if (part.hasUnpersistedPlacement) parts--;
   let fits = 0;
-  for (const c of on) fits += c.fits;
-  const tasks = Math.max(0, Math.min(fits, bulkRate(job, ctx), parts * job.partSize!));
+  for (const c of on) fits += c.freeSlots;
+  const tasks = Math.max(0, Math.min(fits, availableBulkTasks(job, ctx), parts * job.shardSize!));
   return { tasks, machines: on.length };
 }
 
 /** Tasks of jobs in parts that may be placed now. */
-function bulkRate(job: LiveJob, ctx: PlanContext): number {
+function availableBulkTasks(job: ActiveJob, ctx: PlanningContext): number {
   if (job.spec.priority === "production") return Number.MAX_SAFE_INTEGER;
-  return Math.floor(ctx.bulk.available(ctx.now));
+  return Math.floor(ctx.bulkBudget.available(ctx.now));
 }
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -1,15 +1,16 @@
 /** Machines with room for a task of a job, the best first. */
-import type { LiveJob } from "../live-job.js";
-import { type Machine, slots } from "../machine.js";
+
+import { isMachineAllowed } from "../dispatch/placement-constraints.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model.js";
-import { machineAllowed } from "../placement-rules.js";
-import type { PlanContext } from "./context.js";
-import { imageWaitS, roomOpenTo } from "./eligibility.js";
-import { blocksGpuJob, type GpuReserve } from "./gpu-reserve.js";
+import type { PlanningContext } from "./context.js";
+import { imagePullS, isCapacityOpenTo } from "./eligibility.js";
+import { blocksGpuJob, type GpuReservation } from "./gpu-reservation.js";
 
 /** Lower is better; in seconds of waiting, more or less. */
-function score(m: Machine, spec: JobSpec, reserve: GpuReserve): number {
-  let s = imageWaitS(m, spec);
+function placementCostS(m: Machine, spec: JobSpec, reserve: GpuReservation): number {
+  let s = imagePullS(m, spec);
   // Work without GPUs should leave GPUs usable: what blocks one costs as much as a boot.
   if (blocksGpuJob(m, spec, reserve)) s += m.type.bootS * 2;
   if (spec.kind === "service") {
@@ -27,26 +28,30 @@
 
 export interface Candidate {
   readonly machine: Machine;
-  readonly fits: number;
-  readonly score: number;
+  readonly freeSlots: number;
+  readonly costS: number;
 }
 
 /** It has waited so long that any place will do. */
-export const takesAnyPlace = (job: LiveJob, ctx: PlanContext): boolean =>
-  job.waitingSince !== null && ctx.now - job.waitingSince > 2 * ctx.settings.reportS;
+export const acceptsAnyMachine = (job: ActiveJob, ctx: PlanningContext): boolean =>
+  job.waitingSince !== null && ctx.now - job.waitingSince > 2 * ctx.settings.heartbeatIntervalS;
 
-export function candidates(job: LiveJob, ctx: PlanContext, reserve: GpuReserve): Candidate[] {
+export function findCandidates(
+  job: ActiveJob,
+  ctx: PlanningContext,
+  reserve: GpuReservation,
+): Candidate[] {
   const out: Candidate[] = [];
-  for (const m of ctx.snapshot.open) {
-    let fits = slots(job.spec, m.freeCpus, m.freeGpus, m.freeMemory);
-    if (fits === 0 || !roomOpenTo(m, job)) continue;
-    if (!machineAllowed(job.spec, m) || job.zones.roomIn(m.zone) === 0) continue;
+  for (const m of ctx.snapshot.withFreeCapacity) {
+    let fits = taskSlots(job.spec, m.freeCpus, m.freeGpus, m.freeMemoryGb);
+    if (fits === 0 || !isCapacityOpenTo(m, job)) continue;
+    if (!isMachineAllowed(job.spec, m) || job.zones.capacityIn(m.zone) === 0) continue;
     if (job.failures.avoids(m.name, ctx.now)) continue;
     // A replica stays for long. It takes a GPU away only when there was time to make room elsewhere.
     if (
       fits > 0 &&
       job.spec.kind === "service" &&
-      !takesAnyPlace(job, ctx) &&
+      !acceptsAnyMachine(job, ctx) &&
       blocksGpuJob(m, job.spec, reserve)
     )
       continue;
@@ -54,16 +59,22 @@
       fits > 0 &&
       job.spec.gpus === 0 &&
       job.spec.priority !== "production" &&
-      reserve.kept.has(m)
+      reserve.reservedMachines.has(m)
     ) {
       // What is left beside the GPU job that this machine is kept for.
-      for (const g of reserve.specs) {
-        if (slots(g, m.freeCpus, m.freeGpus, m.freeMemory) < 1) continue;
-        const beside = slots(job.spec, m.freeCpus - g.cpus, Infinity, m.freeMemory - g.memoryGb);
+      for (const g of reserve.gpuJobSpecs) {
+        if (taskSlots(g, m.freeCpus, m.freeGpus, m.freeMemoryGb) < 1) continue;
+        const beside = taskSlots(
+          job.spec,
+          m.freeCpus - g.cpus,
+          Infinity,
+          m.freeMemoryGb - g.memoryGb,
+        );
         fits = Math.min(fits, beside);
       }
     }
-    if (fits > 0) out.push({ machine: m, fits, score: score(m, job.spec, reserve) });
+    if (fits > 0)
+      out.push({ machine: m, freeSlots: fits, costS: placementCostS(m, job.spec, reserve) });
   }
-  return out.sort((a, b) => a.score - b.score || (a.machine.name < b.machine.name ? -1 : 1));
+  return out.sort((a, b) => a.costS - b.costS || (a.machine.name < b.machine.name ? -1 : 1));
 }
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,31 +1,31 @@
 /** Which machines take new work now, and how long an image would take there. */
-import type { LiveJob } from "../live-job.js";
-import { type Machine, slots } from "../machine.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { type Machine, taskSlots } from "../machines/machine.js";
 import type { ClusterSettings, JobSpec } from "../model.js";
-import type { PlanContext } from "./context.js";
+import type { PlanningContext } from "./context.js";
 
 /** Part of a lease after which a machine whose own reports do not arrive takes no new work. */
-const SILENT_SHARE_OF_LEASE = 0.75;
+const MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
 /** A machine takes new work while its reports come in time. */
-export function acceptsWork(
+export function acceptsNewWork(
   m: Machine,
-  job: LiveJob | null,
+  job: ActiveJob | null,
   settings: ClusterSettings,
   now: number,
 ): boolean {
   return (
     m.state === "up" &&
-    m.fenced &&
-    m.stored &&
-    m.drain === null &&
-    m.takenAt === null &&
-    m.deafSince === null &&
-    now - m.lastHeard < 1.5 * settings.reportS &&
+    m.hasAcknowledgedToken &&
+    m.isPersisted &&
+    m.drainReason === null &&
+    m.interruptionAt === null &&
+    m.unreachableSince === null &&
+    now - m.lastMessageAt < 1.5 * settings.heartbeatIntervalS &&
     // (Reports go to other nodes while a new leader settles, but not for so long.)
-    now - m.reportedAt < SILENT_SHARE_OF_LEASE * settings.leaseS &&
-    now >= m.refusedUntil &&
-    roomOpenTo(m, job)
+    now - m.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
+    now >= m.backoffUntil &&
+    isCapacityOpenTo(m, job)
   );
 }
 
@@ -33,8 +33,8 @@
  * Room that is made or held for another is not open to a job; but what was made for a gang is open to a
  * gang before it in line, else two that each have half of what they need keep it from each other.
  */
-export function roomOpenTo(m: Machine, job: LiveJob | null): boolean {
-  const r = m.reservedFor;
+export function isCapacityOpenTo(m: Machine, job: ActiveJob | null): boolean {
+  const r = m.reservation;
   if (r === null || job === null || r.job === job) return true;
   return (
     !r.held &&
@@ -45,7 +45,7 @@
 }
 
 /** Seconds until the image would be there. */
-export function imageWaitS(m: Machine, spec: JobSpec): number {
+export function imagePullS(m: Machine, spec: JobSpec): number {
   const held = m.images.get(spec.image);
   if (held?.ready) return 0;
   let others = 0;
@@ -55,9 +55,9 @@
 }
 
 /** Usable machines of the types of which a whole machine takes a task. */
-export function* machinesThatFit(spec: JobSpec, ctx: PlanContext): Generator<Machine> {
-  for (const machines of ctx.snapshot.usable.values()) {
+export function* machinesThatFit(spec: JobSpec, ctx: PlanningContext): Generator<Machine> {
+  for (const machines of ctx.snapshot.usableByType.values()) {
     const { cpus, gpus, memoryGb } = machines[0]!.type;
-    if (slots(spec, cpus, gpus, memoryGb) >= 1) yield* machines;
+    if (taskSlots(spec, cpus, gpus, memoryGb) >= 1) yield* machines;
   }
 }
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -1,20 +1,21 @@
 /** Which running tasks may be stopped to make room for a job, and which of them cost least. */
-import type { LiveJob } from "../live-job.js";
-import { type Machine, slots } from "../machine.js";
+
+import type { Placement } from "../dispatch/placement.js";
+import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model.js";
-import type { Placement } from "../placement.js";
-import { machineAllowed, type ZoneOccupancy } from "../placement-rules.js";
-import { takesAnyPlace } from "./candidates.js";
-import type { PlanContext } from "./context.js";
-import { imageWaitS, machinesThatFit } from "./eligibility.js";
-import type { GpuReserve } from "./gpu-reserve.js";
-import { waitedShare } from "./urgency.js";
+import { acceptsAnyMachine } from "./candidates.js";
+import type { PlanningContext } from "./context.js";
+import { imagePullS, machinesThatFit } from "./eligibility.js";
+import type { GpuReservation } from "./gpu-reservation.js";
+import { waitedShareOfStartBound } from "./urgency.js";
 
 /** May this placement be stopped to make room for the job? */
 function mayPreempt(
-  job: LiveJob,
+  job: ActiveJob,
   p: Placement,
-  ctx: PlanContext,
+  ctx: PlanningContext,
   within: ReadonlySet<string>,
 ): boolean {
   if (p.stop !== null) return false;
@@ -22,11 +23,11 @@
   // CPUs are to be had elsewhere, GPUs are not. (Low work within its guarantee stopped gangs for two
   // of their CPUs, one of them eighteen times in half a minute, each time with its image fetched anew.)
   const takesGpus = p.job.spec.gpus > 0 && job.spec.gpus === 0;
-  if (takesGpus && job.precedence > 0 && waitedShare(job, ctx) < 0.25) return false;
-  if (p.job.rank > job.rank) return true;
+  if (takesGpus && job.precedence > 0 && waitedShareOfStartBound(job, ctx) < 0.25) return false;
+  if (p.job.effectiveRank > job.effectiveRank) return true;
   // To give a team its guarantee, what another team runs beyond its own may be stopped; but a gang that
   // waits in line stops none that went before it. (Each was placed again and stopped again, fifty times.)
-  if (!job.inTime && !job.starving) return false;
+  if (!job.guaranteeStillReachable && !job.isStarving) return false;
   return within.has(job.spec.id) && !within.has(p.job.spec.id) && p.job.spec.team !== job.spec.team;
 }
 
@@ -34,7 +35,7 @@
  * Work lost if the placement is stopped now, in task seconds times CPUs: of a gang, by all its tasks;
  * of one that fetches its image, the fetch.
  */
-function lossOf(p: Placement, now: number): number {
+function lostWork(p: Placement, now: number): number {
   const { cpus, saveS, checkpointS, kind, tasks } = p.job.spec;
   const running = p.state === "running";
   const spent = now - (running ? p.runningSince : p.placedAt);
@@ -43,68 +44,72 @@
 }
 
 /** Amounts of a machine. */
-interface Amounts {
+interface ResourceAmounts {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-const fits = (spec: JobSpec, a: Amounts): boolean => slots(spec, a.cpus, a.gpus, a.memoryGb) >= 1;
+const fitsTask = (spec: JobSpec, a: ResourceAmounts): boolean =>
+  taskSlots(spec, a.cpus, a.gpus, a.memoryGb) >= 1;
 
-function addTo(a: Amounts, { cpus, gpus, memoryGb }: JobSpec): void {
+function addResources(a: ResourceAmounts, { cpus, gpus, memoryGb }: JobSpec): void {
   a.cpus += cpus;
   a.gpus += gpus;
   a.memoryGb += memoryGb;
 }
 
 /** What is free on a machine, or will be without stopping more. */
-function comingFree(m: Machine): Amounts {
-  const free = { cpus: m.freeCpus, gpus: m.freeGpus, memoryGb: m.freeMemory };
-  for (const p of m.placements.values()) if (p.stop !== null) addTo(free, p.job.spec);
+function capacityAfterPendingStops(m: Machine): ResourceAmounts {
+  const free = { cpus: m.freeCpus, gpus: m.freeGpus, memoryGb: m.freeMemoryGb };
+  for (const p of m.placements.values()) if (p.stop !== null) addResources(free, p.job.spec);
   return free;
 }
 
 /** With all that may be stopped gone, would a replica there keep a GPU job out? */
-function replicaBlocksGpus(job: LiveJob, m: Machine, reserve: GpuReserve): boolean {
+function replicaBlocksGpuJobs(job: ActiveJob, m: Machine, reserve: GpuReservation): boolean {
   if (m.type.gpus <= 0) return false;
-  if (reserve.specs.length === 0) return true;
+  if (reserve.gpuJobSpecs.length === 0) return true;
   const { cpus, gpus, memoryGb } = m.type;
-  return reserve.specs.some(
+  return reserve.gpuJobSpecs.some(
     (g) =>
-      machineAllowed(g, m) &&
-      slots(g, cpus - job.spec.cpus, gpus, memoryGb) < slots(g, cpus, gpus, memoryGb),
+      isMachineAllowed(g, m) &&
+      taskSlots(g, cpus - job.spec.cpus, gpus, memoryGb) < taskSlots(g, cpus, gpus, memoryGb),
   );
 }
 
 /** Room on a machine for one task of a job, by stopping these; the cost is in lost work and image time. */
-interface Room {
+interface PreemptionChoice {
   readonly machine: Machine;
   readonly victims: Placement[];
   readonly cost: number;
 }
 
 /** The cheapest tasks to stop on this machine so that one task of the job fits; null: none, or too dear. */
-function roomOn(
+function cheapestPreemptionOn(
   m: Machine,
-  job: LiveJob,
-  ctx: PlanContext,
+  job: ActiveJob,
+  ctx: PlanningContext,
   within: ReadonlySet<string>,
   below: number,
-): Room | null {
-  let cost = imageWaitS(m, job.spec);
+): PreemptionChoice | null {
+  let cost = imagePullS(m, job.spec);
   if (cost >= below) return null;
-  const free = comingFree(m);
+  const free = capacityAfterPendingStops(m);
   const stoppable = [...m.placements.values()].filter((p) => mayPreempt(job, p, ctx, within));
   const most = { ...free };
-  for (const p of stoppable) addTo(most, p.job.spec);
-  if (!fits(job.spec, most)) return null;
-  stoppable.sort((a, b) => b.job.rank - a.job.rank || lossOf(a, ctx.now) - lossOf(b, ctx.now));
+  for (const p of stoppable) addResources(most, p.job.spec);
+  if (!fitsTask(job.spec, most)) return null;
+  stoppable.sort(
+    (a, b) =>
+      b.job.effectiveRank - a.job.effectiveRank || lostWork(a, ctx.now) - lostWork(b, ctx.now),
+  );
   const victims: Placement[] = [];
   for (const p of stoppable) {
-    if (fits(job.spec, free)) break;
-    addTo(free, p.job.spec);
+    if (fitsTask(job.spec, free)) break;
+    addResources(free, p.job.spec);
     victims.push(p);
-    cost += lossOf(p, ctx.now);
+    cost += lostWork(p, ctx.now);
   }
   return cost < below ? { machine: m, victims, cost } : null;
 }
@@ -113,27 +118,27 @@
  * The cheapest set of tasks whose end lets one task of the job in, and where. `zones`: where its tasks are, and will
  * be on machines where room is being made for it.
  */
-export function makeRoom(
-  job: LiveJob,
+export function findPreemption(
+  job: ActiveJob,
   zones: ZoneOccupancy,
-  ctx: PlanContext,
+  ctx: PlanningContext,
   within: ReadonlySet<string>,
-  reserve: GpuReserve,
-): Room | null {
+  reserve: GpuReservation,
+): PreemptionChoice | null {
   if (ctx.cluster.quotaSlots(job.spec) <= 0) return null;
-  const zone = job.heldZone || null;
-  const sparesGpus = job.spec.kind === "service" && !takesAnyPlace(job, ctx);
-  let best: Room | null = null;
+  const zone = job.reservedZone || null;
+  const sparesGpus = job.spec.kind === "service" && !acceptsAnyMachine(job, ctx);
+  let best: PreemptionChoice | null = null;
   let bestCost = Infinity;
   for (const m of machinesThatFit(job.spec, ctx)) {
-    if (m.weakest <= job.precedence) continue;
+    if (m.weakestPrecedence <= job.precedence) continue;
     // Room is being made or held there already; the caller has counted it.
-    if (m.reservedFor !== null || zones.roomIn(m.zone) === 0) continue;
+    if (m.reservation !== null || zones.capacityIn(m.zone) === 0) continue;
     if (zone !== null && m.zone !== zone) continue;
-    if (!machineAllowed(job.spec, m)) continue;
+    if (!isMachineAllowed(job.spec, m)) continue;
     if (job.failures.avoids(m.name, ctx.now)) continue;
-    if (sparesGpus && replicaBlocksGpus(job, m, reserve)) continue;
-    const cheaper: Room | null = roomOn(m, job, ctx, within, bestCost);
+    if (sparesGpus && replicaBlocksGpuJobs(job, m, reserve)) continue;
+    const cheaper: PreemptionChoice | null = cheapestPreemptionOn(m, job, ctx, within, bestCost);
     if (cheaper === null) continue;
     best = cheaper;
     bestCost = cheaper.cost;
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -1,23 +1,24 @@
 /** How urgent a waiting job is, by the aims that the settings state for it. */
-import type { LiveJob } from "../live-job.js";
-import { slots } from "../machine.js";
-import { BEGIN_S } from "../model.js";
-import { machineAllowed } from "../placement-rules.js";
-import type { PlanContext } from "./context.js";
+
+import { isMachineAllowed } from "../dispatch/placement-constraints.js";
+import type { ActiveJob } from "../jobs/active-job.js";
+import { taskSlots } from "../machines/machine.js";
+import { START_BOUND_S } from "../model.js";
+import type { PlanningContext } from "./context.js";
 
 /** Part of the users' bound that a job has waited. */
-export const waitedShare = (j: LiveJob, ctx: PlanContext): number =>
-  (ctx.wallMs - j.countsFrom) / (1000 * BEGIN_S);
+export const waitedShareOfStartBound = (j: ActiveJob, ctx: PlanningContext): number =>
+  (ctx.wallMs - j.objectivesCountFromMs) / (1000 * START_BOUND_S);
 
 /** What a gang takes up: machines for how long. An aim counts a small one as much as a large one. */
-export const area = (j: LiveJob): number =>
+export const estimatedMachineSeconds = (j: ActiveJob): number =>
   j.spec.kind === "gang" ? j.spec.tasks * Math.max(1, j.spec.estimateS) : 0;
 
 export interface Urgency {
   /** The latest time of day (ms) at which a start still meets some aim. */
-  readonly at: number;
+  readonly latestStartAtMs: number;
   /** 0: in time; of gangs, 1: only for an aim on its end; 2: for none any more. */
-  readonly late: number;
+  readonly lateness: number;
 }
 
 /**
@@ -25,13 +26,17 @@
  * more comes last: an hour's backlog served in order of arrival makes everybody late, while those who
  * are late already lose little by waiting on.
  */
-export function urgencyOf(job: LiveJob, ctx: PlanContext, within: ReadonlySet<string>): Urgency {
+export function urgencyOf(
+  job: ActiveJob,
+  ctx: PlanningContext,
+  within: ReadonlySet<string>,
+): Urgency {
   const { spec } = job;
   let best = Infinity;
   let startAim = false;
-  const imageS = fetchTimeS(job, ctx);
+  const imageS = expectedImagePullS(job, ctx);
   const consider = (afterS: number, start: boolean): void => {
-    by(job.countsFrom + 1000 * (afterS - imageS), start);
+    by(job.objectivesCountFromMs + 1000 * (afterS - imageS), start);
   };
   const by = (at: number, start: boolean): void => {
     if (at < ctx.wallMs) return;
@@ -39,9 +44,10 @@
     best = Math.min(best, at);
   };
   // A job of which some tasks have started has its start aim behind it.
-  const begun = job.done.size > 0 || job.placements.size > 0;
+  const begun = job.doneTasks.size > 0 || job.placements.size > 0;
   // Its own deadline, counted from the submission, or what those that wait for it leave of theirs.
-  if (job.dueMs !== null) by(job.dueMs - 1000 * (spec.estimateS + imageS), false);
+  if (job.effectiveDeadlineMs !== null)
+    by(job.effectiveDeadlineMs - 1000 * (spec.estimateS + imageS), false);
   for (const o of ctx.settings.objectives) {
     if (o.withinS === null) continue;
     if (o.kind === "finished" && o.class === spec.class) {
@@ -51,20 +57,20 @@
     else if (o.kind === "guarantee" && within.has(spec.id)) consider(o.withinS, true);
   }
   const late = best === Infinity ? 2 : spec.kind === "gang" && !startAim ? 1 : 0;
-  return { at: best, late };
+  return { latestStartAtMs: best, lateness: late };
 }
 
 /** Seconds that the job's image takes where it could run, or none if a machine free now holds it. */
-export function fetchTimeS(job: LiveJob, ctx: PlanContext): number {
+export function expectedImagePullS(job: ActiveJob, ctx: PlanningContext): number {
   let rate = 0;
-  for (const m of ctx.snapshot.kinds) {
-    if (!machineAllowed(job.spec, m)) continue;
-    if (slots(job.spec, m.type.cpus, m.type.gpus, m.type.memoryGb) < 1) continue;
+  for (const m of ctx.snapshot.oneOfEachKind) {
+    if (!isMachineAllowed(job.spec, m)) continue;
+    if (taskSlots(job.spec, m.type.cpus, m.type.gpus, m.type.memoryGb) < 1) continue;
     rate = Math.max(rate, m.type.fetchGbPerS);
   }
-  for (const m of ctx.snapshot.holding.get(job.spec.image) ?? []) {
-    if (!machineAllowed(job.spec, m)) continue;
-    if (slots(job.spec, m.freeCpus, m.freeGpus, m.freeMemory) > 0) return 0;
+  for (const m of ctx.snapshot.withImage.get(job.spec.image) ?? []) {
+    if (!isMachineAllowed(job.spec, m)) continue;
+    if (taskSlots(job.spec, m.freeCpus, m.freeGpus, m.freeMemoryGb) > 0) return 0;
   }
   return rate > 0 ? job.spec.imageGb / rate : 0;
 }
--- a/src/core/value-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -6,9 +6,9 @@
  */
 
 /** Values are planned to be no larger than this part of the smallest one that was refused. */
-const SHRINK = 0.7;
+const PLANNED_SHARE_OF_REFUSED = 0.7;
 
-export class ValueLimit {
+export class ValueSizeLimit {
   private refusedBytes = Number.POSITIVE_INFINITY;
   private retryAt = Number.NEGATIVE_INFINITY;
 
@@ -20,27 +20,27 @@
 
   /** What values are planned to fit, however the tasks in them end. */
   get plannedBytes(): number {
-    return Math.min(this.knownBytes, SHRINK * this.refusedBytes);
+    return Math.min(this.knownBytes, PLANNED_SHARE_OF_REFUSED * this.refusedBytes);
   }
 
   /** A value was refused that kept the known limits. */
-  get reduced(): boolean {
+  get isReduced(): boolean {
     return this.refusedBytes < Number.POSITIVE_INFINITY;
   }
 
   /** May a value of this size be sent now? */
-  allows(bytes: number, now: number): boolean {
+  mayWrite(bytes: number, now: number): boolean {
     return bytes < this.refusedBytes || now >= this.retryAt;
   }
 
   /** A value of this size was refused, and nothing else was in its transaction. */
-  refused(bytes: number, now: number): void {
+  recordRefused(bytes: number, now: number): void {
     this.refusedBytes = Math.min(this.refusedBytes, bytes);
     this.retryAt = now + this.retryS;
   }
 
   /** The largest value of a transaction that was carried out. */
-  taken(bytes: number): void {
+  recordAccepted(bytes: number): void {
     if (bytes >= this.refusedBytes) this.refusedBytes = Number.POSITIVE_INFINITY;
   }
 }
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,7 +1,11 @@
 /** What programs that embed peatsaddle may rely on. */
 export * from "./algebra/expression.js";
-export { DEFAULT_OPERATOR, decodeOperator, type Operator } from "./config/operator.js";
-export { Controller } from "./controller.js";
+export {
+  DEFAULT_OPERATOR_SETTINGS as DEFAULT_OPERATOR,
+  decodeOperatorSettings as decodeOperator,
+  type OperatorSettings as Operator,
+} from "./config/operator.js";
+export * from "./core/jobs/pipeline.js";
 export * from "./core/model.js";
-export * from "./core/pipeline.js";
-export { decodeSettings, type Settings } from "./wire/settings.js";
+export { Controller } from "./node/controller.js";
+export { decodeSettings, type NodeSettings as Settings } from "./wire/settings.js";
--- a/src/net/client.ts
+++ b/src/net/http-connection-pool.ts
@@ -7,35 +7,35 @@
  */
 import { connect, type Socket } from "node:net";
 
-export class RequestFailed extends Error {
+export class RequestError extends Error {
   constructor(
     message: string,
-    readonly sent: boolean,
+    readonly mayHaveArrived: boolean,
   ) {
     super(message);
   }
 }
 
-export interface Reply {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Map<string, string>;
   readonly body: Buffer;
 }
 
-interface Waiter {
-  resolve(reply: Reply): void;
+interface PendingRequest {
+  resolve(reply: HttpResponse): void;
   reject(error: Error): void;
 }
 
-const HEAD_END = Buffer.from("\r\n\r\n");
+const HEADER_END = Buffer.from("\r\n\r\n");
 
 /** Collects one response; `feed` returns it when complete and keeps what follows it. */
 class ResponseReader {
   private pending: Buffer = Buffer.alloc(0);
 
-  feed(chunk: Buffer): Reply | null {
+  feed(chunk: Buffer): HttpResponse | null {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
-    const end = this.pending.indexOf(HEAD_END);
+    const end = this.pending.indexOf(HEADER_END);
     if (end < 0) return null;
     const lines = this.pending.toString("latin1", 0, end).split("\r\n");
     const status = Number(lines[0]!.split(" ")[1]);
@@ -45,9 +45,9 @@
       const colon = line.indexOf(":");
       if (colon > 0) headers.set(line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim());
     }
-    const start = end + HEAD_END.length;
+    const start = end + HEADER_END.length;
     if ((headers.get("transfer-encoding") ?? "").toLowerCase().includes("chunked")) {
-      return this.chunked(status, headers, start);
+      return this.readChunkedBody(status, headers, start);
     }
     const length = Number(headers.get("content-length") ?? "0");
     if (this.pending.length < start + length) return null;
@@ -56,7 +56,11 @@
     return { status, headers, body };
   }
 
-  private chunked(status: number, headers: Map<string, string>, from: number): Reply | null {
+  private readChunkedBody(
+    status: number,
+    headers: Map<string, string>,
+    from: number,
+  ): HttpResponse | null {
     const parts: Buffer[] = [];
     let at = from;
     for (;;) {
@@ -77,10 +81,10 @@
 }
 
 class Connection {
-  private waiter: Waiter | null = null;
+  private pendingRequest: PendingRequest | null = null;
   private readonly reader = new ResponseReader();
-  closed = false;
-  ready: Promise<void>;
+  isClosed = false;
+  connected: Promise<void>;
   readonly socket: Socket;
 
   constructor(
@@ -89,24 +93,24 @@
     private readonly onIdle: (c: Connection) => void,
   ) {
     this.socket = connect({ host, port, noDelay: true });
-    this.ready = new Promise((resolve, reject) => {
+    this.connected = new Promise((resolve, reject) => {
       this.socket.once("connect", resolve);
       this.socket.once("error", reject);
       this.socket.once("close", () => reject(new Error("closed")));
     });
-    this.ready.catch(() => {});
+    this.connected.catch(() => {});
     this.socket.on("error", () => {});
-    void this.read();
+    void this.readResponses();
   }
 
-  private async read(): Promise<void> {
+  private async readResponses(): Promise<void> {
     let cause = "connection closed";
     try {
       for await (const chunk of this.socket) {
         const reply = this.reader.feed(chunk as Buffer);
         if (reply === null) continue;
-        const w = this.waiter;
-        this.waiter = null;
+        const w = this.pendingRequest;
+        this.pendingRequest = null;
         if (w === null || reply.headers.get("connection") === "close") this.close();
         else this.onIdle(this);
         w?.resolve(reply);
@@ -115,56 +119,57 @@
       cause = (e as Error).message;
     }
     this.close();
-    const w = this.waiter;
-    this.waiter = null;
-    w?.reject(new RequestFailed(cause, true));
+    const w = this.pendingRequest;
+    this.pendingRequest = null;
+    w?.reject(new RequestError(cause, true));
   }
 
-  send(data: Buffer): Promise<Reply> {
+  send(data: Buffer): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
-      this.waiter = { resolve, reject };
+      this.pendingRequest = { resolve, reject };
       this.socket.write(data);
     });
   }
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.socket.destroy();
   }
 }
 
 /** All connections to one address. */
-export class Peer {
-  private idle: Connection[] = [];
-  private open = 0;
-  private retired = false;
+export class HttpConnectionPool {
+  private idleConnections: Connection[] = [];
+  private openCount = 0;
+  private isRetired = false;
   private readonly host: string;
   private readonly port: number;
 
   constructor(
     readonly address: string,
-    private readonly maxOpen: number,
+    private readonly maxConnections: number,
   ) {
     const colon = address.lastIndexOf(":");
     this.host = address.slice(0, colon);
     this.port = Number(address.slice(colon + 1));
   }
 
-  private take(): Connection {
+  private acquire(): Connection {
     for (;;) {
-      const c = this.idle.pop();
+      const c = this.idleConnections.pop();
       if (c === undefined) break;
-      if (!c.closed) return c;
+      if (!c.isClosed) return c;
     }
-    if (this.open >= this.maxOpen) throw new RequestFailed("too many connections", false);
-    this.open++;
+    if (this.openCount >= this.maxConnections)
+      throw new RequestError("too many connections", false);
+    this.openCount++;
     const c: Connection = new Connection(this.host, this.port, (x) => {
-      if (this.retired) x.close();
-      else this.idle.push(x);
+      if (this.isRetired) x.close();
+      else this.idleConnections.push(x);
     });
     c.socket.once("close", () => {
-      this.open--;
-      this.idle = this.idle.filter((x) => x !== c);
+      this.openCount--;
+      this.idleConnections = this.idleConnections.filter((x) => x !== c);
     });
     return c;
   }
@@ -174,23 +179,23 @@
     path: string,
     body: Buffer | null,
     timeoutMs: number,
-  ): Promise<Reply> {
-    const c = this.take();
+  ): Promise<HttpResponse> {
+    const c = this.acquire();
     let written = false;
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_, reject) => {
       timer = setTimeout(() => {
-        reject(new RequestFailed("no response in time", written));
+        reject(new RequestError("no response in time", written));
         c.close();
       }, timeoutMs);
     });
-    const exchange = async (): Promise<Reply> => {
+    const exchange = async (): Promise<HttpResponse> => {
       try {
-        await c.ready;
+        await c.connected;
       } catch (e) {
-        throw new RequestFailed((e as Error).message, false);
+        throw new RequestError((e as Error).message, false);
       }
-      if (c.closed) throw new RequestFailed("closed", false);
+      if (c.isClosed) throw new RequestError("closed", false);
       const head =
         `${method} ${path} HTTP/1.1\r\nHost: ${this.address}\r\n` +
         (body === null ? "" : `Content-Type: application/msgpack\r\n`) +
@@ -209,8 +214,8 @@
 
   /** Closes what is idle now, and what is in use once it is answered. */
   close(): void {
-    this.retired = true;
-    for (const c of this.idle) c.close();
-    this.idle = [];
+    this.isRetired = true;
+    for (const c of this.idleConnections) c.close();
+    this.idleConnections = [];
   }
 }
--- a/src/tracing.ts
+++ b/src/node/job-tracer.ts
@@ -16,14 +16,14 @@
   type Tracer,
   trace,
 } from "@opentelemetry/api";
-import type { JobSpec } from "./core/model.js";
+import type { JobSpec } from "../core/model.js";
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
-const NAME = "peatsaddle";
+const TRACER_NAME = "peatsaddle";
 
 /** The context that all spans of a job have as their parent. */
-function contextOf(jobId: string): Context {
+function jobContext(jobId: string): Context {
   const digits = createHash("sha256").update(jobId).digest("hex");
   return trace.setSpanContext(ROOT_CONTEXT, {
     traceId: digits.slice(0, TRACE_ID_DIGITS),
@@ -37,16 +37,16 @@
   private readonly tracer: Tracer;
 
   constructor(private readonly member: string) {
-    this.tracer = trace.getTracer(NAME);
+    this.tracer = trace.getTracer(TRACER_NAME);
   }
 
   /** Traces a submission until it is answered. `describe` turns its outcome into the span's attributes. */
-  async submission<T>(
+  async traceSubmission<T>(
     job: JobSpec,
     work: () => Promise<T>,
     describe: (outcome: T) => Attributes,
   ): Promise<T> {
-    const span = this.start("job.submission", job.id, SpanKind.SERVER);
+    const span = this.startSpan("job.submission", job.id, SpanKind.SERVER);
     span.setAttributes({ "job.team": job.team, "job.class": job.class, "job.tasks": job.tasks });
     try {
       const outcome = await work();
@@ -61,14 +61,14 @@
   }
 
   /** Traces the wait of a job from its submission to the moment when its first task runs. */
-  firstStart(jobId: string, submittedAtMs: number): void {
-    this.start("job.wait", jobId, SpanKind.INTERNAL, submittedAtMs).end();
+  traceFirstStart(jobId: string, submittedAtMs: number): void {
+    this.startSpan("job.wait", jobId, SpanKind.INTERNAL, submittedAtMs).end();
   }
 
-  private start(name: string, jobId: string, kind: SpanKind, startTime?: number): Span {
+  private startSpan(name: string, jobId: string, kind: SpanKind, startTime?: number): Span {
     const attributes = { "job.id": jobId, "peatsaddle.member": this.member };
     const options =
       startTime === undefined ? { kind, attributes } : { kind, attributes, startTime };
-    return this.tracer.startSpan(name, options, contextOf(jobId));
+    return this.tracer.startSpan(name, options, jobContext(jobId));
   }
 }
--- a/src/node-load.ts
+++ b/src/node/node-load.ts
@@ -2,7 +2,7 @@
  * What this node spends its time on, for operators who size it: a line in the log every few report intervals
  * (docs/operations-sizing.md).
  */
-import type { ClusterSettings } from "./core/model.js";
+import type { ClusterSettings } from "../core/model.js";
 
 /** Report intervals between two lines. */
 const LINE_INTERVALS = 5;
@@ -11,7 +11,7 @@
 export type Activity = (typeof ACTIVITIES)[number];
 
 /** How often something was done, and the seconds that it took. */
-interface Spent {
+interface ActivityTotals {
   count: number;
   seconds: number;
 }
@@ -43,7 +43,7 @@
 const rounded = (n: number): number => Math.round(n * 1000) / 1000;
 
 export class NodeLoad {
-  private readonly spent = new Map<Activity, Spent>();
+  private readonly spent = new Map<Activity, ActivityTotals>();
   private since: number;
   private cpuSince: number;
 
@@ -97,7 +97,7 @@
 }
 
 /** The load of this process. */
-export function newNodeLoad({ cpuShare, reportS }: ClusterSettings): NodeLoad {
+export function newNodeLoad({ cpuShare, heartbeatIntervalS: reportS }: ClusterSettings): NodeLoad {
   return new NodeLoad({
     now: () => performance.now() / 1000,
     cpuS: () => {
--- a/src/state/store.ts
+++ b/src/state/key-value-client.ts
@@ -1,20 +1,24 @@
 /** The state service, through its protocol. Tells apart what was not done from what may have been. */
-import { Peer, type Reply, RequestFailed } from "../net/client.js";
-import { decode, encode } from "../wire/msgpack.js";
-import { PATH } from "../wire/names.js";
+import {
+  HttpConnectionPool,
+  type HttpResponse,
+  RequestError,
+} from "../net/http-connection-pool.js";
 import {
   type Change,
-  type Condition,
-  decodeFollow,
+  type ChangeEvent,
   decodeLease,
   decodeRange,
-  decodeTxn,
-  type Event,
-  encodeTxn,
-  type Item,
-} from "../wire/state.js";
+  decodeTransactionResult,
+  decodeWatchResponse,
+  encodeTransaction,
+  type KeyValueItem,
+  type Precondition,
+} from "../wire/key-value.js";
+import { decode, encode } from "../wire/msgpack.js";
+import { PATH } from "../wire/names.js";
 
-export type TxnResult =
+export type TransactionResult =
   | { readonly kind: "ok"; readonly revision: number }
   | { readonly kind: "failed"; readonly keys: readonly string[] }
   /** Certainly not executed: over a limit, or the service is not available to us. */
@@ -22,24 +26,24 @@
   /** May have been executed, or may yet be. */
   | { readonly kind: "unknown" };
 
-export type FollowResult =
-  | { readonly kind: "ok"; readonly revision: number; readonly events: readonly Event[] }
+export type WatchResult =
+  | { readonly kind: "ok"; readonly revision: number; readonly events: readonly ChangeEvent[] }
   | { readonly kind: "compacted" }
   | { readonly kind: "failed" };
 
-export class Store {
-  private readonly peer: Peer;
-  private readonly watcher: Peer;
+export class KeyValueClient {
+  private readonly requestPool: HttpConnectionPool;
+  private readonly watchPool: HttpConnectionPool;
   /** Steady time, in seconds, at which the service last answered other than by refusing. */
-  lastAnswer = Number.NEGATIVE_INFINITY;
+  lastAnswerAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     address: string,
     private readonly now: () => number,
     private readonly timeoutMs: number,
   ) {
-    this.peer = new Peer(address, 32);
-    this.watcher = new Peer(address, 4);
+    this.requestPool = new HttpConnectionPool(address, 32);
+    this.watchPool = new HttpConnectionPool(address, 4);
   }
 
   private async call(
@@ -47,8 +51,8 @@
     path: string,
     body: unknown,
     timeoutMs = this.timeoutMs,
-    peer = this.peer,
-  ): Promise<Reply | { status: 0; sent: boolean }> {
+    peer = this.requestPool,
+  ): Promise<HttpResponse | { status: 0; sent: boolean }> {
     try {
       const r = await peer.request(
         method,
@@ -56,26 +60,29 @@
         body === undefined ? null : encode(body),
         timeoutMs,
       );
-      if (r.status < 500 && r.status !== 429) this.lastAnswer = this.now();
+      if (r.status < 500 && r.status !== 429) this.lastAnswerAt = this.now();
       return r;
     } catch (e) {
-      return { status: 0, sent: e instanceof RequestFailed ? e.sent : true };
+      return { status: 0, sent: e instanceof RequestError ? e.mayHaveArrived : true };
     }
   }
 
   /** Closes its connections; nothing is asked of it any more. */
   close(): void {
-    this.peer.close();
-    this.watcher.close();
+    this.requestPool.close();
+    this.watchPool.close();
   }
 
-  async txn(conditions: readonly Condition[], changes: readonly Change[]): Promise<TxnResult> {
-    const r = await this.call("POST", PATH.txn, encodeTxn(conditions, changes));
+  async transact(
+    conditions: readonly Precondition[],
+    changes: readonly Change[],
+  ): Promise<TransactionResult> {
+    const r = await this.call("POST", PATH.txn, encodeTransaction(conditions, changes));
     if (r.status === 0) {
       return (r as { sent: boolean }).sent ? { kind: "unknown" } : { kind: "refused", status: 0 };
     }
     if (r.status === 200 || r.status === 409) {
-      const t = decodeTxn(decode((r as Reply).body));
+      const t = decodeTransactionResult(decode((r as HttpResponse).body));
       if (t === null) return { kind: "unknown" };
       return r.status === 200
         ? { kind: "ok", revision: t.ledger }
@@ -85,8 +92,8 @@
   }
 
   /** Everything, page by page, with the revision before the first page. */
-  async readAll(): Promise<{ items: Item[]; revision: number } | null> {
-    const items: Item[] = [];
+  async readAll(): Promise<{ items: KeyValueItem[]; revision: number } | null> {
+    const items: KeyValueItem[] = [];
     let revision = -1;
     let since: string | null = null;
     for (;;) {
@@ -98,7 +105,7 @@
         3 * this.timeoutMs,
       );
       if (r.status !== 200) return null;
-      const page = decodeRange(decode((r as Reply).body));
+      const page = decodeRange(decode((r as HttpResponse).body));
       if (page === null) return null;
       if (revision < 0) revision = page.ledger;
       for (const i of page.items) items.push(i);
@@ -107,31 +114,31 @@
     }
   }
 
-  async follow(since: number, blockMs: number): Promise<FollowResult> {
+  async watch(since: number, blockMs: number): Promise<WatchResult> {
     const r = await this.call(
       "GET",
       `${PATH.follow}?prefix=&since=${since}&blockMs=${blockMs}`,
       undefined,
       blockMs + this.timeoutMs,
-      blockMs > 0 ? this.watcher : this.peer,
+      blockMs > 0 ? this.watchPool : this.requestPool,
     );
     if (r.status === 410) return { kind: "compacted" };
     if (r.status !== 200) return { kind: "failed" };
-    const f = decodeFollow(decode((r as Reply).body));
+    const f = decodeWatchResponse(decode((r as HttpResponse).body));
     return f === null ? { kind: "failed" } : { kind: "ok", revision: f.ledger, events: f.events };
   }
 
-  async grant(ttlMs: number): Promise<number | null> {
+  async grantLease(ttlMs: number): Promise<number | null> {
     const r = await this.call("POST", PATH.leases, { ttlMs: Math.round(ttlMs) });
-    return r.status === 200 ? decodeLease(decode((r as Reply).body)) : null;
+    return r.status === 200 ? decodeLease(decode((r as HttpResponse).body)) : null;
   }
 
-  async extend(lease: number): Promise<"ok" | "ended" | "failed"> {
+  async extendLease(lease: number): Promise<"ok" | "ended" | "failed"> {
     const r = await this.call("POST", `${PATH.leases}/${lease}/${PATH.extend}`, undefined);
     return r.status === 200 ? "ok" : r.status === 404 ? "ended" : "failed";
   }
 
-  async revoke(lease: number): Promise<void> {
+  async revokeLease(lease: number): Promise<void> {
     await this.call("DELETE", `${PATH.leases}/${lease}`, undefined);
   }
 }
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -1,30 +1,34 @@
 /** The one place that knows what this deployment calls things on the wire. */
-import type { ExitCause, Kind, Priority, TaskState } from "../core/model.js";
+import type { ExitCause, JobKind, Priority, TaskState } from "../core/model.js";
 
-const inverse = <V extends string>(m: Record<V, string>): Record<string, V> =>
+const invert = <V extends string>(m: Record<V, string>): Record<string, V> =>
   Object.fromEntries(Object.entries(m).map(([k, v]) => [v as string, k as V]));
 
-export const KIND: Record<Kind, string> = { array: "array", gang: "ensemble", service: "service" };
-export const KIND_IN = inverse(KIND);
+export const WIRE_KIND: Record<JobKind, string> = {
+  array: "array",
+  gang: "ensemble",
+  service: "service",
+};
+export const KIND_FROM_WIRE = invert(WIRE_KIND);
 
-export const PRIORITY: Record<Priority, string> = {
+export const WIRE_PRIORITY: Record<Priority, string> = {
   production: "production",
   high: "high",
   normal: "normal",
   low: "idle",
 };
-export const PRIORITY_IN = inverse(PRIORITY);
+export const PRIORITY_FROM_WIRE = invert(WIRE_PRIORITY);
 
-export const TASK_STATE: Record<TaskState, string> = {
+export const WIRE_TASK_STATE: Record<TaskState, string> = {
   fetching: "pulling",
   waiting: "waiting",
   running: "running",
   saving: "saving",
   exited: "ended",
 };
-export const TASK_STATE_IN = inverse(TASK_STATE);
+export const TASK_STATE_FROM_WIRE = invert(WIRE_TASK_STATE);
 
-export const CAUSE: Record<ExitCause, string> = {
+export const WIRE_EXIT_CAUSE: Record<ExitCause, string> = {
   done: "done",
   stopped: "halted",
   peers: "mates_gone",
@@ -34,10 +38,10 @@
   busy: "in_use",
   unknown: "no_such",
 };
-export const CAUSE_IN = inverse(CAUSE);
+export const EXIT_CAUSE_FROM_WIRE = invert(WIRE_EXIT_CAUSE);
 
-export const OP = { start: "run", stop: "halt", forget: "forget" } as const;
-export const OP_IN = inverse(OP);
+export const WIRE_COMMAND = { start: "run", stop: "halt", forget: "forget" } as const;
+export const COMMAND_FROM_WIRE = invert(WIRE_COMMAND);
 
 export const PATH = {
   jobs: "/api/jobs",
--- a/src/wire/schema.ts
+++ b/src/wire/schema.ts
@@ -1,25 +1,25 @@
 /** Schemas for what other programs send us, each turned into the field's terms. */
 import * as z from "zod";
-import type { Command, JobSpec, JobView, ListedMachine, MachineType } from "../core/model.js";
-import { KIND_IN, OP, OP_IN, PRIORITY_IN } from "./names.js";
-import { splitTask } from "./report.js";
+import type { JobSpec, JobView, ListedMachine, MachineType, WorkerCommand } from "../core/model.js";
+import { COMMAND_FROM_WIRE, KIND_FROM_WIRE, PRIORITY_FROM_WIRE, WIRE_COMMAND } from "./names.js";
+import { parseTaskName } from "./worker-heartbeat.js";
 
 /** Keys hold at most 200 bytes without spaces; ours put up to four characters before an id. */
-const ID_BYTES = 190;
-const IMAGE_BYTES = 512;
-export const MAX_TASKS = 100_000;
+const MAX_ID_BYTES = 190;
+const MAX_IMAGE_BYTES = 512;
+export const MAX_TASKS_PER_JOB = 100_000;
 
-export const idIsValid = (id: string): boolean =>
+export const isValidJobId = (id: string): boolean =>
   id.length > 0 &&
-  Buffer.byteLength(id) <= ID_BYTES &&
+  Buffer.byteLength(id) <= MAX_ID_BYTES &&
   /^[\x21-\x7e]+$/.test(id) &&
   !/[/?#%&]/.test(id);
 
-const id = z.string().refine(idIsValid);
+const id = z.string().refine(isValidJobId);
 const label = z
   .string()
   .min(1)
-  .refine((s) => Buffer.byteLength(s) <= ID_BYTES);
+  .refine((s) => Buffer.byteLength(s) <= MAX_ID_BYTES);
 const finite = z.number().nonnegative().finite();
 const whole = z.number().int().nonnegative();
 const choice = <V>(m: Record<string, V>) =>
@@ -29,21 +29,21 @@
     return z.NEVER;
   });
 
-const jobIn = z
+const jobSchema = z
   .object({
     nameId: id,
     herd: label,
     outfit: label,
-    gait: choice(KIND_IN),
-    rank: choice(PRIORITY_IN),
-    strides: z.number().int().min(1).max(MAX_TASKS),
+    gait: choice(KIND_FROM_WIRE),
+    rank: choice(PRIORITY_FROM_WIRE),
+    strides: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
     cpus: finite,
     cards: finite,
     memoryGb: finite,
     tack: z
       .string()
       .min(1)
-      .refine((s) => Buffer.byteLength(s) <= IMAGE_BYTES),
+      .refine((s) => Buffer.byteLength(s) <= MAX_IMAGE_BYTES),
     pullGb: finite,
     breeds: z.array(label).nullish(),
     paddock: label.nullish(),
@@ -61,7 +61,7 @@
   .refine((j) => !(j.together && j.apart && j.strides > 1));
 
 export function decodeJob(body: unknown): JobSpec | null {
-  const r = jobIn.safeParse(body);
+  const r = jobSchema.safeParse(body);
   if (!r.success) return null;
   const j = r.data;
   const after = [...new Set(j.follows ?? [])];
@@ -90,32 +90,32 @@
   };
 }
 
-export const encodeView = (v: JobView, counts: boolean): Record<string, unknown> =>
+export const encodeJobView = (v: JobView, counts: boolean): Record<string, unknown> =>
   counts
     ? { nameId: v.id, stance: v.state, done: v.done, running: v.running }
     : { nameId: v.id, stance: v.state };
 
-const encodeCommand = (c: Command): Record<string, unknown> => {
-  const base = { call: OP[c.op], stride: `${c.job}/${c.task}`, mounting: c.attempt };
+const encodeCommand = (c: WorkerCommand): Record<string, unknown> => {
+  const base = { call: WIRE_COMMAND[c.op], stride: `${c.job}/${c.task}`, mounting: c.attempt };
   return c.op === "stop" ? { ...base, easeS: c.graceS } : base;
 };
 
 export const encodeCommands = (
   token: number,
   session: number | null,
-  commands: readonly Command[],
+  commands: readonly WorkerCommand[],
 ): Record<string, unknown> => ({
   rein: token,
   ...(session === null ? {} : { stint: session }),
   calls: commands.map(encodeCommand),
 });
 
-const commandsIn = z.object({
+const commandsSchema = z.object({
   rein: whole,
   stint: whole.nullish(),
   calls: z.array(
     z.object({
-      call: choice(OP_IN),
+      call: choice(COMMAND_FROM_WIRE),
       stride: z.string(),
       mounting: whole,
       easeS: finite.nullish(),
@@ -126,12 +126,12 @@
 /** What a worker reads, for the stand-in. */
 export function decodeCommands(
   body: unknown,
-): { token: number; session: number | null; commands: Command[] } | null {
-  const r = commandsIn.safeParse(body);
+): { token: number; session: number | null; commands: WorkerCommand[] } | null {
+  const r = commandsSchema.safeParse(body);
   if (!r.success) return null;
-  const commands: Command[] = [];
+  const commands: WorkerCommand[] = [];
   for (const c of r.data.calls) {
-    const at = splitTask(c.stride);
+    const at = parseTaskName(c.stride);
     if (at === null) return null;
     const base = { ...at, attempt: c.mounting };
     commands.push(
@@ -144,7 +144,7 @@
 export const encodeRedirect = (leader: string | null): Record<string, unknown> =>
   leader === null ? {} : { groom: leader };
 
-const catalogIn = z.object({
+const catalogSchema = z.object({
   breeds: z.array(
     z
       .object({
@@ -177,20 +177,21 @@
 });
 
 export function decodeCatalog(body: unknown): MachineType[] | null {
-  const r = catalogIn.safeParse(body);
+  const r = catalogSchema.safeParse(body);
   return r.success ? r.data.breeds : null;
 }
 
-const listIn = z.object({ mounts: z.array(z.unknown()), more: z.boolean().nullish() });
-const LISTED = new Set<unknown>(["booting", "running", "failed"]);
+const machineListSchema = z.object({ mounts: z.array(z.unknown()), more: z.boolean().nullish() });
+const LISTED_STATES = new Set<unknown>(["booting", "running", "failed"]);
 
 /** Lists of many hundred machines come every few seconds, so they are read as tasks are. */
-function machineIn(m: unknown): ListedMachine | null {
+function decodeListedMachine(m: unknown): ListedMachine | null {
   if (typeof m !== "object" || m === null) return null;
   const { nameId, address, breed, paddock, loaners, stance, ageS } = m as Record<string, unknown>;
   if (typeof nameId !== "string" || typeof breed !== "string" || typeof paddock !== "string")
     return null;
-  if (typeof loaners !== "boolean" || typeof ageS !== "number" || !LISTED.has(stance)) return null;
+  if (typeof loaners !== "boolean" || typeof ageS !== "number" || !LISTED_STATES.has(stance))
+    return null;
   return {
     name: nameId,
     address: typeof address === "string" ? address : "",
@@ -202,25 +203,27 @@
   };
 }
 
-export function decodeMachines(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
-  const r = listIn.safeParse(body);
+export function decodeMachineList(
+  body: unknown,
+): { machines: ListedMachine[]; more: boolean } | null {
+  const r = machineListSchema.safeParse(body);
   if (!r.success) return null;
   const machines: ListedMachine[] = [];
   for (const x of r.data.mounts) {
-    const m = machineIn(x);
+    const m = decodeListedMachine(x);
     if (m === null) return null;
     machines.push(m);
   }
   return { machines, more: r.data.more ?? false };
 }
 
-const rentedIn = z.object({ mounts: z.array(z.string()) });
-export function decodeRented(body: unknown): string[] | null {
-  const r = rentedIn.safeParse(body);
+const provisionedSchema = z.object({ mounts: z.array(z.string()) });
+export function decodeProvisionedMachines(body: unknown): string[] | null {
+  const r = provisionedSchema.safeParse(body);
   return r.success ? r.data.mounts : null;
 }
 
-export const encodeRent = (
+export const encodeScaleOut = (
   name: string,
   type: string,
   zone: string,
@@ -233,4 +236,4 @@
   loaners: spot,
   howMany: count,
 });
-export const encodeReturn = (machines: readonly string[]) => ({ mounts: machines });
+export const encodeRelease = (machines: readonly string[]) => ({ mounts: machines });
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -6,7 +6,7 @@
 const amount = z.number().nonnegative();
 const positive = z.number().positive();
 
-const schema = z.object({
+const settingsSchema = z.object({
   member: z.string().min(1),
   location: z.string().min(1),
   serve_on: address,
@@ -65,31 +65,31 @@
   }),
 });
 
-export interface Sibling {
+export interface PeerNode {
   readonly member: string;
   readonly zone: string;
   readonly address: string;
 }
-export interface Settings {
+export interface NodeSettings {
   readonly member: string;
   readonly zone: string;
-  readonly serveOn: string;
-  readonly meshAddress: string;
-  readonly siblings: readonly Sibling[];
-  readonly cloud: string;
-  readonly state: string;
+  readonly listenAddress: string;
+  readonly peerAddress: string;
+  readonly peers: readonly PeerNode[];
+  readonly cloudAddress: string;
+  readonly stateServiceAddress: string;
   readonly cluster: ClusterSettings;
 }
 
 /** Either the settings or one line a fault, each naming its field. */
-export function decodeSettings(text: string): { settings: Settings } | { faults: string[] } {
+export function decodeSettings(text: string): { settings: NodeSettings } | { faults: string[] } {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
   } catch (e) {
     return { faults: [`(file): not JSON: ${(e as Error).message}`] };
   }
-  const r = schema.safeParse(raw);
+  const r = settingsSchema.safeParse(raw);
   if (!r.success) {
     return { faults: r.error.issues.map((i) => `${i.path.join(".") || "(file)"}: ${i.message}`) };
   }
@@ -99,11 +99,11 @@
     settings: {
       member: s.member,
       zone: s.location,
-      serveOn: s.serve_on,
-      meshAddress: s.mesh_addr,
-      siblings: s.siblings.map((x) => ({ member: x.member, zone: x.location, address: x.addr })),
-      cloud: s.services.cloud,
-      state: s.services.state,
+      listenAddress: s.serve_on,
+      peerAddress: s.mesh_addr,
+      peers: s.siblings.map((x) => ({ member: x.member, zone: x.location, address: x.addr })),
+      cloudAddress: s.services.cloud,
+      stateServiceAddress: s.services.state,
       cluster: {
         nodes: c.nodes,
         zones: c.zones,
@@ -120,7 +120,7 @@
           withinS: o.within_s ?? null,
           share: o.share,
         })),
-        reportS: c.workers.report_s,
+        heartbeatIntervalS: c.workers.report_s,
         leaseS: c.workers.lease_s,
         gangWaitS: c.workers.gang_wait_s,
         gangPeerS: c.workers.gang_peer_s,
