--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -3,43 +3,43 @@
  * sockets that this node may have: every worker holds one of its own to us besides.
  */
 
-import type { Command, Report } from "../core/model.js";
-import type { SendOutcome } from "../core/outputs.js";
-import { Peer, RequestFailed } from "../net/client.js";
+import type { CommandOutcome } from "../core/effects.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../core/model.js";
+import { HttpConnectionPool, RequestError } from "../net/http-connection-pool.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
-import { decodeReport } from "../wire/report.js";
 import { encodeCommands } from "../wire/schema.js";
+import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
 
-export class Workers {
-  private readonly peers = new Map<string, Peer>();
+export class WorkerClient {
+  private readonly pools = new Map<string, HttpConnectionPool>();
 
   constructor(
     private readonly timeoutMs: number,
-    private maxKept: number,
+    private maxConnections: number,
   ) {}
 
   /** So many connections are kept from now on; those not used for longest go first. */
-  keepAtMost(n: number): void {
-    this.maxKept = n;
-    this.trim();
+  setMaxConnections(n: number): void {
+    this.maxConnections = n;
+    this.closeLeastRecentlyUsed();
   }
 
-  private trim(): void {
-    while (this.peers.size > this.maxKept) {
-      const [oldest, peer] = this.peers.entries().next().value!;
+  private closeLeastRecentlyUsed(): void {
+    while (this.pools.size > this.maxConnections) {
+      const [oldest, peer] = this.pools.entries().next().value!;
       peer.close();
-      this.peers.delete(oldest);
+      this.pools.delete(oldest);
     }
   }
 
-  private peer(address: string): Peer {
-    let p = this.peers.get(address);
+  private poolFor(address: string): HttpConnectionPool {
+    let p = this.pools.get(address);
     // The map is kept in order of use.
-    if (p !== undefined) this.peers.delete(address);
-    p ??= new Peer(address, 2);
-    this.peers.set(address, p);
-    this.trim();
+    if (p !== undefined) this.pools.delete(address);
+    p ??= new HttpConnectionPool(address, 2);
+    this.pools.set(address, p);
+    this.closeLeastRecentlyUsed();
     return p;
   }
 
@@ -47,34 +47,35 @@
     address: string,
     token: number,
     session: number,
-    commands: readonly Command[],
-  ): Promise<SendOutcome> {
+    commands: readonly WorkerCommand[],
+  ): Promise<CommandOutcome> {
     try {
       const body = encode(encodeCommands(token, session, commands));
-      const r = await this.peer(address).request("POST", PATH.commands, body, this.timeoutMs);
-      const report = r.status === 200 || r.status === 409 ? decodeReport(decode(r.body)) : null;
+      const r = await this.poolFor(address).request("POST", PATH.commands, body, this.timeoutMs);
+      const report =
+        r.status === 200 || r.status === 409 ? decodeWorkerHeartbeat(decode(r.body)) : null;
       if (report === null) return { kind: "lost", sent: r.status !== 400 };
       return { kind: "answer", executed: r.status === 200, report };
     } catch (e) {
-      return { kind: "lost", sent: e instanceof RequestFailed ? e.sent : true };
+      return { kind: "lost", sent: e instanceof RequestError ? e.mayHaveArrived : true };
     }
   }
 
-  async show(address: string): Promise<Report | null> {
+  async probe(address: string): Promise<WorkerHeartbeat | null> {
     try {
-      const r = await this.peer(address).request("GET", PATH.show, null, this.timeoutMs);
-      return r.status === 200 ? decodeReport(decode(r.body)) : null;
+      const r = await this.poolFor(address).request("GET", PATH.show, null, this.timeoutMs);
+      return r.status === 200 ? decodeWorkerHeartbeat(decode(r.body)) : null;
     } catch {
       return null;
     }
   }
 
   /** Drops connections to machines that are no more. */
-  keepOnly(addresses: ReadonlySet<string>): void {
-    for (const [address, peer] of this.peers) {
+  closeAllExcept(addresses: ReadonlySet<string>): void {
+    for (const [address, peer] of this.pools) {
       if (addresses.has(address)) continue;
       peer.close();
-      this.peers.delete(address);
+      this.pools.delete(address);
     }
   }
 }
--- a/src/workers/sockets.ts
+++ b/src/workers/sockets.ts
@@ -4,7 +4,7 @@
  * what is being closed. (A fixed fifth of the sockets left none for users when there were half as many
  * machines again.)
  */
-export function workerSockets(sockets: number, machines: number): number {
+export function maxWorkerConnections(sockets: number, machines: number): number {
   const left = (5 / 6) * sockets - 1.05 * machines;
   return Math.floor(Math.max(sockets / 40, 4, Math.min(left, sockets / 2)));
 }
--- a/tests/admission-model.ts
+++ b/tests/admission-model.ts
@@ -7,7 +7,6 @@
   ADMISSION_KEY,
   AdmissionReplica,
   type AdmissionWindow,
-  amountsOf,
   ClaimBatch,
   chargedClass,
   decodeWindow,
@@ -19,23 +18,24 @@
   laneOf,
   limits,
   RejectionLog,
+  resourcesOf,
 } from "../src/admission/index.js";
 import type { JobSpec } from "../src/core/model.js";
-import { KEY, type StoredJob } from "../src/core/records.js";
-import type { Change, Condition } from "../src/wire/state.js";
+import { KEY, type StoredJob } from "../src/core/state/state-replica.js";
+import type { Change, Precondition } from "../src/wire/key-value.js";
 import { compareDecisionLogs } from "./decision-logs.js";
-import { SimulatedStore } from "./simulated-store.js";
+import { SimulatedKeyValueStore } from "./support/simulated-key-value-store.js";
 
 /** What becomes of a transaction: answered, carried out without an answer, or carried out later or never. */
-export type Fate = "answered" | "answer lost" | "late";
+export type TransactionFate = "answered" | "answer lost" | "late";
 
 /** Faults put in on purpose, to see that the checks find them. */
-export interface Broken {
-  readonly ledgerNotInConditions?: boolean;
+export interface InjectedFaults {
+  readonly omitsLedgerPreconditions?: boolean;
   readonly rejectsWithoutReading?: boolean;
-  readonly claimsNotStored?: boolean;
-  readonly windowNotInConditions?: boolean;
-  readonly appliesInAnyOrder?: boolean;
+  readonly omitsClaims?: boolean;
+  readonly omitsWindowPrecondition?: boolean;
+  readonly appliesOutOfOrder?: boolean;
 }
 
 interface Node {
@@ -46,25 +46,28 @@
   sequence: number;
 }
 
-interface Late {
-  readonly conditions: readonly Condition[];
+interface DelayedTransaction {
+  readonly conditions: readonly Precondition[];
   readonly changes: readonly Change[];
 }
 
-const ROUNDS = 4;
+const MAX_ATTEMPTS = 4;
 const REJECTION_BYTES = 300;
 
 export class AdmissionModel {
-  readonly store = new SimulatedStore();
+  readonly store = new SimulatedKeyValueStore();
   readonly nodes: Node[];
   /** What users were told, in order. */
-  readonly told: { readonly job: string; readonly accepted: boolean; readonly window: string }[] =
-    [];
-  private readonly late: Late[] = [];
+  readonly answers: {
+    readonly job: string;
+    readonly accepted: boolean;
+    readonly window: string;
+  }[] = [];
+  private readonly delayed: DelayedTransaction[] = [];
 
   constructor(
     nodes: number,
-    private readonly broken: Broken = {},
+    private readonly injected: InjectedFaults = {},
   ) {
     this.nodes = Array.from({ length: nodes }, (_, i) => ({
       name: `n${i}`,
@@ -73,43 +76,43 @@
       rejections: new RejectionLog(`n${i}`, REJECTION_BYTES),
       sequence: 0,
     }));
-    this.takeTerm();
+    this.acquireLeadership();
     for (const n of this.nodes) n.log.push(...n.replica.reset([], 0));
   }
 
-  takeTerm(): void {
-    const n = this.store.records.epoch.value.n + 1;
-    const condition = { key: KEY.epoch, mark: this.store.records.epoch.mark };
+  acquireLeadership(): void {
+    const n = this.store.replica.epoch.value.n + 1;
+    const condition = { key: KEY.epoch, modRevision: this.store.replica.epoch.modRevision };
     assert.ok(this.store.commit([condition], [{ op: "put", key: KEY.epoch, value: { n } }]));
   }
 
   read(i: number): void {
     const node = this.nodes[i]!;
     const events = this.store.changesSince(node.replica.revision);
-    const given = this.broken.appliesInAnyOrder && i === 1 ? [...events].reverse() : events;
+    const given = this.injected.appliesOutOfOrder && i === 1 ? [...events].reverse() : events;
     node.log.push(...node.replica.apply(given, this.store.revision));
   }
 
-  private get stored(): { window: AdmissionWindow | null; mark: number } {
+  private get storedWindow(): { window: AdmissionWindow | null; mark: number } {
     const item = this.store.items().find((x) => x.key === ADMISSION_KEY.window);
-    return { window: decodeWindow(item?.value), mark: item?.mark ?? 0 };
+    return { window: decodeWindow(item?.value), mark: item?.modRevision ?? 0 };
   }
 
   /** The leader stores a window, whose version follows on the stored one's. */
   writeWindow(make: (version: number, epoch: number) => AdmissionWindow): void {
-    const { window, mark } = this.stored;
-    const { value, mark: epochMark } = this.store.records.epoch;
+    const { window, mark } = this.storedWindow;
+    const { value, modRevision: epochMark } = this.store.replica.epoch;
     const next = make((window?.version ?? 0) + 1, value.n);
     const conditions = [
-      { key: KEY.epoch, mark: epochMark },
-      { key: ADMISSION_KEY.window, mark },
+      { key: KEY.epoch, modRevision: epochMark },
+      { key: ADMISSION_KEY.window, modRevision: mark },
     ];
     const change: Change = { op: "put", key: ADMISSION_KEY.window, value: encodeWindow(next) };
     assert.ok(this.store.commit(conditions, [change]));
   }
 
-  private known(job: JobSpec): boolean {
-    return this.store.records.view(job.id) !== null;
+  private isKnown(job: JobSpec): boolean {
+    return this.store.replica.view(job.id) !== null;
   }
 
   /** A node's process ends and is back: it reads everything as a whole. */
@@ -121,47 +124,58 @@
   }
 
   /** A user submits at a node, which answers at once, or gives no certain answer. */
-  submit(i: number, job: JobSpec, fate: Fate): "accepted" | "rejected" | "uncertain" {
+  submit(i: number, job: JobSpec, fate: TransactionFate): "accepted" | "rejected" | "uncertain" {
     const { replica, rejections } = this.nodes[i]!;
-    for (let round = 0; round < ROUNDS; round++) {
+    for (let round = 0; round < MAX_ATTEMPTS; round++) {
       if (!replica.decide(job).admitted) {
-        if (!this.broken.rejectsWithoutReading) {
+        if (!this.injected.rejectsWithoutReading) {
           this.read(i);
-          if (this.known(job)) return this.tell(i, job, true);
+          if (this.isKnown(job)) return this.recordAnswer(i, job, true);
         }
         if (!replica.decide(job).admitted) {
-          rejections.add(replica.version, job);
-          return this.tell(i, job, false);
+          rejections.add(replica.windowVersion, job);
+          return this.recordAnswer(i, job, false);
         }
       }
-      const outcome = this.write(i, job, fate);
-      if (outcome === "ok") return this.tell(i, job, true);
+      const outcome = this.writeSubmission(i, job, fate);
+      if (outcome === "ok") return this.recordAnswer(i, job, true);
       if (outcome === "uncertain") return "uncertain";
       this.read(i);
-      if (this.known(job)) return this.tell(i, job, true);
+      if (this.isKnown(job)) return this.recordAnswer(i, job, true);
     }
     return "uncertain";
   }
 
-  private tell(i: number, job: JobSpec, accepted: boolean): "accepted" | "rejected" {
+  private recordAnswer(i: number, job: JobSpec, accepted: boolean): "accepted" | "rejected" {
     const { replica } = this.nodes[i]!;
-    this.told.push({ job: job.id, accepted, window: `${replica.version}/${replica.epoch}` });
+    this.answers.push({
+      job: job.id,
+      accepted,
+      window: `${replica.windowVersion}/${replica.epoch}`,
+    });
     return accepted ? "accepted" : "rejected";
   }
 
-  private write(i: number, job: JobSpec, fate: Fate): "ok" | "failed" | "uncertain" {
+  private writeSubmission(
+    i: number,
+    job: JobSpec,
+    fate: TransactionFate,
+  ): "ok" | "failed" | "uncertain" {
     const batch = new ClaimBatch(this.nodes[i]!.replica);
-    assert.ok(batch.admit(job));
+    assert.ok(batch.tryAdmit(job));
     const value: StoredJob = { j: job, at: 0, r: [], v: 1, n: 1, o: 0, done: "", pl: [] };
-    const own = [KEY.live(job.id), KEY.final(job.id)].map((key) => ({ key, mark: 0 }));
-    const conditions = [...own, ...batch.conditions].filter((c) => {
-      if (this.broken.ledgerNotInConditions && c.key.startsWith("a/t/")) return false;
-      return !(this.broken.windowNotInConditions && c.key === ADMISSION_KEY.window);
+    const own = [KEY.activeJob(job.id), KEY.finalRecord(job.id)].map((key) => ({
+      key,
+      modRevision: 0,
+    }));
+    const conditions = [...own, ...batch.preconditions].filter((c) => {
+      if (this.injected.omitsLedgerPreconditions && c.key.startsWith("a/t/")) return false;
+      return !(this.injected.omitsWindowPrecondition && c.key === ADMISSION_KEY.window);
     });
-    const claims = this.broken.claimsNotStored ? [] : batch.changes;
-    const changes: Change[] = [{ op: "put", key: KEY.live(job.id), value }, ...claims];
+    const claims = this.injected.omitsClaims ? [] : batch.changes;
+    const changes: Change[] = [{ op: "put", key: KEY.activeJob(job.id), value }, ...claims];
     if (fate === "late") {
-      this.late.push({ conditions, changes });
+      this.delayed.push({ conditions, changes });
       return "uncertain";
     }
     const done = this.store.commit(conditions, changes);
@@ -170,20 +184,20 @@
   }
 
   /** Some late transaction arrives. */
-  arrive(which: number): void {
-    if (this.late.length === 0) return;
-    const [late] = this.late.splice(which % this.late.length, 1);
+  deliverDelayed(which: number): void {
+    if (this.delayed.length === 0) return;
+    const [late] = this.delayed.splice(which % this.delayed.length, 1);
     this.store.commit(late!.conditions, late!.changes);
   }
 
   /** A node stores what it refused. */
-  flush(i: number): void {
+  flushRejections(i: number): void {
     const node = this.nodes[i]!;
-    const record = node.rejections.next(++node.sequence);
+    const record = node.rejections.nextRecord(++node.sequence);
     if (record === null) return;
     const key = ADMISSION_KEY.rejections(node.name);
     this.store.commit([], [{ op: "put", key, value: encodeRejections(record) }]);
-    node.rejections.stored();
+    node.rejections.markStored();
   }
 
   // ---------------------------------------------------------------- checks
@@ -214,7 +228,7 @@
   private checkAnswers(): void {
     const accepted = new Set<string>();
     const refusedIn = new Set<string>();
-    for (const { job, accepted: yes, window } of this.told) {
+    for (const { job, accepted: yes, window } of this.answers) {
       if (yes) accepted.add(job);
       else assert.ok(!accepted.has(job), `${job} was accepted and is refused`);
       if (!yes) refusedIn.add(`${job} in ${window}`);
@@ -252,7 +266,7 @@
       const before = used.get(key) ?? 0;
       const grant = grantFor(window, job.team, job.class)?.lanes[lane] ?? 0;
       assert.ok(before < grant, `${key}: ${before} of ${grant} was used before ${job.id}`);
-      const claim = Math.max(1, dominantShare(amountsOf(job, job.tasks), window.capacity));
+      const claim = Math.max(1, dominantShare(resourcesOf(job, job.tasks), window.capacity));
       used.set(key, before + claim);
     }
   }
--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -6,13 +6,13 @@
 import assert from "node:assert/strict";
 import { build, type Histogram } from "hdr-histogram-js";
 import { decodeLedger, decodeWindow } from "../src/admission/index.js";
-import { BEGIN_S } from "../src/core/model.js";
+import { START_BOUND_S } from "../src/core/model.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeJob } from "../src/wire/schema.js";
 import { compareDecisionLogs } from "./decision-logs.js";
-import { jobBody } from "./helpers.js";
-import { eventually, ProcessSite } from "./process-site.js";
-import { sleep } from "./site.js";
+import { jobBody } from "./support/helpers.js";
+import { sleepSeconds } from "./support/in-process-cluster.js";
+import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
 
 const NODES = 3;
 const WORKERS = 8;
@@ -86,7 +86,7 @@
   private writes = 0;
 
   private constructor(
-    private readonly site: ProcessSite,
+    private readonly site: MultiProcessCluster,
     private readonly seconds: number,
   ) {
     for (const load of LOADS) {
@@ -103,13 +103,13 @@
 
   static async run(seconds: number): Promise<OverloadReport> {
     let overload: Overload | null = null;
-    const site = await ProcessSite.open({
+    const site = await MultiProcessCluster.open({
       taskMs: () => TASK_S * 1000,
-      operator: OPERATOR,
+      operatorIni: OPERATOR,
       workers: WORKERS,
       teams: LOADS.map((l) => ({ name: l.team, cpus: l.guaranteed })),
-      line: (node, line) => overload?.noteLine(node, line),
-      ended: (task, cause) => {
+      onLogLine: (node, line) => overload?.noteLine(node, line),
+      onTaskExit: (task, cause) => {
         if (cause === "done") overload?.noteDone(task);
       },
     });
@@ -140,9 +140,9 @@
 
   private async play(): Promise<OverloadReport> {
     const { site } = this;
-    for (let i = 0; i < NODES; i++) site.start(i);
-    for (let i = 0; i < NODES; i++) await site.healthy(i);
-    await eventually("somebody leads", () => site.leader() >= 0);
+    for (let i = 0; i < NODES; i++) site.startNode(i);
+    for (let i = 0; i < NODES; i++) await site.awaitHealthy(i);
+    await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
     this.began = performance.now() / 1000;
     const before = this.changes();
     const users = LOADS.map((load) => this.submitAll(load));
@@ -152,18 +152,18 @@
     // What was accepted gets its answer; repeated submissions of it meet the known job at every node.
     for (const [n, id] of [...this.accepted.keys()].entries()) {
       if (n % 20 !== 0) continue;
-      await eventually(`${id} is done`, async () => {
-        return (await site.query(n % NODES, id)).state === "done";
+      await waitUntil(`${id} is done`, async () => {
+        return (await site.queryJob(n % NODES, id)).state === "done";
       });
-      const again = await site.submit(n % NODES, id, {});
+      const again = await site.submitJob(n % NODES, id, {});
       if (again.status !== 200) this.faults.push(`${id} is accepted and answered ${again.status}`);
     }
-    await sleep(2);
+    await sleepSeconds(2);
     return this.report();
   }
 
   private changes(): number {
-    return [...this.site.state.changes.values()].reduce((sum, n) => sum + n, 0);
+    return [...this.site.stateService.changeCounts.values()].reduce((sum, n) => sum + n, 0);
   }
 
   /** A tenth of the time each, with as much between them: no leader, a node that stands still, no state service. */
@@ -171,30 +171,30 @@
     const { site } = this;
     const spell = Math.min(20, this.seconds / 10);
     const trouble = async (begin: () => () => void): Promise<void> => {
-      await sleep(this.seconds / 6);
+      await sleepSeconds(this.seconds / 6);
       const from = this.now();
       const end = begin();
-      await sleep(spell);
+      await sleepSeconds(spell);
       end();
       this.troubles.push({ from, to: this.now() + RECOVERY_S });
     };
     await trouble(() => {
-      const leader = site.leader();
-      site.replace(leader);
+      const leader = site.leaderIndex();
+      site.replaceNode(leader);
       return () => {};
     });
     await trouble(() => {
-      const paused = (site.leader() + 1) % NODES;
-      site.signal(paused, "SIGSTOP");
-      return () => site.signal(paused, "SIGCONT");
+      const paused = (site.leaderIndex() + 1) % NODES;
+      site.signalNode(paused, "SIGSTOP");
+      return () => site.signalNode(paused, "SIGCONT");
     });
     await trouble(() => {
-      site.state.out = true;
+      site.stateService.isUnavailable = true;
       return () => {
-        site.state.out = false;
+        site.stateService.isUnavailable = false;
       };
     });
-    await sleep(Math.max(0, this.seconds - this.now()));
+    await sleepSeconds(Math.max(0, this.seconds - this.now()));
   }
 
   private async submitAll(load: Load): Promise<void> {
@@ -203,7 +203,7 @@
     for (let n = 0; ; n++) {
       const at = n / perSecond;
       if (at >= this.seconds) break;
-      await sleep(Math.max(0, at - this.now()));
+      await sleepSeconds(Math.max(0, at - this.now()));
       users.push(this.user(load, `${load.class}-${n}`, n));
     }
     await Promise.all(users);
@@ -223,7 +223,7 @@
       rideS: TASK_S,
       memoryGb: 0.1,
     });
-    this.site.rules.submitted(decodeJob(body)!);
+    this.site.ruleChecker.jobSubmitted(decodeJob(body)!);
     const began = this.now();
     for (let round = n; this.now() - began < PATIENCE_S && this.now() < this.seconds; round++) {
       const waitS = await this.attempt(round % NODES, id, body);
@@ -233,7 +233,7 @@
         figures.longestAdmissionS = Math.max(figures.longestAdmissionS, this.now() - began);
         return;
       }
-      await sleep(waitS);
+      await sleepSeconds(waitS);
     }
     figures.givenUp++;
   }
@@ -241,14 +241,17 @@
   /** Null: it is accepted; otherwise, seconds until the next try. */
   private async attempt(i: number, id: string, body: unknown): Promise<number | null> {
     const sent = performance.now();
-    const reply = await this.site.peers[i]!.request("POST", "/api/jobs", encode(body), 5000).catch(
-      () => null,
-    );
+    const reply = await this.site.connections[i]!.request(
+      "POST",
+      "/api/jobs",
+      encode(body),
+      5000,
+    ).catch(() => null);
     if (reply === null) return 1;
     this.answers.recordValue(Math.max(1, Math.round(performance.now() - sent)));
     if (reply.status === 200 || reply.status === 201) {
       const { stance } = decode(reply.body) as { stance?: string };
-      this.site.rules.answered(id, reply.status, stance);
+      this.site.ruleChecker.answerReceived(id, reply.status, stance);
       return null;
     }
     if (reply.status !== 429 && reply.status !== 503) this.faults.push(`${id}: ${reply.status}`);
@@ -288,7 +291,7 @@
         max: this.answers.maxValue,
       },
       classes,
-      faults: [...this.faults, ...this.site.rules.faults],
+      faults: [...this.faults, ...this.site.ruleChecker.violations],
     };
   }
 
@@ -305,10 +308,10 @@
 
   /** No ledger went beyond its window's grant by more than one job. Returns how many windows there were. */
   private checkWindows(): number {
-    const history = this.site.state.history;
+    const history = this.site.stateService.history;
     let window = null as ReturnType<typeof decodeWindow>;
     let windows = 0;
-    for (const { key, data } of history) {
+    for (const { key, value: data } of history) {
       if (key === "a/w") {
         window = decodeWindow(data);
         windows++;
@@ -346,7 +349,7 @@
     assert.ok(c.cpus >= 0.8 * guaranteed, `${name}: ${c.cpus} of ${guaranteed} CPUs`);
     assert.ok(c.accepted > 0, `${name} is shut out`);
     // Any job begins within the users' bound: in less time a gang of half the cluster need not have begun.
-    const begins = report.seconds < BEGIN_S || c.cpus > 0.01 * used;
+    const begins = report.seconds < START_BOUND_S || c.cpus > 0.01 * used;
     assert.ok(begins, `${name} starves: ${c.cpus} CPUs`);
     assert.ok(c.longestAdmissionS <= PATIENCE_S, `${name}: ${c.longestAdmissionS} s`);
   }
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -8,11 +8,11 @@
   decide,
   openWindow,
   UNLIMITED,
-  WHOLE,
+  WHOLE_SHARE,
 } from "../src/admission/index.js";
 import type { JobSpec } from "../src/core/model.js";
-import { AdmissionModel, type Broken, type Fate } from "./admission-model.js";
-import { spec } from "./helpers.js";
+import { AdmissionModel, type InjectedFaults, type TransactionFate } from "./admission-model.js";
+import { jobSpec } from "./support/helpers.js";
 
 const NODES = 3;
 const TEAMS = ["bookings", "guest"];
@@ -20,7 +20,12 @@
 const CAPACITY = { cpus: 100, gpus: 0, memoryGb: 1000 };
 
 type Action =
-  | { readonly kind: "submit"; readonly node: number; readonly job: number; readonly fate: Fate }
+  | {
+      readonly kind: "submit";
+      readonly node: number;
+      readonly job: number;
+      readonly fate: TransactionFate;
+    }
   | { readonly kind: "read"; readonly node: number }
   | { readonly kind: "flush"; readonly node: number }
   | { readonly kind: "restart"; readonly node: number }
@@ -30,7 +35,13 @@
   | { readonly kind: "open" };
 
 const node = fc.integer({ min: 0, max: NODES - 1 });
-const fate = fc.constantFrom<Fate>("answered", "answered", "answered", "answer lost", "late");
+const fate = fc.constantFrom<TransactionFate>(
+  "answered",
+  "answered",
+  "answered",
+  "answer lost",
+  "late",
+);
 const action: fc.Arbitrary<Action> = fc.oneof(
   {
     weight: 12,
@@ -52,7 +63,7 @@
 
 /** Job n always has the same team, class and size. */
 const job = (n: number): JobSpec =>
-  spec(`job-${n}`, {
+  jobSpec(`job-${n}`, {
     team: TEAMS[n % 2]!,
     class: CLASSES[(n >> 1) % 2]!,
     tasks: 1 + (n % 5),
@@ -67,21 +78,21 @@
     mode: "limited",
     capacity: CAPACITY,
     grants: named.map((g, i) => {
-      const units = (grants[i]! * WHOLE) / 100;
+      const units = (grants[i]! * WHOLE_SHARE) / 100;
       return { ...g, lanes: { new: units, follower: Math.max(1, units) } };
     }),
     periods: [],
   };
 }
 
-function play(actions: readonly Action[], broken: Broken = {}): AdmissionModel {
+function play(actions: readonly Action[], broken: InjectedFaults = {}): AdmissionModel {
   const model = new AdmissionModel(NODES, broken);
   for (const a of actions) {
     if (a.kind === "submit") model.submit(a.node, job(a.job), a.fate);
     else if (a.kind === "read") model.read(a.node);
-    else if (a.kind === "flush") model.flush(a.node);
-    else if (a.kind === "arrive") model.arrive(a.which);
-    else if (a.kind === "term") model.takeTerm();
+    else if (a.kind === "flush") model.flushRejections(a.node);
+    else if (a.kind === "arrive") model.deliverDelayed(a.which);
+    else if (a.kind === "term") model.acquireLeadership();
     else if (a.kind === "restart") model.restart(a.node);
     else if (a.kind === "open")
       model.writeWindow((version, epoch) => openWindow({ version, epoch }));
@@ -90,7 +101,7 @@
   return model;
 }
 
-const property = (broken: Broken) =>
+const property = (broken: InjectedFaults) =>
   fc.property(fc.array(action, { minLength: 20, maxLength: 120 }), (actions) =>
     play(actions, broken).check(),
   );
@@ -99,12 +110,12 @@
   fc.assert(property({}), { numRuns: 1500, seed: 29 });
 });
 
-const FAULTS: Record<keyof Broken, RegExp> = {
-  ledgerNotInConditions: /was used before/,
+const FAULTS: Record<keyof InjectedFaults, RegExp> = {
+  omitsLedgerPreconditions: /was used before/,
   rejectsWithoutReading: /two answers|is refused/,
-  claimsNotStored: /was used before/,
-  windowNotInConditions: /was used before|two answers/,
-  appliesInAnyOrder: /revision \d+|n1/,
+  omitsClaims: /was used before/,
+  omitsWindowPrecondition: /was used before|two answers/,
+  appliesOutOfOrder: /revision \d+|n1/,
 };
 for (const [fault, expected] of Object.entries(FAULTS)) {
   test(`the checks find a reducer that is broken: ${fault}`, () => {
@@ -131,7 +142,7 @@
 test("two controllers see one burst a moment apart, in different orders", () => {
   const model = limited(3);
   const burst = Array.from({ length: 20 }, (_, n) =>
-    spec(`burst-${n}`, { team: "guest", class: "flood" }),
+    jobSpec(`burst-${n}`, { team: "guest", class: "flood" }),
   );
   const answers = new Map<string, string[]>();
   for (const [i, jobs] of [burst, [...burst].reverse()].entries()) {
@@ -148,12 +159,12 @@
   const model = limited(5);
   const before = model.store.revision;
   for (let n = 0; n < 10_000; n++) {
-    model.submit(n % NODES, spec(`flood-${n}`, { team: "guest", class: "flood" }), "answered");
+    model.submit(n % NODES, jobSpec(`flood-${n}`, { team: "guest", class: "flood" }), "answered");
   }
-  for (let i = 0; i < NODES; i++) model.flush(i);
+  for (let i = 0; i < NODES; i++) model.flushRejections(i);
   assert.ok(model.store.revision - before <= 5 + NODES, `${model.store.revision - before} writes`);
   assert.equal(
-    model.submit(0, spec("web-1", { team: "bookings", class: "web" }), "answered"),
+    model.submit(0, jobSpec("web-1", { team: "bookings", class: "web" }), "answered"),
     "accepted",
   );
   for (let i = 0; i < NODES; i++) model.read(i);
@@ -165,46 +176,52 @@
 
 test("the same job at three controllers before any has read of it is stored and charged once", () => {
   const model = limited(1);
-  const same = spec("same", { team: "guest", class: "flood", tasks: 1 });
+  const same = jobSpec("same", { team: "guest", class: "flood", tasks: 1 });
   const answers = [0, 1, 2].map((i) => model.submit(i, same, "answered"));
   assert.deepEqual(answers, ["accepted", "accepted", "accepted"]);
   model.check();
-  assert.equal(model.nodes[2]!.replica.ledger("guest")!.used.get("flood")!.new, WHOLE / 100);
+  assert.equal(
+    model.nodes[2]!.replica.ledgerOf("guest")!.used.get("flood")!.new,
+    WHOLE_SHARE / 100,
+  );
 });
 
 test("a claim that is carried out late, or whose answer is lost, is charged once at the most", () => {
   const model = limited(2);
-  const first = spec("first", { team: "guest", class: "flood" });
+  const first = jobSpec("first", { team: "guest", class: "flood" });
   assert.equal(model.submit(0, first, "late"), "uncertain");
   assert.equal(model.submit(0, first, "answer lost"), "uncertain");
   assert.equal(model.submit(0, first, "answered"), "accepted");
-  model.arrive(0);
+  model.deliverDelayed(0);
   model.check();
-  assert.equal(model.nodes[0]!.replica.ledger("guest")!.used.get("flood")!.new, WHOLE / 100);
+  assert.equal(
+    model.nodes[0]!.replica.ledgerOf("guest")!.used.get("flood")!.new,
+    WHOLE_SHARE / 100,
+  );
   // One that comes after the window it was decided in is not carried out.
   assert.equal(
-    model.submit(1, spec("second", { team: "guest", class: "flood" }), "late"),
+    model.submit(1, jobSpec("second", { team: "guest", class: "flood" }), "late"),
     "uncertain",
   );
   model.writeWindow((version, epoch) => windowOf(version, epoch, [0, 0, 0, 0]));
-  model.arrive(0);
-  assert.equal(model.store.records.view("second"), null);
+  model.deliverDelayed(0);
+  assert.equal(model.store.replica.view("second"), null);
   model.check();
 });
 
 test("a node that comes back in a window logs none of its rejections, as it does not know which were logged", () => {
   const model = limited(0);
-  const refused = spec("refused", { team: "guest", class: "flood" });
+  const refused = jobSpec("refused", { team: "guest", class: "flood" });
   assert.equal(model.submit(0, refused, "answered"), "rejected");
-  model.flush(0);
+  model.flushRejections(0);
   model.restart(2);
   assert.equal(model.submit(1, refused, "answered"), "rejected");
-  model.flush(1);
+  model.flushRejections(1);
   model.check();
   assert.equal(model.nodes[0]!.log.filter((d) => d.kind === "reject").length, 1);
   model.writeWindow((version, epoch) => windowOf(version, epoch, [0, 0, 0, 0]));
   assert.equal(model.submit(1, refused, "answered"), "rejected");
-  model.flush(1);
+  model.flushRejections(1);
   model.check();
   assert.equal(model.nodes[2]!.log.filter((d) => d.kind === "reject").length, 1);
 });
@@ -212,22 +229,22 @@
 test("a node that paused for several windows decides by the newest one", () => {
   const model = limited(5);
   for (let n = 0; n < 4; n++) model.writeWindow((v, epoch) => windowOf(v, epoch, [5, 5, 5, 0]));
-  const late = spec("late", { team: "guest", class: "flood" });
+  const late = jobSpec("late", { team: "guest", class: "flood" });
   assert.equal(model.submit(2, late, "answered"), "rejected");
-  assert.equal(model.nodes[2]!.replica.version, 5);
+  assert.equal(model.nodes[2]!.replica.windowVersion, 5);
   model.check();
 });
 
 test("between two leaders a window goes on; under a new term it is not in force until it is written again", () => {
   const model = limited(0);
-  const first = spec("first", { team: "guest", class: "flood" });
+  const first = jobSpec("first", { team: "guest", class: "flood" });
   assert.equal(model.submit(0, first, "answered"), "rejected");
-  model.takeTerm();
+  model.acquireLeadership();
   // The successor may have admission switched off: what its predecessor wrote must not bind for good.
   assert.equal(model.submit(0, first, "answered"), "accepted");
   model.writeWindow((version, epoch) => windowOf(version, epoch, [0, 0, 0, 0]));
   assert.equal(
-    model.submit(0, spec("next", { team: "guest", class: "flood" }), "answered"),
+    model.submit(0, jobSpec("next", { team: "guest", class: "flood" }), "answered"),
     "rejected",
   );
   model.check();
@@ -235,15 +252,15 @@
 
 test("followers are not held up by new work of their class, and a class's large job is admitted", () => {
   const model = limited(2);
-  const flood = (n: number) => spec(`flood-${n}`, { team: "guest", class: "flood" });
+  const flood = (n: number) => jobSpec(`flood-${n}`, { team: "guest", class: "flood" });
   for (let n = 0; n < 5; n++) model.submit(0, flood(n), "answered");
   assert.equal(model.submit(0, flood(9), "answered"), "rejected");
-  const follower = spec("follower", { team: "guest", class: "flood", after: ["flood-0"] });
+  const follower = jobSpec("follower", { team: "guest", class: "flood", after: ["flood-0"] });
   assert.equal(model.submit(1, follower, "answered"), "accepted");
-  const large = spec("large", { team: "bookings", class: "flood", kind: "gang", tasks: 90 });
+  const large = jobSpec("large", { team: "bookings", class: "flood", kind: "gang", tasks: 90 });
   assert.equal(model.submit(2, large, "answered"), "accepted");
   assert.equal(
-    model.submit(2, spec("more", { team: "bookings", class: "flood" }), "answered"),
+    model.submit(2, jobSpec("more", { team: "bookings", class: "flood" }), "answered"),
     "rejected",
   );
   model.check();
@@ -252,7 +269,7 @@
 test("a node of a version without admission control is charged by the next window, and logged alike", () => {
   const model = limited(0);
   const value = {
-    j: spec("foreign", { team: "guest" }),
+    j: jobSpec("foreign", { team: "guest" }),
     at: 0,
     r: [],
     v: 1,
@@ -262,7 +279,10 @@
     pl: [],
   };
   assert.ok(
-    model.store.commit([{ key: "p/foreign", mark: 0 }], [{ op: "put", key: "p/foreign", value }]),
+    model.store.commit(
+      [{ key: "p/foreign", modRevision: 0 }],
+      [{ op: "put", key: "p/foreign", value }],
+    ),
   );
   for (let i = 0; i < NODES; i++) {
     model.read(i);
@@ -285,8 +305,8 @@
   let mark = 0;
   for (const value of values) {
     for (const key of keys) {
-      replica.apply([{ key, value, removed: false, mark: ++mark }], mark);
-      assert.equal(replica.decide(spec("any", { team: "guest" })).admitted, true);
+      replica.apply([{ key, value, removed: false, modRevision: ++mark }], mark);
+      assert.equal(replica.decide(jobSpec("any", { team: "guest" })).admitted, true);
     }
   }
 });
@@ -299,7 +319,7 @@
       window,
       1,
       { window: 1, used: used(n) },
-      spec("j", { team: "guest", class: "flood", tasks }),
+      jobSpec("j", { team: "guest", class: "flood", tasks }),
     ).admitted;
   const property = fc.property(
     fc.nat(UNLIMITED),
--- a/tests/admission-settings.test.ts
+++ b/tests/admission-settings.test.ts
@@ -6,9 +6,9 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { activePeriods, type Calendar } from "../src/admission/index.js";
-import { DEFAULT_OPERATOR, decodeOperator } from "../src/config/operator.js";
-import { settingsText } from "./helpers.js";
-import { PROGRAM } from "./process-site.js";
+import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
+import { settingsText } from "./support/helpers.js";
+import { PROGRAM } from "./support/multi-process-cluster.js";
 
 const SETTLEMENT = `
 [admission]
@@ -26,8 +26,8 @@
 `;
 
 test("it is off by default, and its settings are read as they stand", () => {
-  assert.equal(DEFAULT_OPERATOR.admission.enabled, false);
-  const { operator, faults, unknown } = decodeOperator(SETTLEMENT);
+  assert.equal(DEFAULT_OPERATOR_SETTINGS.admission.enabled, false);
+  const { operator, faults, unknown } = decodeOperatorSettings(SETTLEMENT);
   assert.deepEqual([faults, unknown], [[], []]);
   assert.deepEqual(operator?.admission, {
     enabled: true,
@@ -52,7 +52,7 @@
 
 test("hostile values are faults, a line each, that name their field", () => {
   const faultsOf = (body: string): readonly string[] =>
-    decodeOperator(`[admission]\n${body}`).faults;
+    decodeOperatorSettings(`[admission]\n${body}`).faults;
   const cases: [string, RegExp][] = [
     ["enabled = perhaps", /^admission\.enabled/],
     ["window_ratio = 0", /^admission\.window_ratio/],
@@ -81,8 +81,8 @@
     assert.equal(faults.length, 1, `${body}: ${faults.join("; ")}`);
     assert.match(faults[0]!, expected);
   }
-  assert.match(decodeOperator("admission = 1").faults[0]!, /^admission: not a section/);
-  assert.deepEqual(decodeOperator("[admission]\nburst = 1").unknown, ["admission.burst"]);
+  assert.match(decodeOperatorSettings("admission = 1").faults[0]!, /^admission: not a section/);
+  assert.deepEqual(decodeOperatorSettings("[admission]\nburst = 1").unknown, ["admission.burst"]);
 });
 
 test("a faulty file ends the program with code 2 and a line a fault; check shows what is in force", () => {
--- a/tests/admission-shares.test.ts
+++ b/tests/admission-shares.test.ts
@@ -4,17 +4,17 @@
 import fc from "fast-check";
 import highsModule from "highs";
 import {
-  type Amounts,
   type ClassUsage,
   dominantShare,
   type FairShareInput,
   fairFractions,
   limitedWindow,
-  NO_AMOUNTS,
+  NO_RESOURCES,
   pressure,
   RESOURCES,
+  type ResourceVector,
   UNLIMITED,
-  WHOLE,
+  WHOLE_SHARE,
   type WindowInput,
 } from "../src/admission/index.js";
 import type { Team } from "../src/core/model.js";
@@ -27,9 +27,9 @@
 /** One class a team, so that the solver's problem is a flat one. */
 interface Flat {
   readonly weights: readonly number[];
-  readonly demands: readonly Amounts[];
+  readonly demands: readonly ResourceVector[];
   readonly limits: readonly number[];
-  readonly capacity: Amounts;
+  readonly capacity: ResourceVector;
 }
 
 const amounts = (least: number, most: number) =>
@@ -140,8 +140,8 @@
   team,
   class: name,
   production: false,
-  unfinished: { ...NO_AMOUNTS, cpus: unfinished },
-  refused: { ...NO_AMOUNTS, cpus: refused },
+  unfinished: { ...NO_RESOURCES, cpus: unfinished },
+  refused: { ...NO_RESOURCES, cpus: refused },
   weight: 1,
 });
 
@@ -171,7 +171,7 @@
 test("a flood of one team leaves the others what they are guaranteed", () => {
   const input = window([usage("guest", "flood", 0, 100_000), usage("bookings", "web", 0, 60)]);
   // Forty of a hundred are guaranteed; with the queue beside it, three times as much may be unfinished.
-  assert.ok(granted(input, "bookings", "web") >= 0.4 * 3 * WHOLE);
+  assert.ok(granted(input, "bookings", "web") >= 0.4 * 3 * WHOLE_SHARE);
   assert.ok(granted(input, "guest", "flood") > 0);
 });
 
@@ -185,7 +185,7 @@
 test("with guarantees that take everything each class has a share all the same", () => {
   const teams = TEAMS.map((t) => (t.name === "bookings" ? { ...t, cpus: 1000 } : t));
   const input = window([usage("guest", "a", 0, 500), usage("bookings", "web", 0, 500)], { teams });
-  assert.ok(granted(input, "guest", "a") > 0.01 * WHOLE);
+  assert.ok(granted(input, "guest", "a") > 0.01 * WHOLE_SHARE);
 });
 
 test("what nobody wants is lent, and is taken back by the next window", () => {
@@ -197,7 +197,7 @@
 test("a team's limit bounds its grants, and only its own while the cloud gives machines", () => {
   const classes = [usage("settlement", "night", 0, 10_000), usage("bookings", "web", 0, 10)];
   const input = window(classes, { growing: true });
-  assert.ok(granted(input, "settlement", "night") <= 0.6 * 3 * WHOLE + 1);
+  assert.ok(granted(input, "settlement", "night") <= 0.6 * 3 * WHOLE_SHARE + 1);
   assert.equal(granted(input, "bookings", "web"), UNLIMITED);
 });
 
@@ -208,7 +208,7 @@
     usage("guest", "flood", 0, 1000),
   ];
   const shared = granted(window(classes), "bookings", "web");
-  assert.ok(shared >= 0.3 * 3 * WHOLE - 3, `${shared}`);
+  assert.ok(shared >= 0.3 * 3 * WHOLE_SHARE - 3, `${shared}`);
 });
 
 test("capacity that falls by half halves what a flood is granted, with the next window", () => {
@@ -259,14 +259,17 @@
       assert.ok(Number.isSafeInteger(g.lanes.new) && g.lanes.new >= 0);
       assert.ok(g.lanes.follower >= 1, "a follower's turn comes in each window");
       const own = classes.find((c) => c.team === g.team && c.class === g.class);
-      const unfinished = dominantShare(own?.unfinished ?? NO_AMOUNTS, {
+      const unfinished = dominantShare(own?.unfinished ?? NO_RESOURCES, {
         cpus: 100,
         gpus: 0,
         memoryGb: 400,
       });
       if (g.lanes.new > 1) allowed += g.lanes.new + unfinished;
     }
-    assert.ok(allowed <= 1.5 * WHOLE * (1 + 1e-6) + grants.length, `${allowed / WHOLE}`);
+    assert.ok(
+      allowed <= 1.5 * WHOLE_SHARE * (1 + 1e-6) + grants.length,
+      `${allowed / WHOLE_SHARE}`,
+    );
   });
   fc.assert(holds, { numRuns: 300, seed: 28 });
 });
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -4,21 +4,21 @@
 import {
   AdmissionControl,
   type AdmissionWindow,
-  amountsOf,
   type ClassUsage,
   decodeWindow,
   FairQueue,
   type LoggedDecision,
   limits,
-  NO_AMOUNTS,
+  NO_RESOURCES,
   type PlannerInput,
+  resourcesOf,
   WindowPlanner,
 } from "../src/admission/index.js";
-import { DEFAULT_OPERATOR, decodeOperator } from "../src/config/operator.js";
+import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
 import type { JobSpec, Team } from "../src/core/model.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { AdmissionModel } from "./admission-model.js";
-import { settingsText, spec, TestLeader } from "./helpers.js";
+import { jobSpec, settingsText, TestLeader } from "./support/helpers.js";
 
 const WINDOW_S = 3;
 const RUN_S = 10;
@@ -116,11 +116,11 @@
         team,
         class: name,
         production: false,
-        unfinished: { ...NO_AMOUNTS, cpus },
+        unfinished: { ...NO_RESOURCES, cpus },
         refused:
           refused === undefined
-            ? NO_AMOUNTS
-            : amountsOf(refused.job, refused.jobs * refused.job.tasks),
+            ? NO_RESOURCES
+            : resourcesOf(refused.job, refused.jobs * refused.job.tasks),
         weight: 1,
       };
     });
@@ -139,12 +139,12 @@
     };
     const stored = this.windows.at(-1) ?? null;
     const refusing = now - this.refusedAt < 2 * WINDOW_S;
-    const next = this.planner.next(now, stored, 1, refusing, input);
+    const next = this.planner.nextWindow(now, stored, 1, refusing, input);
     if (next === null) return;
     this.model.writeWindow(() => next);
     for (let i = 0; i < 3; i++) this.model.read(i);
     this.windows.push(next);
-    this.planner.written(now);
+    this.planner.markWritten(now);
     this.refused = new Map();
   }
 
@@ -160,11 +160,11 @@
 }
 
 const SMALL: Source = {
-  job: spec("small", { team: "guest", class: "small", cpus: 10 }),
+  job: jobSpec("small", { team: "guest", class: "small", cpus: 10 }),
   everyS: 0.25,
 };
 const HUGE: Source = {
-  job: spec("huge", { team: "bookings", class: "huge", kind: "gang", tasks: 150 }),
+  job: jobSpec("huge", { team: "bookings", class: "huge", kind: "gang", tasks: 150 }),
   everyS: 30,
 };
 
@@ -228,15 +228,15 @@
   queue.push("web-1");
   const first = [queue.shift(), queue.shift(), queue.shift()];
   assert.deepEqual(first, ["flood-0", "web-0", "flood-1"]);
-  queue.putBack(["web-0", "flood-1"]);
+  queue.requeue(["web-0", "flood-1"]);
   assert.equal(queue.peek(), "web-0");
   assert.deepEqual([queue.shift(), queue.shift(), queue.shift()], ["web-0", "flood-1", "web-1"]);
   assert.deepEqual(
-    queue.takeWhere((item) => item.endsWith("-7")),
+    queue.removeWhere((item) => item.endsWith("-7")),
     ["flood-7"],
   );
   assert.equal(queue.size, 997);
-  assert.equal(queue.takeWhere(() => true).length, 997);
+  assert.equal(queue.removeWhere(() => true).length, 997);
   assert.deepEqual([queue.size, queue.peek(), queue.shift()], [0, undefined, undefined]);
 });
 
@@ -257,24 +257,24 @@
 
 function controlOf(model: AdmissionModel, member: string, wallMs: () => number, now: () => number) {
   const read = decodeSettings(settingsText());
-  const settings = decodeOperator(CALENDAR).operator!.admission;
+  const settings = decodeOperatorSettings(CALENDAR).operator!.admission;
   assert.ok("settings" in read);
   const decisions: LoggedDecision[] = [];
   const control: AdmissionControl = new AdmissionControl(settings, read.settings.cluster, {
     member,
     now,
     wallMs,
-    txn: async (conditions, changes) =>
+    transact: async (conditions, changes) =>
       model.store.commit(conditions, changes)
         ? { kind: "ok", revision: model.store.revision }
         : { kind: "failed", keys: [] },
-    catchUp: async () => {
+    readLatest: async () => {
       control.apply(model.store.changesSince(control.replica.revision), model.store.revision);
       return true;
     },
-    wrote: () => {},
-    decided: (d) => decisions.push(d),
-    windowWritten: () => {},
+    onWrite: () => {},
+    onDecision: (d) => decisions.push(d),
+    onWindowWritten: () => {},
   });
   control.reset([], 0);
   return { control, decisions };
@@ -283,8 +283,8 @@
 test("a calendar's boundary in a takeover: the window says which periods count, whoever's clock is ahead", async () => {
   const model = new AdmissionModel(1);
   const leader = new TestLeader();
-  for (const m of ["m1a", "m2b"]) leader.report(m, []);
-  leader.submit(spec("flood", { team: "maps", tasks: 200 }));
+  for (const m of ["m1a", "m2b"]) leader.receiveHeartbeat(m, []);
+  leader.submit(jobSpec("flood", { team: "maps", tasks: 200 }));
   const now = 100;
   // The clocks are off by 50 ms; the period ends between the two.
   const old = controlOf(
@@ -300,18 +300,23 @@
     () => now,
   );
   const view = () => {
-    const { value, mark } = model.store.records.epoch;
-    return { cluster: leader.scheduler.cluster, growing: false, epoch: value.n, epochMark: mark };
+    const { value, modRevision: mark } = model.store.replica.epoch;
+    return {
+      cluster: leader.scheduler.cluster,
+      growing: false,
+      epoch: value.n,
+      epochModRevision: mark,
+    };
   };
   const leads = async ({ control }: typeof old) => {
     await control.refresh();
-    control.lead(view());
+    control.updateWindow(view());
     await new Promise((r) => setImmediate(r));
   };
   await leads(old);
   const first = decodeWindow(model.store.items().find((i) => i.key === "a/w")?.value)!;
   assert.deepEqual([first.mode, first.periods], ["limited", ["night"]]);
-  model.takeTerm();
+  model.acquireLeadership();
   await next.control.refresh();
   assert.equal(limits(next.control.replica.window!.value, next.control.replica.epoch), false);
   await leads(next);
@@ -321,9 +326,9 @@
     assert.deepEqual([version, periods], [first.version + 1, []]);
   }
   // The old leader, which has not noticed yet, writes nothing under its own term any more.
-  const stale = { ...view(), epoch: 1, epochMark: 1 };
+  const stale = { ...view(), epoch: 1, epochModRevision: 1 };
   const revision = model.store.revision;
-  old.control.lead(stale);
+  old.control.updateWindow(stale);
   await new Promise((r) => setImmediate(r));
   assert.equal(model.store.revision, revision);
   assert.deepEqual(old.decisions.slice(1), next.decisions.slice(1));
@@ -339,34 +344,37 @@
     () => now,
   );
   const leader = new TestLeader();
-  leader.report("m1a", []);
-  leader.submit(spec("flood", { team: "maps", tasks: 200 }));
-  const { value, mark } = model.store.records.epoch;
+  leader.receiveHeartbeat("m1a", []);
+  leader.submit(jobSpec("flood", { team: "maps", tasks: 200 }));
+  const { value, modRevision: mark } = model.store.replica.epoch;
   const view = {
     cluster: leader.scheduler.cluster,
     growing: false,
     epoch: value.n,
-    epochMark: mark,
+    epochModRevision: mark,
   };
-  control.lead(view);
+  control.updateWindow(view);
   await new Promise((r) => setImmediate(r));
   for (let n = 0; n < 50; n++) {
-    const verdict = await control.verify(spec(`more-${n}`, { team: "maps" }), () => false);
+    const verdict = await control.verifyRejection(
+      jobSpec(`more-${n}`, { team: "maps" }),
+      () => false,
+    );
     assert.equal(verdict.kind, "rejected");
     assert.ok(verdict.kind === "rejected" && verdict.retryAfterS >= 1 && verdict.retryAfterS <= 30);
-    control.tick();
+    control.flushRejections();
   }
   await new Promise((r) => setImmediate(r));
   await control.refresh();
   now += 4;
-  control.tick();
+  control.flushRejections();
   await new Promise((r) => setImmediate(r));
   await control.refresh();
   const writes = model.store.changesSince(0).filter((e) => e.key === "a/r/n0");
   assert.equal(writes.length, 2);
   assert.equal(control.replica.rejectionsOf("n0")?.value.classes[0]?.jobs, 49);
-  control.lead(view);
+  control.updateWindow(view);
   await new Promise((r) => setImmediate(r));
-  assert.equal(control.replica.version, 2);
-  assert.equal(DEFAULT_OPERATOR.admission.enabled, false);
+  assert.equal(control.replica.windowVersion, 2);
+  assert.equal(DEFAULT_OPERATOR_SETTINGS.admission.enabled, false);
 });
--- a/tests/algebra.test.ts
+++ b/tests/algebra.test.ts
@@ -1,19 +1,25 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  type Attributes,
   complement,
+  type EventAttributes,
   type Expression,
   eventOf,
-  format,
-  parse,
+  formatExpression,
+  isSecure,
+  parseExpression,
   residuate,
-  secure,
 } from "../src/algebra/expression.js";
-import { acceptable, occur, ownDependencies, required, written } from "../src/core/pipeline.js";
+import {
+  formatResiduals,
+  isEventAcceptable,
+  ownDependencies,
+  requiredStarts,
+  residuateByEvent,
+} from "../src/core/jobs/pipeline.js";
 
 const after = (text: string, ...atoms: string[]): string =>
-  format(atoms.reduce((e, a) => residuate(e, a), parse(text)));
+  formatExpression(atoms.reduce((e, a) => residuate(e, a), parseExpression(text)));
 
 test("residuation: Figure 2 and Example 8 of the paper", () => {
   const before = "~e + ~f + e.f";
@@ -30,26 +36,29 @@
 
 test("residuation: Example 14, an abort that must be followed by a start", () => {
   assert.equal(after("~e + f", "e"), "f");
-  assert.deepEqual(required([parse("~s:e + s:f")].map((d) => residuate(d, "s:e"))), ["s:f"]);
+  assert.deepEqual(
+    requiredStarts([parseExpression("~s:e + s:f")].map((d) => residuate(d, "s:e"))),
+    ["s:f"],
+  );
 });
 
 test("residuation: an event that is not named changes nothing (Equation 8)", () => {
   assert.equal(after("~e + f", "g"), "~e + f");
 });
 
-const ANY: Attributes = { triggerable: true, rejectable: true, delayable: true };
-const ABORT: Attributes = { triggerable: false, rejectable: false, delayable: false };
-const START: Attributes = { triggerable: true, rejectable: true, delayable: true };
+const ANY: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
+const ABORT: EventAttributes = { triggerable: false, rejectable: false, delayable: false };
+const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
 
 test("security: Examples 12 and 13", () => {
-  const abort = (e: string): Attributes => (e === "e" ? ABORT : ANY);
-  assert.equal(secure(parse("~e"), abort), false);
+  const abort = (e: string): EventAttributes => (e === "e" ? ABORT : ANY);
+  assert.equal(isSecure(parseExpression("~e"), abort), false);
   assert.equal(
-    secure(parse("~f + f"), () => ABORT),
+    isSecure(parseExpression("~f + f"), () => ABORT),
     true,
   );
-  const start = (e: string): Attributes => (e === "f" ? START : ABORT);
-  assert.equal(secure(parse("f"), start), true);
+  const start = (e: string): EventAttributes => (e === "f" ? START : ABORT);
+  assert.equal(isSecure(parseExpression("f"), start), true);
 });
 
 /** All admissible traces over the events: each occurs or its complement does, once, in any order. */
@@ -73,14 +82,14 @@
   const dependencies = ["~e + ~f + e.f", "~e + f", "e.f.g + ~g", "~e + f.g + g.e", "e.g + f.~g"];
   let checked = 0;
   for (const text of dependencies) {
-    const events = [...new Set(parse(text).flatMap((t) => t.map(eventOf)))];
+    const events = [...new Set(parseExpression(text).flatMap((t) => t.map(eventOf)))];
     for (const trace of traces(events)) {
       for (let cut = 0; cut <= trace.length; cut++) {
-        const left = trace.slice(0, cut).reduce((e, a) => residuate(e, a), parse(text));
+        const left = trace.slice(0, cut).reduce((e, a) => residuate(e, a), parseExpression(text));
         assert.equal(
           satisfies(trace.slice(cut), left),
-          satisfies(trace, parse(text)),
-          `${text} over ${trace.join(" ")} cut at ${cut} left ${format(left)}`,
+          satisfies(trace, parseExpression(text)),
+          `${text} over ${trace.join(" ")} cut at ${cut} left ${formatExpression(left)}`,
         );
         checked++;
       }
@@ -91,18 +100,25 @@
 
 test("a job's own dependencies let it start once, and never after it failed", () => {
   const fresh = ownDependencies("j");
-  assert.equal(acceptable(fresh, "s:j"), true);
-  const started = occur(fresh, "s:j");
-  assert.deepEqual(written(started), ["~d:j + d:j", "~d:j + ~f:j", "~f:j + f:j"]);
-  assert.equal(acceptable(occur(fresh, "f:j"), "s:j"), false);
-  assert.equal(acceptable(occur(started, "f:j"), "d:j"), false);
-  assert.equal(acceptable(fresh, "d:j"), false);
+  assert.equal(isEventAcceptable(fresh, "s:j"), true);
+  const started = residuateByEvent(fresh, "s:j");
+  assert.deepEqual(formatResiduals(started), ["~d:j + d:j", "~d:j + ~f:j", "~f:j + f:j"]);
+  assert.equal(isEventAcceptable(residuateByEvent(fresh, "f:j"), "s:j"), false);
+  assert.equal(isEventAcceptable(residuateByEvent(started, "f:j"), "d:j"), false);
+  assert.equal(isEventAcceptable(fresh, "d:j"), false);
 });
 
 test("in a pipeline of two jobs a failure travels downward", () => {
-  const chain = [...ownDependencies("a"), ...ownDependencies("b"), parse("~s:b + d:a.s:b")];
-  assert.equal(acceptable(chain, "s:b"), false);
-  const done = occur(occur(chain, "s:a"), "d:a");
-  assert.equal(acceptable(done, "s:b"), true);
-  assert.equal(acceptable(occur(occur(chain, "f:a"), "~d:a"), "s:b"), false);
+  const chain = [
+    ...ownDependencies("a"),
+    ...ownDependencies("b"),
+    parseExpression("~s:b + d:a.s:b"),
+  ];
+  assert.equal(isEventAcceptable(chain, "s:b"), false);
+  const done = residuateByEvent(residuateByEvent(chain, "s:a"), "d:a");
+  assert.equal(isEventAcceptable(done, "s:b"), true);
+  assert.equal(
+    isEventAcceptable(residuateByEvent(residuateByEvent(chain, "f:a"), "~d:a"), "s:b"),
+    false,
+  );
 });
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -1,10 +1,15 @@
 /** New machines that come up late, never, or before anybody has heard of them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import {
+  countLateBootsByOffer,
+  countMachinesByZone,
+  planScaleOut,
+  type ScaleOutRequest,
+} from "../src/core/capacity/scaling.js";
 import type { ListedMachine } from "../src/core/model.js";
-import { lateOfKinds, machinesInZones, type Rental, wanted } from "../src/core/renting.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { settingsText, spec, TestLeader, TYPES, task } from "./helpers.js";
+import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
 
 const CLUSTER = (() => {
   const s = decodeSettings(settingsText());
@@ -27,18 +32,18 @@
   ...change,
 });
 
-function next(h: TestLeader): Rental | null {
-  return wanted(
+function next(h: TestLeader): ScaleOutRequest | null {
+  return planScaleOut(
     {
       cluster: h.scheduler.cluster,
       settings: CLUSTER,
-      types: TYPES,
+      types: MACHINE_TYPES,
       now: h.now,
-      refused: new Map(),
-      spare: 1,
+      capacityBackoffUntil: new Map(),
+      spareRatio: 1,
       maxMachines: 1000,
-      inZone: machinesInZones(h.scheduler.cluster),
-      late: lateOfKinds(h.scheduler.cluster, h.now),
+      machinesByZone: countMachinesByZone(h.scheduler.cluster),
+      lateBootsByOffer: countLateBootsByOffer(h.scheduler.cluster, h.now),
     },
     [...h.scheduler.cluster.jobs.values()],
     [],
@@ -47,15 +52,17 @@
 
 test("room that is late is not waited for: another is rented, of another kind", () => {
   const h = new TestLeader();
-  h.submit(spec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
+  h.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
   assert.equal(next(h)?.zone, "a");
-  h.take(h.scheduler.list([listed("m1a", 1)], h.now));
+  h.performEffects(h.scheduler.machineListAnswered([listed("m1a", 1)], h.now));
   assert.equal(next(h), null, "one is coming");
   // It boots in 15 s as a rule.
   h.tick(31);
   const r = next(h);
   assert.deepEqual([r?.count, r?.zone], [1, "b"]);
-  h.take(h.scheduler.list([listed("m1a", 32), listed("m2b", 1, { zone: "b" })], h.now));
+  h.performEffects(
+    h.scheduler.machineListAnswered([listed("m1a", 32), listed("m2b", 1, { zone: "b" })], h.now),
+  );
   assert.equal(next(h), null, "no more than one for each that is late");
 });
 
@@ -67,15 +74,15 @@
     h.tick(1);
     if (i % 4 === 0) ages.set(`m${i}a`, 0);
     for (const [n, age] of ages) ages.set(n, age + 1);
-    for (const [, name] of h.trace().matchAll(/cloud return (.*)/g)) {
+    for (const [, name] of h.takeTrace().matchAll(/cloud return (.*)/g)) {
       for (const n of name!.split(" ")) {
         back.push([n, ages.get(n)!]);
         ages.delete(n);
       }
-      h.take(h.scheduler.returned(name!.split(" "), true, h.now));
+      h.performEffects(h.scheduler.releaseAnswered(name!.split(" "), true, h.now));
     }
-    h.take(
-      h.scheduler.list(
+    h.performEffects(
+      h.scheduler.machineListAnswered(
         [...ages].map(([n, age]) => listed(n, age)),
         h.now,
       ),
@@ -86,33 +93,33 @@
   assert.ok(last > 120 && last <= 184, `the last after ${last} s`);
   // One comes up in time: the others are held to that again.
   for (let i = 0; i < 20; i++) {
-    h.report(`up${i}a`, []);
+    h.receiveHeartbeat(`up${i}a`, []);
   }
-  h.take(h.scheduler.list([listed("m999a", 70)], h.now));
+  h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70)], h.now));
   for (let i = 0; i < 30; i++) {
     const up = Array.from({ length: i + 1 }, (_, n) => listed(`new${n}a`, 10 + i));
-    h.take(h.scheduler.list([listed("m999a", 70 + i), ...up], h.now));
-    h.report(`new${i}a`, []);
+    h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70 + i), ...up], h.now));
+    h.receiveHeartbeat(`new${i}a`, []);
   }
-  assert.equal(h.scheduler.cluster.machines.get("m999a")!.drain, "never came up");
+  assert.equal(h.scheduler.cluster.machines.get("m999a")!.drainReason, "never came up");
 });
 
 test("a machine that reports before it is listed is used, and neither rented again nor given up", () => {
   const h = new TestLeader();
-  h.submit(spec("j", { tasks: 4, team: "maps", types: ["small"] }));
-  for (let i = 0; h.pending.length === 0 && i < 4; i++) h.report("m1a", []);
-  h.answer([0, 1, 2, 3].map((n) => task("j", n, 1)));
+  h.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
+  for (let i = 0; h.unansweredRequests.length === 0 && i < 4; i++) h.receiveHeartbeat("m1a", []);
+  h.answerRequest([0, 1, 2, 3].map((n) => taskStatus("j", n, 1)));
   assert.equal(next(h), null);
   // The list is late: it does not show the machine, then shows it as booting.
   for (let i = 0; i < 10; i++) {
-    h.take(h.scheduler.list(i < 5 ? [] : [listed("m1a", i)], h.now));
-    h.report(
+    h.performEffects(h.scheduler.machineListAnswered(i < 5 ? [] : [listed("m1a", i)], h.now));
+    h.receiveHeartbeat(
       "m1a",
-      [0, 1, 2, 3].map((n) => task("j", n, 1)),
+      [0, 1, 2, 3].map((n) => taskStatus("j", n, 1)),
     );
     h.tick(3);
   }
   const m = h.scheduler.cluster.machines.get("m1a")!;
-  assert.deepEqual([m.state, m.drain, m.placements.size], ["up", null, 4]);
-  assert.doesNotMatch(h.trace(), /cloud return/);
+  assert.deepEqual([m.state, m.drainReason, m.placements.size], ["up", null, 4]);
+  assert.doesNotMatch(h.takeTrace(), /cloud return/);
 });
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -2,22 +2,26 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobSpec } from "../src/core/model.js";
-import { type Fate, spec, TestLeader, Workers } from "./helpers.js";
+import { jobSpec, SimulatedWorkers, type TaskFateOf, TestLeader } from "./support/helpers.js";
 
 const broken = (job: string): boolean => job.startsWith("broken");
 
-function fleet(small: number, big: number, fate: Fate): { h: TestLeader; w: Workers } {
+function fleet(
+  small: number,
+  big: number,
+  fate: TaskFateOf,
+): { h: TestLeader; w: SimulatedWorkers } {
   const h = new TestLeader();
   const types = new Map<string, string>();
   for (let i = 1; i <= small; i++) types.set(`m${i}a`, "small");
   for (let i = 1; i <= big; i++) types.set(`g${i}b`, "big");
-  const w = new Workers(h, types, fate);
-  w.run(4);
+  const w = new SimulatedWorkers(h, types, fate);
+  w.runFor(4);
   return { h, w };
 }
 
 const gang = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
-  spec(id, {
+  jobSpec(id, {
     kind: "gang",
     priority: "high",
     team: "maps",
@@ -34,31 +38,31 @@
     broken(job) || machine === faulty ? "error" : 12,
   );
   for (let i = 0; i < 4; i++) {
-    h.submit(spec(`brokenArray${i}`, { team: "maps", tasks: 12 }));
+    h.submit(jobSpec(`brokenArray${i}`, { team: "maps", tasks: 12 }));
     h.submit(
-      spec(`brokenWeb${i}`, { team: "maps", kind: "service", tasks: 2, priority: "production" }),
+      jobSpec(`brokenWeb${i}`, { team: "maps", kind: "service", tasks: 2, priority: "production" }),
     );
     h.submit(gang(`brokenGang${i}`, { tasks: 1 + (i % 2) }));
-    h.submit(spec(`sound${i}`, { team: "maps", tasks: 12 }));
+    h.submit(jobSpec(`sound${i}`, { team: "maps", tasks: 12 }));
     h.submit(gang(`soundGang${i}`));
-    w.run(10);
+    w.runFor(10);
   }
-  w.run(60);
-  assert.deepEqual([...new Set(w.returned)], [faulty]);
+  w.runFor(60);
+  assert.deepEqual([...new Set(w.terminatedMachines)], [faulty]);
   for (let i = 0; i < 4; i++) {
     for (const id of [`sound${i}`, `soundGang${i}`]) {
-      assert.equal(h.records.view(id)?.state, "done", id);
+      assert.equal(h.replica.view(id)?.state, "done", id);
     }
   }
 });
 
 test("a broken job is tried for ever, at a falling rate, one task at a time", () => {
   const { h, w } = fleet(8, 0, (job) => (broken(job) ? "error" : 10));
-  h.submit(spec("broken", { team: "maps", tasks: 20 }));
+  h.submit(jobSpec("broken", { team: "maps", tasks: 20 }));
   const began = h.now;
   const tries = (from: number, to: number): number =>
     w.starts.filter((s) => s.at - began >= from && s.at - began < to).length;
-  w.run(240);
+  w.runFor(240);
   assert.equal(tries(0, 2), 20, "the first round is as any job's");
   // 3, 6, 12, 24 and 48 s apart, then every minute.
   assert.ok(tries(2, 120) >= 4 && tries(2, 120) <= 6, `${tries(2, 120)}`);
@@ -67,9 +71,9 @@
 
 test("a broken job of one task is found out like one of many", () => {
   const { h, w } = fleet(8, 8, () => "error");
-  h.submit(spec("single", { team: "maps", class: "tiny" }));
+  h.submit(jobSpec("single", { team: "maps", class: "tiny" }));
   h.submit(gang("gang"));
-  w.run(60);
+  w.runFor(60);
   for (const id of ["single", "gang"]) {
     const tries = w.starts.filter((s) => s.job === id).length;
     assert.ok(tries >= 5 && tries <= 8, `${id} was tried ${tries} times in a minute`);
@@ -79,53 +83,53 @@
 test("a broken gang stops nobody, holds no room and goes behind those that have not failed", () => {
   const { h, w } = fleet(0, 4, (job) => (broken(job) ? "error" : 20));
   h.submit(gang("broken", { tasks: 2, oneZone: true }));
-  w.run(8);
+  w.runFor(8);
   const job = h.scheduler.cluster.jobs.get("broken")!;
-  assert.notEqual(job.failures.suspect, null);
+  assert.notEqual(job.failures.suspicion, null);
   // Low work fills three of four machines; a gang that needs two comes after the broken one.
   for (let i = 0; i < 3; i++) h.submit(gang(`low${i}`, { priority: "low" }));
-  w.run(2);
+  w.runFor(2);
   h.submit(gang("sound", { tasks: 2, oneZone: true, priority: "low", estimateS: 100 }));
-  w.run(45, () => {
+  w.runFor(45, () => {
     for (const m of h.scheduler.cluster.machines.values()) {
-      assert.notEqual(m.reservedFor?.job, job, "room is held for the broken gang");
+      assert.notEqual(m.reservation?.job, job, "room is held for the broken gang");
       for (const p of m.placements.values())
         assert.equal(p.stop?.why.includes("broken") ?? false, false);
     }
   });
-  assert.equal(h.records.view("sound")?.state, "done");
+  assert.equal(h.replica.view("sound")?.state, "done");
 });
 
 test("a job that only had bad luck with machines starts again at once and ends", () => {
   const bad = new Set(["m1a", "m2a"]);
   const { h, w } = fleet(6, 0, (_job, machine) => (bad.has(machine) ? "error" : 5));
-  h.submit(spec("array", { team: "maps", tasks: 24 }));
-  h.submit(spec("single", { team: "maps", class: "tiny" }));
-  w.run(20);
-  assert.equal(h.records.view("array")?.state, "done");
-  assert.equal(h.records.view("single")?.state, "done");
+  h.submit(jobSpec("array", { team: "maps", tasks: 24 }));
+  h.submit(jobSpec("single", { team: "maps", class: "tiny" }));
+  w.runFor(20);
+  assert.equal(h.replica.view("array")?.state, "done");
+  assert.equal(h.replica.view("single")?.state, "done");
 });
 
 test("a job taken for broken by bad luck has all its tasks again as soon as one fares well", () => {
   let fails = true;
   const { h, w } = fleet(6, 0, () => (fails ? "error" : 5));
-  h.submit(spec("unlucky", { team: "maps", tasks: 12 }));
-  w.run(3);
-  assert.notEqual(h.scheduler.cluster.jobs.get("unlucky")!.failures.suspect, null);
+  h.submit(jobSpec("unlucky", { team: "maps", tasks: 12 }));
+  w.runFor(3);
+  assert.notEqual(h.scheduler.cluster.jobs.get("unlucky")!.failures.suspicion, null);
   fails = false;
-  w.run(25);
-  assert.equal(h.records.view("unlucky")?.state, "done");
+  w.runFor(25);
+  assert.equal(h.replica.view("unlucky")?.state, "done");
 });
 
 test("a broken job is cancelled like any other, also between two tries", () => {
   const { h, w } = fleet(4, 0, () => "error");
-  h.submit(spec("broken", { team: "maps", tasks: 8 }));
-  w.run(20);
+  h.submit(jobSpec("broken", { team: "maps", tasks: 8 }));
+  w.runFor(20);
   h.cancel("broken");
-  w.run(3);
-  assert.equal(h.records.finals.get("broken")?.s, "cancelled");
+  w.runFor(3);
+  assert.equal(h.replica.finalRecords.get("broken")?.s, "cancelled");
   const starts = w.starts.length;
-  w.run(15);
+  w.runFor(15);
   assert.equal(w.starts.length, starts);
-  assert.deepEqual(w.returned, []);
+  assert.deepEqual(w.terminatedMachines, []);
 });
--- a/tests/four-thousand-machines.test.ts
+++ b/tests/four-thousand-machines.test.ts
@@ -7,7 +7,7 @@
 import { type TestContext, test } from "node:test";
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
-import { spec, TestLeader, task } from "./helpers.js";
+import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
 
 const SMALL = 1000;
 const LARGE = 4000;
@@ -44,9 +44,9 @@
   for (let i = 0; i < machines; i++) {
     const name = nameOf(i);
     const on = leader.scheduler.cluster.machines.get(name)?.placements.values() ?? [];
-    leader.quietReport(
+    leader.receiveHeartbeatOnly(
       name,
-      [...on].map((p) => task(p.job.spec.id, p.task, p.attempt)),
+      [...on].map((p) => taskStatus(p.job.spec.id, p.task, p.attempt)),
     );
   }
 }
@@ -55,12 +55,12 @@
 function fullSite(machines: number): TestLeader {
   const leader = new TestLeader();
   reportAll(leader, machines);
-  leader.store();
+  leader.flushWrites();
   const tasks = 200;
   const jobs = (machines * TASKS_A_MACHINE) / tasks;
-  for (let i = 0; i < jobs; i++) leader.submit(spec(`job-${i}`, { team: "maps", tasks }));
+  for (let i = 0; i < jobs; i++) leader.submit(jobSpec(`job-${i}`, { team: "maps", tasks }));
   for (let i = 0; i < 400 && placed(leader) < jobs * tasks; i++) {
-    leader.pending.length = 0;
+    leader.unansweredRequests.length = 0;
     reportAll(leader, machines);
     leader.tick(0.5);
   }
@@ -75,7 +75,7 @@
 }
 
 function successorOf(leader: TestLeader): TestLeader {
-  return new TestLeader({ records: leader.records, epoch: 2, now: leader.now });
+  return new TestLeader({ records: leader.replica, epoch: 2, now: leader.now });
 }
 
 function measure(machines: number): Measured {
@@ -83,11 +83,11 @@
   const before = process.memoryUsage().heapUsed;
   const leader = fullSite(machines);
   const passMs = leastMs(() => {
-    leader.pending.length = 0;
-    leader.submit(spec(`probe-${leader.now}`, { team: "maps", cpus: 3 }));
+    leader.unansweredRequests.length = 0;
+    leader.submit(jobSpec(`probe-${leader.now}`, { team: "maps", cpus: 3 }));
     leader.tick(0.5);
   });
-  leader.lines.length = 0;
+  leader.traceLines.length = 0;
   collectGarbage();
   const heapMb = (process.memoryUsage().heapUsed - before) / 2 ** 20;
   const takeoverMs = leastMs(() => void successorOf(leader));
@@ -104,34 +104,34 @@
     );
     assert.ok(growth < MOST_GROWTH, `${key} grows ${growth.toFixed(1)} times`);
   }
-  const { most } = large.leader;
+  const { largestWritten: most } = large.leader;
   t.diagnostic(`largest value ${most.bytes} bytes, largest transaction ${most.ops} changes`);
   assert.ok(most.bytes <= VALUE_BYTES, `${most.bytes} bytes`);
   assert.ok(most.ops <= TXN_OPS, `${most.ops} changes`);
-  assert.equal(large.leader.refusals, 0);
+  assert.equal(large.leader.rejectedTransactions, 0);
 });
 
 test("4,000 machines: a zone that falls silent as a whole is not given up within its lease", (t: TestContext) => {
   const leader = fullSite(LARGE);
   const machines = [...leader.scheduler.cluster.machines.keys()];
   const silent = machines.filter((m) => m.endsWith("b"));
-  for (const m of silent) leader.dead.add(m);
-  leader.lines.length = 0;
+  for (const m of silent) leader.unreachableMachines.add(m);
+  leader.traceLines.length = 0;
   let most = 0;
   for (let interval = 0; interval < 6; interval++) {
     for (let step = 0; step < 6; step++) {
-      leader.pending.length = 0;
+      leader.unansweredRequests.length = 0;
       for (const m of machines) {
-        if (leader.dead.has(m)) continue;
+        if (leader.unreachableMachines.has(m)) continue;
         const on = [...leader.scheduler.cluster.machines.get(m)!.placements.values()];
-        leader.quietReport(
+        leader.receiveHeartbeatOnly(
           m,
-          on.map((p) => task(p.job.spec.id, p.task, p.attempt)),
+          on.map((p) => taskStatus(p.job.spec.id, p.task, p.attempt)),
         );
       }
       leader.tick(0.5);
     }
-    const given = leader.lines.splice(0).filter((line) => line.startsWith("cloud return "));
+    const given = leader.traceLines.splice(0).filter((line) => line.startsWith("cloud return "));
     most = Math.max(most, given.join(" ").split("m-").length - 1);
   }
   t.diagnostic(`${silent.length} silent, at most ${most} given up in a report interval`);
--- a/tests/gang-sizes.test.ts
+++ b/tests/gang-sizes.test.ts
@@ -1,7 +1,7 @@
 /** In a backlog of gangs every size of a class is served, not only the small ones. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { spec, TestLeader, Workers } from "./helpers.js";
+import { jobSpec, SimulatedWorkers, TestLeader } from "./support/helpers.js";
 
 const SIZES = [1, 2, 4];
 const MACHINES = 32;
@@ -20,12 +20,12 @@
 function servedShares({ perSecond, lost }: Burst): number[] {
   const names = Array.from({ length: MACHINES }, (_, i) => `m${i}${i % 2 === 0 ? "a" : "b"}`);
   const leader = new TestLeader();
-  const workers = new Workers(leader, new Map(names.map((n) => [n, "big"])), () => RUN_S);
-  workers.run(4);
+  const workers = new SimulatedWorkers(leader, new Map(names.map((n) => [n, "big"])), () => RUN_S);
+  workers.runFor(4);
   const submittedAt = new Map<string, { size: number; at: number }>();
   const began = leader.now;
   let arrivals = 0;
-  workers.run(DAY_S, () => {
+  workers.runFor(DAY_S, () => {
     const t = leader.now - began;
     for (; t < BURST_S && arrivals < t * perSecond; arrivals++) {
       for (const size of SIZES) {
@@ -33,12 +33,12 @@
         submittedAt.set(id, { size, at: leader.now });
         const gang = { kind: "gang", tasks: size, oneZone: true, priority: "high" } as const;
         const shape = { cpus: 6, gpus: 4, types: ["big"], imageGb: 0.1, estimateS: RUN_S };
-        leader.submit(spec(id, { ...gang, ...shape, team: "maps", class: "gpu" }));
+        leader.submit(jobSpec(id, { ...gang, ...shape, team: "maps", class: "gpu" }));
       }
     }
-    if (t >= BURST_S / 2) for (const name of names.slice(0, lost)) workers.lose(name);
+    if (t >= BURST_S / 2) for (const name of names.slice(0, lost)) workers.crashMachine(name);
   });
-  assert.deepEqual(workers.twice, []);
+  assert.deepEqual(workers.duplicateStarts, []);
   const served = new Map(SIZES.map((size) => [size, new Set<string>()]));
   for (const start of workers.starts) {
     const { size, at } = submittedAt.get(start.job)!;
--- a/tests/reports.test.ts
+++ b/tests/heartbeats.test.ts
@@ -3,65 +3,65 @@
 import { connect, type Socket } from "node:net";
 import { after, before, beforeEach, test } from "node:test";
 import { type ApiBackend, buildServer } from "../src/api/server.js";
-import { AdaptiveLimit } from "../src/core/limit.js";
-import type { Report } from "../src/core/model.js";
-import { Peer } from "../src/net/client.js";
+import type { WorkerHeartbeat } from "../src/core/model.js";
+import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
+import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { decodeReport, encodeReport } from "../src/wire/report.js";
-import { task } from "./helpers.js";
-import { sleep, until } from "./site.js";
+import { decodeWorkerHeartbeat, encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
+import { taskStatus } from "./support/helpers.js";
+import { sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
 
-const REPORT: Report = {
+const REPORT: WorkerHeartbeat = {
   machine: "m-1",
   address: "10.0.0.1:9000",
   type: "small",
   zone: "a",
   spot: false,
-  session: 1,
-  seq: 3,
-  token: 2,
-  noticeS: null,
-  tasks: [task("run-1", 3, 1), task("run-1", 4, 2, "exited", "done")],
+  incarnation: 1,
+  sequence: 3,
+  fencingToken: 2,
+  interruptionNoticeS: null,
+  tasks: [taskStatus("run-1", 3, 1), taskStatus("run-1", 4, 2, "exited", "done")],
 };
-const wire = encodeReport(REPORT);
+const wire = encodeWorkerHeartbeat(REPORT);
 const BODY_LIMIT = 64 * 1024;
 
-let answer: ReturnType<ApiBackend["report"]>;
+let answer: ReturnType<ApiBackend["handleHeartbeat"]>;
 let leader: string | null;
-let heard: Report[];
+let heard: WorkerHeartbeat[];
 let faults: Error[];
 
 const unused = (): never => assert.fail("reports ask for nothing else");
 const backend: ApiBackend = {
-  healthy: () => true,
-  leavesUsers: () => false,
-  read: unused,
-  judge: unused,
+  isHealthy: () => true,
+  shedsUsers: () => false,
+  readJob: unused,
+  checkFeasibility: unused,
   submit: unused,
   cancel: unused,
-  ended: unused,
-  report: (r) => {
+  waitForEnd: unused,
+  handleHeartbeat: (r) => {
     heard.push(r);
     return answer;
   },
-  elsewhere: () => leader,
+  redirectTarget: () => leader,
 };
 const app = buildServer(backend, {
-  questions: new AdaptiveLimit(8, 8, 1),
-  mutations: new AdaptiveLimit(8, 8, 1),
+  queryLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
+  mutationLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
   now: () => 0,
   retryAfterS: 1,
-  maxWaitS: 1,
+  cancellationWaitS: 1,
   // Longer than any wait here: nothing is closed for being idle.
-  idleS: 600,
-  took: () => {},
-  fault: (e) => faults.push(e),
+  idleTimeoutS: 600,
+  onRequestDone: () => {},
+  onFault: (e) => faults.push(e),
 });
-let worker: Peer;
+let worker: HttpConnectionPool;
 
 before(async () => {
   // Some answers close their connection: the next one may be open before that is over.
-  worker = new Peer((await app.listen({ host: "127.0.0.1", port: 0 })).slice(7), 4);
+  worker = new HttpConnectionPool((await app.listen({ host: "127.0.0.1", port: 0 })).slice(7), 4);
 });
 after(async () => {
   worker.close();
@@ -120,12 +120,12 @@
   async writeSlowly(...pieces: (string | Buffer)[]): Promise<void> {
     for (const piece of pieces) {
       this.socket.write(piece);
-      await sleep(0.02);
+      await sleepSeconds(0.02);
     }
   }
   async statuses(count: number): Promise<string[]> {
     const found = () => [...this.received.matchAll(/HTTP\/1\.1 (\d+) /g)].map((m) => m[1]!);
-    await until(`${count} answers`, () => found().length >= count);
+    await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
   /** Sends no more, and waits for the other side to do the same. */
@@ -196,9 +196,9 @@
     raw.write(begins, begins === headOf() ? body : "");
     if (begins !== "") await raw.statuses(1);
     raw.finish();
-    await until("it is closed", () => raw.closed);
+    await waitUntil("it is closed", () => raw.closed);
   }
-  await until("no connection is left", async () => {
+  await waitUntil("no connection is left", async () => {
     const left = await new Promise<number>((resolve) =>
       app.server.getConnections((_, n) => resolve(n)),
     );
@@ -210,10 +210,10 @@
   const raw = new RawConnection();
   raw.write(headOf(`Content-Length: ${body.length}\r\nConnection: close\r\n`), body);
   assert.deepEqual(await raw.statuses(1), ["200"]);
-  await until("it is closed", () => raw.closed);
+  await waitUntil("it is closed", () => raw.closed);
   const bad = new RawConnection();
   bad.write(headOf("no field\r\n\0: x\r\n"), body);
-  await until("it is closed too", () => bad.closed);
+  await waitUntil("it is closed too", () => bad.closed);
   assert.match(bad.received, /^HTTP\/1\.1 400 /);
 });
 
@@ -276,6 +276,6 @@
 
 test("fields that are not known or may be left out are no fault", () => {
   const { recallS, ...rest } = wire;
-  assert.deepEqual(decodeReport({ ...rest, news: 1 }), REPORT);
-  assert.equal(decodeReport({ ...wire, recallS: 12.5 })?.noticeS, 12.5);
+  assert.deepEqual(decodeWorkerHeartbeat({ ...rest, news: 1 }), REPORT);
+  assert.equal(decodeWorkerHeartbeat({ ...wire, recallS: 12.5 })?.interruptionNoticeS, 12.5);
 });
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -3,11 +3,11 @@
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { pino } from "pino";
-import { Records } from "../src/core/records.js";
-import { Leadership } from "../src/leadership.js";
-import type { Follower } from "../src/state/follower.js";
-import type { Store } from "../src/state/store.js";
-import type { Change } from "../src/wire/state.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { Leadership } from "../src/node/leadership.js";
+import type { KeyValueClient } from "../src/state/key-value-client.js";
+import type { StateWatcher } from "../src/state/state-watcher.js";
+import type { Change } from "../src/wire/key-value.js";
 
 const TTL_S = 4;
 
@@ -19,42 +19,42 @@
   readonly leadership: Leadership;
 
   constructor() {
-    const records = new Records();
+    const records = new StateReplica();
     records.reset([], 0);
     const store = {
-      grant: async () => 7,
-      txn: async (_: unknown, changes: readonly Change[]) => {
+      grantLease: async () => 7,
+      transact: async (_: unknown, changes: readonly Change[]) => {
         const events = changes.map((c) => ({
           key: c.key,
           value: c.op === "put" ? c.value : null,
           removed: c.op === "delete",
-          mark: 1,
+          modRevision: 1,
         }));
         records.apply(events, 1);
         return { kind: "ok", revision: 1 };
       },
-      extend: () => {
+      extendLease: () => {
         this.sentAt.push(this.now);
         return new Promise((resolve) => this.waiting.push(resolve));
       },
-      revoke: async () => {},
+      revokeLease: async () => {},
     };
     this.leadership = new Leadership(
-      store as unknown as Store,
-      { catchUp: async () => true } as unknown as Follower,
+      store as unknown as KeyValueClient,
+      { readLatest: async () => true } as unknown as StateWatcher,
       records,
       {
         member: "n0",
-        ttlS: TTL_S,
-        keepS: 60,
+        leaseS: TTL_S,
+        gracePeriodS: 60,
         now: () => this.now,
         log: pino({ level: "silent" }),
-        scheduler: () => ({ load: () => [] }) as never,
-        perform: () => {},
-        changed: () => {},
+        createScheduler: () => ({ takeOver: () => [] }) as never,
+        performEffects: () => {},
+        onLeadershipChange: () => {},
       },
     );
-    this.leadership.seek();
+    this.leadership.campaign();
   }
 }
 
@@ -71,14 +71,14 @@
   assert.deepEqual(candidate.sentAt, [101, 102, 103, 104, 105, 106, 107, 108]);
   // An answer counts from when its renewal was sent, and an older one takes nothing back.
   const { term } = candidate.leadership.current!;
-  assert.equal(term.acting(104), false);
+  assert.equal(term.mayAct(104), false);
   candidate.waiting[5]!("ok");
   await nextTurn();
-  assert.equal(term.acting(106 + 0.89 * TTL_S), true);
+  assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
   candidate.waiting[0]!("ok");
   await nextTurn();
-  assert.equal(term.acting(106 + 0.89 * TTL_S), true);
-  assert.equal(term.acting(106 + 0.9 * TTL_S), false);
+  assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
+  assert.equal(term.mayAct(106 + 0.9 * TTL_S), false);
   candidate.waiting[1]!("ended");
   await nextTurn();
   assert.equal(candidate.leadership.current, null);
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -2,9 +2,9 @@
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { worstBytes } from "../src/core/job-values.js";
+import { maxValueBytes } from "../src/core/state/job-values.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { settingsText, spec, TestLeader, task } from "./helpers.js";
+import { jobSpec, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
 
 const LOW = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
 
@@ -34,11 +34,11 @@
 function before(tasks: number, machines: number): TestLeader {
   const h = new TestLeader();
   const all = () => {
-    for (let i = 0; i < machines; i++) h.quietReport(`m-00000${i}a`, []);
+    for (let i = 0; i < machines; i++) h.receiveHeartbeatOnly(`m-00000${i}a`, []);
     h.tick(0.5);
   };
   for (let i = 0; i < 4; i++) all();
-  h.submit(spec("big", { team: "maps", tasks, cpus: 0.9, memoryGb: 0.1 }));
+  h.submit(jobSpec("big", { team: "maps", tasks, cpus: 0.9, memoryGb: 0.1 }));
   for (let i = 0; i < 4; i++) all();
   return h;
 }
@@ -47,11 +47,11 @@
     .map((p) => `${p.task}#${p.attempt} ${p.machine.name}`)
     .sort();
 const successor = (old: TestLeader, epoch: number, state: object) =>
-  new TestLeader({ records: old.records, epoch, now: old.now + 5, state: state as never });
+  new TestLeader({ records: old.replica, epoch, now: old.now + 5, state: state as never });
 
 test("a job in one large value is cut into parts in one transaction, and every task is kept", () => {
   const old = before(400, 100);
-  const stored = old.records.live.get("big")!;
+  const stored = old.replica.activeJobs.get("big")!;
   assert.equal(stored.value.c, undefined);
   assert.ok(JSON.stringify(stored.value).length > 2048, "it would not fit any more");
   const placed = placements(old);
@@ -60,9 +60,15 @@
   const h = successor(old, 2, LOW);
   assert.deepEqual(placements(h), placed);
   h.tick();
-  assert.ok(h.most.bytes <= 2048 && h.most.bytes > 0, `${h.most.bytes} bytes`);
-  assert.ok(h.most.ops <= 8, `${h.most.ops} changes`);
-  assert.equal(h.records.partsOf("big").size, Math.ceil(400 / h.records.live.get("big")!.value.c!));
+  assert.ok(
+    h.largestWritten.bytes <= 2048 && h.largestWritten.bytes > 0,
+    `${h.largestWritten.bytes} bytes`,
+  );
+  assert.ok(h.largestWritten.ops <= 8, `${h.largestWritten.ops} changes`);
+  assert.equal(
+    h.replica.shardsOf("big").size,
+    Math.ceil(400 / h.replica.activeJobs.get("big")!.value.c!),
+  );
 
   // The former version, back in its place, reads what was cut; so does the next leader.
   for (const [epoch, state] of [
@@ -81,61 +87,69 @@
   for (const odd of [1, 0]) {
     for (const [name, tasks] of on) {
       const report = tasks.map((t) =>
-        odd === 0 || t % 2 === 1 ? task("big", t, 1, "exited", "done") : task("big", t, 1),
+        odd === 0 || t % 2 === 1
+          ? taskStatus("big", t, 1, "exited", "done")
+          : taskStatus("big", t, 1),
       );
-      last.report(name, report);
+      last.receiveHeartbeat(name, report);
     }
     for (let i = 0; i < 20; i++) last.tick();
   }
-  assert.equal(last.records.finals.get("big")?.s, "done");
-  assert.equal(last.records.partsOf("big").size, 0);
-  assert.ok(last.most.bytes <= 2048 && last.most.ops <= 8, JSON.stringify(last.most));
+  assert.equal(last.replica.finalRecords.get("big")?.s, "done");
+  assert.equal(last.replica.shardsOf("big").size, 0);
+  assert.ok(
+    last.largestWritten.bytes <= 2048 && last.largestWritten.ops <= 8,
+    JSON.stringify(last.largestWritten),
+  );
 });
 
 test("while the cut is not stored, the old value is the truth; a part that ends meanwhile is not lost", () => {
   const old = before(400, 100);
   const h = successor(old, 2, LOW);
   h.epoch = 2;
-  h.storing = false;
+  h.isStoreAvailable = false;
   const first = [...h.scheduler.cluster.jobs.get("big")!.placements.values()].filter(
     (p) => p.machine.name === "m-000000a",
   );
-  h.report(
+  h.receiveHeartbeat(
     "m-000000a",
-    first.map((p) => task("big", p.task, 1, "exited", "done")),
+    first.map((p) => taskStatus("big", p.task, 1, "exited", "done")),
   );
   assert.deepEqual(placements(successor(h, 3, {})), placements(old));
-  h.storing = true;
+  h.isStoreAvailable = true;
   h.tick();
   const next = successor(h, 4, LOW);
-  assert.equal(next.scheduler.cluster.jobs.get("big")!.done.size, first.length);
+  assert.equal(next.scheduler.cluster.jobs.get("big")!.doneTasks.size, first.length);
   assert.equal(placements(next).length, 400 - first.length);
 });
 
 test("records of machines in large values are moved to small ones, each machine in some at any moment", () => {
   const old = before(1, 90);
   const names = (h: TestLeader) =>
-    new Set([...h.records.groups.values()].flatMap((g) => Object.keys(g.value)));
+    new Set([...h.replica.machineShards.values()].flatMap((g) => Object.keys(g.value)));
   assert.equal(names(old).size, 90);
   const h = successor(old, 2, LOW);
-  h.storing = false;
+  h.isStoreAvailable = false;
   for (let i = 0; i < 40; i++) {
-    const w = h.scheduler.nextWrite(8, 60_000);
+    const w = h.scheduler.nextTransaction(8, 60_000);
     if (w === null) break;
-    h.commit(w);
+    h.commitWrite(w);
     assert.equal(names(h).size, 90, `after ${i + 1} writes`);
   }
-  for (const g of h.records.groups.values()) {
+  for (const g of h.replica.machineShards.values()) {
     assert.ok(JSON.stringify(g.value).length <= 2048, `${JSON.stringify(g.value).length} bytes`);
   }
-  assert.ok(h.most.bytes <= 2048 && h.most.ops <= 8, JSON.stringify(h.most));
+  assert.ok(
+    h.largestWritten.bytes <= 2048 && h.largestWritten.ops <= 8,
+    JSON.stringify(h.largestWritten),
+  );
 });
 
 /** Machines do as they are told, and every task is done as soon as it starts, until no job is left. */
 function runToEnd(h: TestLeader, machines = 10, rounds = 120): void {
   const running = new Map<string, Set<string>>();
   for (let round = 0; round < rounds && h.scheduler.cluster.jobs.size > 0; round++) {
-    for (const o of h.pending.splice(0)) {
+    for (const o of h.unansweredRequests.splice(0)) {
       const on = running.get(o.machine) ?? new Set();
       running.set(o.machine, on);
       for (const c of o.commands) {
@@ -143,15 +157,17 @@
         if (c.op === "start") on.add(key);
         else if (c.op === "forget") on.delete(key);
       }
-      const report = h.makeReport(o.machine, doneOn(on));
+      const report = h.makeHeartbeat(o.machine, doneOn(on));
       const answer = { kind: "answer", executed: true, report } as const;
-      h.take(h.scheduler.sent(o.machine, o.commands, answer, h.now));
+      h.performEffects(h.scheduler.commandsAnswered(o.machine, o.commands, answer, h.now));
     }
-    for (const name of h.looked.splice(0)) {
-      h.take(h.scheduler.shown(name, h.makeReport(name, doneOn(running.get(name))), h.now));
+    for (const name of h.pendingProbes.splice(0)) {
+      h.performEffects(
+        h.scheduler.probeAnswered(name, h.makeHeartbeat(name, doneOn(running.get(name))), h.now),
+      );
     }
     for (let i = 0; i < machines; i++) {
-      h.quietReport(`m-00000${i}a`, doneOn(running.get(`m-00000${i}a`)));
+      h.receiveHeartbeatOnly(`m-00000${i}a`, doneOn(running.get(`m-00000${i}a`)));
     }
     h.tick(0.5);
   }
@@ -160,21 +176,24 @@
 const doneOn = (on: Set<string> | undefined) =>
   [...(on ?? [])].map((k) => {
     const [job, n, attempt] = k.split(" ");
-    return task(job!, Number(n), Number(attempt), "exited", "done");
+    return taskStatus(job!, Number(n), Number(attempt), "exited", "done");
   });
 
-const ARRAY = spec("array", { team: "maps", tasks: 1500, cpus: 0.02, memoryGb: 0.01 });
-const GANG = spec("gang", { team: "maps", kind: "gang", tasks: 100, cpus: 0.1, memoryGb: 0.1 });
+const ARRAY = jobSpec("array", { team: "maps", tasks: 1500, cpus: 0.02, memoryGb: 0.01 });
+const GANG = jobSpec("gang", { team: "maps", kind: "gang", tasks: 100, cpus: 0.1, memoryGb: 0.1 });
 
 test("a large array and a large gang run to their ends under the low limits", () => {
   const h = new TestLeader({ state: LOW });
-  for (let i = 0; i < 10; i++) h.report(`m-00000${i}a`, []);
+  for (let i = 0; i < 10; i++) h.receiveHeartbeat(`m-00000${i}a`, []);
   h.submit(ARRAY);
   h.submit(GANG);
   runToEnd(h);
-  assert.equal(h.records.finals.get("array")?.s, "done");
-  assert.equal(h.records.finals.get("gang")?.s, "done");
-  assert.ok(h.most.bytes <= 2048 && h.most.ops <= 8, JSON.stringify(h.most));
+  assert.equal(h.replica.finalRecords.get("array")?.s, "done");
+  assert.equal(h.replica.finalRecords.get("gang")?.s, "done");
+  assert.ok(
+    h.largestWritten.bytes <= 2048 && h.largestWritten.ops <= 8,
+    JSON.stringify(h.largestWritten),
+  );
 });
 
 test("values and transactions that are refused within the known limits are cut until they are taken", () => {
@@ -183,35 +202,38 @@
     { bytes: 1200, ops: 3 },
   ]) {
     const h = new TestLeader({ state: LOW });
-    for (let i = 0; i < 100; i++) h.report(`m-00000${i}a`, []);
-    h.takes = takes;
-    h.most.bytes = 0;
-    h.most.ops = 0;
+    for (let i = 0; i < 100; i++) h.receiveHeartbeat(`m-00000${i}a`, []);
+    h.storeLimits = takes;
+    h.largestWritten.bytes = 0;
+    h.largestWritten.ops = 0;
     // Each machine takes one task, so that the values name many machines.
     const wide = { team: "maps", cpus: 3, memoryGb: 0.1 };
-    h.submit(spec("array", { ...wide, tasks: 700 }));
-    h.submit(spec("gang", { ...wide, kind: "gang", tasks: 100 }));
+    h.submit(jobSpec("array", { ...wide, tasks: 700 }));
+    h.submit(jobSpec("gang", { ...wide, kind: "gang", tasks: 100 }));
     // Too small for parts under the known limits, and too large for one value under the real ones.
-    h.submit(spec("middle", { ...wide, kind: "gang", tasks: 30 }));
-    h.submit(spec("list", { ...wide, tasks: 60 }));
+    h.submit(jobSpec("middle", { ...wide, kind: "gang", tasks: 30 }));
+    h.submit(jobSpec("list", { ...wide, tasks: 60 }));
     runToEnd(h, 100, 400);
     console.log(
       "DBG",
-      h.refusals,
-      h.most,
+      h.rejectedTransactions,
+      h.largestWritten,
       takes,
       [...h.scheduler.cluster.jobs.values()].map((j) => [
         j.spec.id,
-        j.partSize,
-        j.done.size,
-        j.present,
-        worstBytes(j),
+        j.shardSize,
+        j.doneTasks.size,
+        j.placementCount,
+        maxValueBytes(j),
       ]),
     );
-    assert.ok(h.refusals > 0, "the limits were met");
-    const ends = ["array", "gang", "middle", "list"].map((id) => h.records.finals.get(id)?.s);
+    assert.ok(h.rejectedTransactions > 0, "the limits were met");
+    const ends = ["array", "gang", "middle", "list"].map((id) => h.replica.finalRecords.get(id)?.s);
     assert.deepEqual(ends, ["done", "done", "done", "done"], JSON.stringify(takes));
-    assert.ok(h.most.bytes <= takes.bytes && h.most.ops <= takes.ops, JSON.stringify(h.most));
+    assert.ok(
+      h.largestWritten.bytes <= takes.bytes && h.largestWritten.ops <= takes.ops,
+      JSON.stringify(h.largestWritten),
+    );
   }
 });
 
@@ -219,16 +241,16 @@
   const old = before(400, 100);
   const h = successor(old, 2, LOW);
   h.epoch = 2;
-  h.takes = { bytes: 1000, ops: 8 };
+  h.storeLimits = { bytes: 1000, ops: 8 };
   const on = new Map<string, number[]>();
   for (const p of h.scheduler.cluster.jobs.get("big")!.placements.values()) {
     on.set(p.machine.name, [...(on.get(p.machine.name) ?? []), p.task]);
   }
   const ended = (tasks: readonly number[]) =>
-    tasks.map((t) => task("big", t, 1, "exited" as const, "done" as const));
-  for (const [name, tasks] of on) h.quietReport(name, ended(tasks));
+    tasks.map((t) => taskStatus("big", t, 1, "exited" as const, "done" as const));
+  for (const [name, tasks] of on) h.receiveHeartbeatOnly(name, ended(tasks));
   for (let i = 0; i < 200; i++) h.tick(0.5);
-  assert.ok(h.refusals > 0, "the limits were met");
-  assert.equal(h.records.finals.get("big")?.s, "done");
-  assert.ok(h.most.bytes <= 1000, `${h.most.bytes} bytes`);
+  assert.ok(h.rejectedTransactions > 0, "the limits were met");
+  assert.equal(h.replica.finalRecords.get("big")?.s, "done");
+  assert.ok(h.largestWritten.bytes <= 1000, `${h.largestWritten.bytes} bytes`);
 });
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -4,8 +4,13 @@
  */
 import assert from "node:assert/strict";
 import { after, before, type TestContext, test } from "node:test";
-import { eventually, PROGRAM, ProcessSite, type ProcessSiteOptions } from "./process-site.js";
-import { buildProduction, productionIsAtHand } from "./production-build.js";
+import {
+  MultiProcessCluster,
+  type MultiProcessClusterOptions,
+  PROGRAM,
+  waitUntil,
+} from "./support/multi-process-cluster.js";
+import { buildProductionVersion, isProductionCommitAvailable } from "./support/production-build.js";
 
 const NODES = [0, 1, 2];
 /** An array of so many tasks stands in parts, whichever version cut it. */
@@ -14,57 +19,58 @@
 
 let production: string | null = null;
 before(() => {
-  if (productionIsAtHand()) production = buildProduction();
+  if (isProductionCommitAvailable()) production = buildProductionVersion();
 });
 
 /** Runs a scenario on three processes of the version in production, and checks the rules at its end. */
 async function mixed(
   t: TestContext,
-  scenario: (site: ProcessSite, old: string) => Promise<void>,
-  options: Partial<ProcessSiteOptions> = {},
+  scenario: (site: MultiProcessCluster, old: string) => Promise<void>,
+  options: Partial<MultiProcessClusterOptions> = {},
 ): Promise<void> {
   if (production === null) {
     t.skip("the history of the repository does not hold the version in production");
     return;
   }
-  const site = await ProcessSite.open({
+  const site = await MultiProcessCluster.open({
     taskMs: (job) => (job.startsWith("long") ? 1e6 : 1500),
     state: { next: { value_kb: 2, txn_ops: 8, write_rps: 300 } },
     ...options,
   });
   try {
-    for (const i of NODES) site.start(i, production);
-    for (const i of NODES) await site.healthy(i);
-    await eventually("a process of the version in production leads", () => site.leader() >= 0);
+    for (const i of NODES) site.startNode(i, production);
+    for (const i of NODES) await site.awaitHealthy(i);
+    await waitUntil("a process of the version in production leads", () => site.leaderIndex() >= 0);
     await scenario(site, production);
-    assert.deepEqual(site.rules.faults, []);
+    assert.deepEqual(site.ruleChecker.violations, []);
   } finally {
     site.close();
   }
 }
 
-const followers = (site: ProcessSite): number[] => NODES.filter((i) => i !== site.leader());
+const followers = (site: MultiProcessCluster): number[] =>
+  NODES.filter((i) => i !== site.leaderIndex());
 
 /** Jobs of all kinds, one of them in parts, that run for long or are done soon. */
-async function submitAll(site: ProcessSite, node: number, name: string): Promise<string[]> {
+async function submitAll(site: MultiProcessCluster, node: number, name: string): Promise<string[]> {
   const ended = [`array-${name}`, `gang-${name}`, `large-${name}`];
   const service = { gait: "service", strides: 2, rideS: 0, apart: true };
-  await site.submit(node, `long-service-${name}`, service);
-  await site.submit(node, `long-gang-${name}`, { gait: "ensemble", strides: 2, together: true });
-  await site.submit(node, ended[0]!, { strides: 3, paddock: "b" });
-  await site.submit(node, ended[1]!, { gait: "ensemble", strides: 2 });
-  await site.submit(node, ended[2]!, { ...TINY, strides: LARGE });
+  await site.submitJob(node, `long-service-${name}`, service);
+  await site.submitJob(node, `long-gang-${name}`, { gait: "ensemble", strides: 2, together: true });
+  await site.submitJob(node, ended[0]!, { strides: 3, paddock: "b" });
+  await site.submitJob(node, ended[1]!, { gait: "ensemble", strides: 2 });
+  await site.submitJob(node, ended[2]!, { ...TINY, strides: LARGE });
   return ended;
 }
 
-const running = (site: ProcessSite, id: string, tasks: number) =>
-  eventually(`${id} runs`, () => site.rules.running(id) === tasks);
+const running = (site: MultiProcessCluster, id: string, tasks: number) =>
+  waitUntil(`${id} runs`, () => site.ruleChecker.runningTaskCount(id) === tasks);
 
 /** Cancels a job whose machines hear nothing for a moment: nobody may be told before its tasks are gone. */
-async function cancelUnheard(site: ProcessSite, node: number, id: string): Promise<void> {
+async function cancelUnheard(site: MultiProcessCluster, node: number, id: string): Promise<void> {
   await running(site, id, 2);
-  const unheard = site.deafen(id, 1.2);
-  assert.equal((await site.cancel(node, id)).state, "cancelled");
+  const unheard = site.dropInboundTraffic(id, 1.2);
+  assert.equal((await site.cancelJob(node, id)).state, "cancelled");
   await unheard;
 }
 
@@ -75,41 +81,45 @@
   },
   (t) =>
     mixed(t, async (site, old) => {
-      const leader = site.leader();
+      const leader = site.leaderIndex();
       const ended = await submitAll(site, leader, "first");
       for (const i of followers(site)) {
-        site.replace(i, PROGRAM);
-        await site.healthy(i);
+        site.replaceNode(i, PROGRAM);
+        await site.awaitHealthy(i);
       }
-      assert.equal(site.leader(), leader, "the version in production still leads");
+      assert.equal(site.leaderIndex(), leader, "the version in production still leads");
       const [one, other] = followers(site) as [number, number];
       ended.push(...(await submitAll(site, one, "second")));
       await running(site, "long-service-second", 2);
       // A cancellation that a new process confirms while an old one leads.
       await cancelUnheard(site, other, "long-gang-first");
-      await site.becomes("long-gang-first", "cancelled");
+      await site.awaitJobState("long-gang-first", "cancelled");
 
       // The leader is replaced while all of that is under way, and is back at once, as it was.
-      site.replace(leader, old);
-      await site.otherLeader(leader);
-      await site.healthy(leader);
+      site.replaceNode(leader, old);
+      await site.awaitOtherLeader(leader);
+      await site.awaitHealthy(leader);
       ended.push(...(await submitAll(site, leader, "third")));
       await running(site, "long-service-third", 2);
       // A cancellation that an old process confirms while a new one leads.
       await cancelUnheard(site, leader, "long-service-first");
-      await site.becomes("long-service-first", "cancelled");
-      for (const id of ended) await site.becomes(id, "done");
+      await site.awaitJobState("long-service-first", "cancelled");
+      for (const id of ended) await site.awaitJobState(id, "done");
 
       // All are new: jobs may name others, of whichever version they were taken by.
-      site.replace(leader, PROGRAM);
-      await site.healthy(leader);
-      await site.submit(leader, "long-head");
-      await site.submit(one, "after-head", { follows: ["long-head"] });
-      await site.submit(other, "after-done", { follows: ["array-first", "large-third"] });
-      await site.becomes("after-done", "done");
-      assert.equal((await site.cancel(one, "long-head")).state, "cancelled");
-      await site.becomes("after-head", "cancelled");
-      assert.equal(site.rules.running("long-service-second"), 2, "what runs was left alone");
+      site.replaceNode(leader, PROGRAM);
+      await site.awaitHealthy(leader);
+      await site.submitJob(leader, "long-head");
+      await site.submitJob(one, "after-head", { follows: ["long-head"] });
+      await site.submitJob(other, "after-done", { follows: ["array-first", "large-third"] });
+      await site.awaitJobState("after-done", "done");
+      assert.equal((await site.cancelJob(one, "long-head")).state, "cancelled");
+      await site.awaitJobState("after-head", "cancelled");
+      assert.equal(
+        site.ruleChecker.runningTaskCount("long-service-second"),
+        2,
+        "what runs was left alone",
+      );
     }),
 );
 
@@ -122,23 +132,23 @@
     mixed(t, async (site, old) => {
       const ended = await submitAll(site, 0, "before");
       for (const i of NODES) {
-        site.replace(i, PROGRAM);
-        await site.healthy(i);
+        site.replaceNode(i, PROGRAM);
+        await site.awaitHealthy(i);
       }
-      await eventually("a new process leads", () => site.leader() >= 0);
-      ended.push(...(await submitAll(site, site.leader(), "during")));
+      await waitUntil("a new process leads", () => site.leaderIndex() >= 0);
+      ended.push(...(await submitAll(site, site.leaderIndex(), "during")));
       await running(site, "long-service-during", 2);
       for (const i of NODES) {
-        site.replace(i, old);
-        await site.healthy(i);
+        site.replaceNode(i, old);
+        await site.awaitHealthy(i);
       }
-      await eventually("an old process leads", () => site.leader() >= 0);
+      await waitUntil("an old process leads", () => site.leaderIndex() >= 0);
       ended.push(...(await submitAll(site, 1, "behind")));
-      for (const id of ended) await site.becomes(id, "done");
+      for (const id of ended) await site.awaitJobState(id, "done");
       for (const name of ["before", "during", "behind"]) {
         await running(site, `long-service-${name}`, 2);
-        assert.equal((await site.cancel(2, `long-gang-${name}`)).state, "cancelled");
-        await site.becomes(`long-gang-${name}`, "cancelled");
+        assert.equal((await site.cancelJob(2, `long-gang-${name}`)).state, "cancelled");
+        await site.awaitJobState(`long-gang-${name}`, "cancelled");
       }
     }),
 );
@@ -152,15 +162,15 @@
     mixed(t, async (site, old) => {
       const ended = await submitAll(site, 0, "first");
       for (let round = 0; round < 3; round++) {
-        for (const i of NODES) site.replace(i, (i + round) % 2 === 0 ? PROGRAM : old);
-        for (const i of NODES) await site.healthy(i);
-        await eventually("somebody leads", () => site.leader() >= 0);
+        for (const i of NODES) site.replaceNode(i, (i + round) % 2 === 0 ? PROGRAM : old);
+        for (const i of NODES) await site.awaitHealthy(i);
+        await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
         ended.push(...(await submitAll(site, round, `round-${round}`)));
         const gang = `long-gang-round-${round}`;
-        assert.equal((await site.cancel(site.leader(), gang)).state, "cancelled");
-        await site.becomes(gang, "cancelled");
+        assert.equal((await site.cancelJob(site.leaderIndex(), gang)).state, "cancelled");
+        await site.awaitJobState(gang, "cancelled");
       }
-      for (const id of ended) await site.becomes(id, "done");
+      for (const id of ended) await site.awaitJobState(id, "done");
     }),
 );
 
@@ -176,44 +186,47 @@
         const flood = { herd: "flood", strides: 4, cpus: 4 };
         const taken: string[] = [];
         const submitAt = async (node: number, name: string): Promise<number> => {
-          const answer = await site.submitOnce(node, name, flood);
+          const answer = await site.submitJobOnce(node, name, flood);
           if (answer.status <= 201) taken.push(name);
           return answer.status;
         };
         const [one, other] = followers(site) as [number, number];
-        const leader = site.leader();
+        const leader = site.leaderIndex();
         for (const i of [one, other]) {
-          site.replace(i, PROGRAM);
-          await site.healthy(i);
+          site.replaceNode(i, PROGRAM);
+          await site.awaitHealthy(i);
         }
         // The leader writes no windows: nothing is refused by share.
         for (let n = 0; n < 12; n++) assert.ok((await submitAt(n % 3, `old-${n}`)) <= 201);
-        assert.equal(site.state.keys.has("a/w"), false);
+        assert.equal(site.stateService.entries.has("a/w"), false);
         // A new process leads, and limits; the old one takes what it is given, which no rule forbids.
-        site.replace(leader, old);
-        await site.otherLeader(leader);
-        await site.healthy(leader);
+        site.replaceNode(leader, old);
+        await site.awaitOtherLeader(leader);
+        await site.awaitHealthy(leader);
         let n = 0;
-        await eventually("a new process refuses", async () => {
-          return (await submitAt(site.leader(), `new-${n++}`)) === 429;
+        await waitUntil("a new process refuses", async () => {
+          return (await submitAt(site.leaderIndex(), `new-${n++}`)) === 429;
         });
-        await eventually("the old one takes it", async () => {
+        await waitUntil("the old one takes it", async () => {
           return (await submitAt(leader, `beside-${n++}`)) <= 201;
         });
         // An old one leads again: the window that is left binds nobody.
-        const term = site.term();
-        site.replace(one, old);
-        site.replace(other, old);
-        await eventually("an old process leads", () => site.term() > term && site.leader() >= 0);
+        const term = site.epoch();
+        site.replaceNode(one, old);
+        site.replaceNode(other, old);
+        await waitUntil(
+          "an old process leads",
+          () => site.epoch() > term && site.leaderIndex() >= 0,
+        );
         const fresh = followers(site)[0]!;
-        site.replace(fresh, PROGRAM);
-        await site.healthy(fresh);
-        await eventually("all is admitted", async () => {
+        site.replaceNode(fresh, PROGRAM);
+        await site.awaitHealthy(fresh);
+        await waitUntil("all is admitted", async () => {
           return (await submitAt(fresh, `late-${n++}`)) <= 201;
         });
-        for (const id of taken) await site.becomes(id, "done");
+        for (const id of taken) await site.awaitJobState(id, "done");
       },
-      { operator: ADMISSION_ON },
+      { operatorIni: ADMISSION_ON },
     ),
 );
 
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -3,18 +3,18 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import { pino } from "pino";
-import { DEFAULT_OPERATOR } from "../src/config/operator.js";
-import { Controller } from "../src/controller.js";
-import type { Report } from "../src/core/model.js";
-import { ownDependencies, written } from "../src/core/pipeline.js";
-import { encodeHeartbeat } from "../src/mesh/codec.js";
-import { Peer } from "../src/net/client.js";
+import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
+import { formatResiduals, ownDependencies } from "../src/core/jobs/pipeline.js";
+import type { WorkerHeartbeat } from "../src/core/model.js";
+import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
+import { Controller } from "../src/node/controller.js";
+import { encodePeerHeartbeat } from "../src/peers/codec.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { encodeReport } from "../src/wire/report.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { settingsText, spec, task } from "./helpers.js";
-import { freePorts } from "./site.js";
-import { CloudStandIn, StateStandIn } from "./stand-ins.js";
+import { encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
+import { jobSpec, settingsText, taskStatus } from "./support/helpers.js";
+import { freePorts } from "./support/in-process-cluster.js";
+import { CloudStandIn, StateServiceStandIn } from "./support/stand-ins.js";
 
 const sleep = (s: number): Promise<void> => new Promise((r) => setTimeout(r, s * 1000));
 
@@ -32,7 +32,7 @@
 }
 
 /** A node against stand-ins, and a way to report to it. */
-async function nodeWith(state: StateStandIn, cloudAddress: string, leaseS: number) {
+async function nodeWith(state: StateServiceStandIn, cloudAddress: string, leaseS: number) {
   const base = JSON.parse(settingsText()) as { settings: object };
   const address = `127.0.0.1:${await freePort()}`;
   const mesh = await freePort();
@@ -51,47 +51,47 @@
     }),
   );
   if (!("settings" in read)) throw new Error(read.faults.join("; "));
-  const node = new Controller(read.settings, DEFAULT_OPERATOR, pino({ level: "silent" }));
-  const peer = new Peer(address, 8);
+  const node = new Controller(read.settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
+  const peer = new HttpConnectionPool(address, 8);
   let seq = 1;
-  const report = async (name: string, change: Partial<Report> = {}) => {
-    const r: Report = {
+  const report = async (name: string, change: Partial<WorkerHeartbeat> = {}) => {
+    const r: WorkerHeartbeat = {
       machine: "m-1",
       address: "127.0.0.1:1",
       type: "small",
       zone: "a",
       spot: false,
-      session: 1,
-      seq: seq++,
-      token: 7,
-      noticeS: null,
-      tasks: [task(name, 0, 1)],
+      incarnation: 1,
+      sequence: seq++,
+      fencingToken: 7,
+      interruptionNoticeS: null,
+      tasks: [taskStatus(name, 0, 1)],
       ...change,
     };
-    const reply = await peer.request("POST", "/checkin", encode(encodeReport(r)), 2000);
+    const reply = await peer.request("POST", "/checkin", encode(encodeWorkerHeartbeat(r)), 2000);
     const body = decode(reply.body) as { rein?: number; calls?: unknown[]; groom?: string };
     return { status: reply.status, body };
   };
   await node.start();
-  for (let i = 0; i < 100 && !node.healthy(); i++) await sleep(0.05);
+  for (let i = 0; i < 100 && !node.isHealthy(); i++) await sleep(0.05);
   return { node, peer, report, mesh };
 }
 
 test("cut off with its workers it keeps replicas alive without commands, and refuses users at once", {
   timeout: 60_000,
 }, async () => {
-  const state = new StateStandIn();
+  const state = new StateServiceStandIn();
   const cloud = new CloudStandIn();
   await state.start();
   await cloud.start();
   const put = (key: string, data: unknown): void => {
-    state.keys.set(key, { data, mark: 1, tether: null });
+    state.entries.set(key, { value: data, modRevision: 1, lease: null });
   };
   put("lead", { member: "n9", epoch: 7, lease: 99 });
   put("epoch", { n: 7 });
   const job = (id: string, change: object): void => {
-    const r = written(ownDependencies(id));
-    put(`p/${id}`, { j: spec(id, change), at: 0, r, v: 1, n: 1, o: 0, done: "", pl: [] });
+    const r = formatResiduals(ownDependencies(id));
+    put(`p/${id}`, { j: jobSpec(id, change), at: 0, r, v: 1, n: 1, o: 0, done: "", pl: [] });
   };
   job("web", { kind: "service" });
   job("gone", { kind: "service" });
@@ -108,11 +108,15 @@
     state.stop();
     await until("it answers by itself", async () => (await report("web")).status === 200);
     assert.deepEqual(await report("web"), { status: 200, body: { rein: 7, calls: [] } });
-    assert.equal((await report("web", { token: 6 })).status, 200);
-    assert.equal((await report("web", { token: 8 })).status, 421, "somebody else has taken over");
+    assert.equal((await report("web", { fencingToken: 6 })).status, 200);
+    assert.equal(
+      (await report("web", { fencingToken: 8 })).status,
+      421,
+      "somebody else has taken over",
+    );
     assert.equal((await report("web", { zone: "b" })).status, 421, "not of this zone");
     assert.equal((await report("list")).status, 421, "arrays start again elsewhere");
-    const both = [task("web", 0, 1), task("gone", 0, 1)];
+    const both = [taskStatus("web", 0, 1), taskStatus("gone", 0, 1)];
     assert.equal((await report("web", { tasks: both })).status, 421, "cancelled, must be gone");
     const began = performance.now();
     const asked = await peer.request("GET", "/api/jobs/web", null, 2000);
@@ -132,16 +136,16 @@
 test("between two leaders any node answers for part of a lease, so that workers do not all come back", {
   timeout: 60_000,
 }, async () => {
-  const state = new StateStandIn();
+  const state = new StateServiceStandIn();
   await state.start();
-  state.keys.set("epoch", { data: { n: 7 }, mark: 1, tether: null });
-  state.keys.set("x/gone", { data: { at: 0, told: true }, mark: 1, tether: null });
+  state.entries.set("epoch", { value: { n: 7 }, modRevision: 1, lease: null });
+  state.entries.set("x/gone", { value: { at: 0, told: true }, modRevision: 1, lease: null });
   // Without machine types the node cannot take the term itself.
   const nobody = `127.0.0.1:${await freePort()}`;
   const { node, peer, report } = await nodeWith(state, nobody, 30);
   try {
     assert.deepEqual(await report("list"), { status: 200, body: { rein: 7, calls: [] } });
-    assert.equal((await report("list", { token: 8 })).status, 421, "there is a later term");
+    assert.equal((await report("list", { fencingToken: 8 })).status, 421, "there is a later term");
     assert.equal((await report("gone")).status, 421, "cancelled, must be gone");
     await until("a third of a lease is over", async () => (await report("list")).status === 421);
   } finally {
@@ -154,12 +158,12 @@
 test("while a new leader settles, the others send on so many workers a second and answer the rest", {
   timeout: 60_000,
 }, async () => {
-  const state = new StateStandIn();
+  const state = new StateServiceStandIn();
   await state.start();
-  state.keys.set("epoch", { data: { n: 7 }, mark: 1, tether: null });
+  state.entries.set("epoch", { value: { n: 7 }, modRevision: 1, lease: null });
   const lead = { member: "n9", epoch: 7, lease: 1, at: Date.now() };
-  state.keys.set("lead", { data: lead, mark: 1, tether: null });
-  state.keys.set("x/gone", { data: { at: 0, told: true }, mark: 1, tether: null });
+  state.entries.set("lead", { value: lead, modRevision: 1, lease: null });
+  state.entries.set("x/gone", { value: { at: 0, told: true }, modRevision: 1, lease: null });
   const nobody = `127.0.0.1:${await freePort()}`;
   const { node, peer, report } = await nodeWith(state, nobody, 6);
   try {
@@ -175,7 +179,7 @@
     assert.equal(answered.length + sentOn.length, 100);
     for (const r of answered) assert.deepEqual(r.body, { rein: 7, calls: [] });
     for (const r of sentOn) assert.equal(r.body.groom, "n9");
-    assert.equal((await report("list", { token: 8 })).status, 421, "there is a later term");
+    assert.equal((await report("list", { fencingToken: 8 })).status, 421, "there is a later term");
     assert.equal((await report("gone")).status, 421, "cancelled, must be gone");
     // The leader counts leases as over from its own start plus the grace: no answer comes after that.
     await until("two thirds of a lease are over", async () => Date.now() - lead.at > 4000);
@@ -189,26 +193,31 @@
 });
 
 test("a leader leaves users to the others while three are in contact, and takes them back", async () => {
-  const state = new StateStandIn();
+  const state = new StateServiceStandIn();
   const cloud = new CloudStandIn();
   await Promise.all([state.start(), cloud.start()]);
   const { node, peer, mesh } = await nodeWith(state, cloud.address, 10);
-  await until("holds the term", async () => state.keys.has("lead"));
-  assert.equal(node.healthy(), true, "alone it serves users");
-  const beat = encodeHeartbeat({ stateOk: true, holds: false, epoch: 1, zone: 1 });
+  await until("holds the term", async () => state.entries.has("lead"));
+  assert.equal(node.isHealthy(), true, "alone it serves users");
+  const beat = encodePeerHeartbeat({
+    reachesStateService: true,
+    holdsLeadership: false,
+    epoch: 1,
+    zoneIndex: 1,
+  });
   const others = [1, 2, 3].map(() => connect(mesh, "127.0.0.1"));
   const beats = setInterval(() => {
     for (const o of others) if (!o.destroyed) o.write(beat);
   }, 100);
-  await until("leaves users to the others", async () => !node.healthy());
+  await until("leaves users to the others", async () => !node.isHealthy());
   // Whoever comes all the same is answered.
   const r = await peer.request("GET", "/api/jobs/nobody", null, 2000);
   assert.deepEqual([r.status, r.headers.get("connection")], [404, "close"]);
   others[0]!.destroy();
   await sleep(2);
-  assert.equal(node.healthy(), false, "two are enough to go on so");
+  assert.equal(node.isHealthy(), false, "two are enough to go on so");
   others[1]!.destroy();
-  await until("one is not enough", async () => node.healthy());
+  await until("one is not enough", async () => node.isHealthy());
   clearInterval(beats);
   others[2]!.destroy();
   await node.stop();
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -1,26 +1,26 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { decodeOperator } from "../src/config/operator.js";
-import { Bucket } from "../src/core/bucket.js";
-import { AdaptiveLimit } from "../src/core/limit.js";
-import { Ranges } from "../src/core/ranges.js";
-import { Records } from "../src/core/records.js";
-import { Term } from "../src/core/term.js";
-import { WriteBudget } from "../src/core/write-budget.js";
-import { encodeHeartbeat, HeartbeatReader } from "../src/mesh/codec.js";
+import { decodeOperatorSettings } from "../src/config/operator.js";
+import { TaskRanges } from "../src/core/jobs/task-ranges.js";
+import { LeadershipTerm } from "../src/core/leadership/term.js";
+import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
+import { TokenBucket } from "../src/core/overload/token-bucket.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { WriteBudget } from "../src/core/state/write-budget.js";
+import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
+import { decodeWatchResponse } from "../src/wire/key-value.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeJob } from "../src/wire/schema.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { decodeFollow } from "../src/wire/state.js";
-import { jobBody, settingsText } from "./helpers.js";
+import { jobBody, settingsText } from "./support/helpers.js";
 
 test("ranges join, split and keep their count", () => {
-  const r = Ranges.parse("0-3,7");
+  const r = TaskRanges.parse("0-3,7");
   for (const n of [5, 4, 6, 5]) r.add(n);
   assert.equal(r.toString(), "0-7");
   assert.equal(r.size, 8);
-  assert.deepEqual([...Ranges.parse("1-2,4").missing(6)], [0, 3, 5]);
-  const many = new Ranges();
+  assert.deepEqual([...TaskRanges.parse("1-2,4").missing(6)], [0, 3, 5]);
+  const many = new TaskRanges();
   for (let n = 0; n < 100_000; n += 2) many.add(n);
   for (let n = 1; n < 100_000; n += 2) many.add(n);
   assert.equal(many.toString(), "0-99999");
@@ -56,32 +56,32 @@
 });
 
 test("a removal carries no value (a schema that wanted one stopped all following)", () => {
-  const f = decodeFollow({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
+  const f = decodeWatchResponse({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
   assert.deepEqual(f?.events, [{ key: "p/a", value: null, removed: true, mark: 9 }]);
 });
 
 test("the copy never goes back when an older answer arrives late", () => {
-  const r = new Records();
+  const r = new StateReplica();
   r.reset([], 0);
-  r.apply([{ key: "d/a", value: { s: "done", n: 3 }, removed: false, mark: 5 }], 6);
-  r.apply([{ key: "d/a", value: { s: "cancelled", n: 3 }, removed: false, mark: 4 }], 4);
+  r.apply([{ key: "d/a", value: { s: "done", n: 3 }, removed: false, modRevision: 5 }], 6);
+  r.apply([{ key: "d/a", value: { s: "cancelled", n: 3 }, removed: false, modRevision: 4 }], 4);
   assert.deepEqual(r.view("a"), { id: "a", state: "done", done: 3, running: 0 });
   assert.equal(r.view("b"), null);
-  assert.equal(r.ledger, 6);
+  assert.equal(r.revision, 6);
 });
 
 test("a budget refills with time and no further than its burst", () => {
-  const b = new Bucket(10, 5);
-  assert.equal(b.take(5, 0), true);
-  assert.equal(b.take(1, 0.05), false);
-  assert.equal(b.take(1, 0.1), true);
-  b.force(4, 0.1);
-  assert.equal(b.wait(1, 0.1).toFixed(2), "0.50");
+  const b = new TokenBucket(10, 5);
+  assert.equal(b.tryTake(5, 0), true);
+  assert.equal(b.tryTake(1, 0.05), false);
+  assert.equal(b.tryTake(1, 0.1), true);
+  b.takeOnCredit(4, 0.1);
+  assert.equal(b.secondsUntilAvailable(1, 0.1).toFixed(2), "0.50");
   assert.equal(b.available(100), 5);
 });
 
 test("a budget that is given a new rate has its burst as well", () => {
-  const b = new Bucket(5, 5);
+  const b = new TokenBucket(5, 5);
   b.setRate(20, 20);
   assert.equal(b.available(10), 20);
   b.setRate(5, 5);
@@ -90,14 +90,14 @@
 
 test("the limit settles where requests begin to queue, and comes back", () => {
   // A server that does four at a time in 0.1 s each: more in progress only wait longer.
-  const limit = new AdaptiveLimit(2, 200, 0.05);
+  const limit = new AdaptiveConcurrencyLimit(2, 200, 0.05);
   const settle = (capacity: number, rounds: number): number => {
     for (let i = 0; i < rounds; i++) {
       let n = 0;
-      while (limit.enter()) n++;
-      for (let k = 0; k < n; k++) limit.leave(0.1 * Math.max(1, n / capacity));
+      while (limit.tryAcquire()) n++;
+      for (let k = 0; k < n; k++) limit.release(0.1 * Math.max(1, n / capacity));
     }
-    return limit.current;
+    return limit.currentLimit;
   };
   const tight = settle(4, 400);
   assert.ok(tight >= 6 && tight <= 16, `settled at ${tight} for four at a time`);
@@ -108,14 +108,14 @@
 });
 
 test("the leader stops before its lease can lapse, and answers on for a bounded time", () => {
-  const t = new Term("n0", 4, 17, 9, 3, 100);
-  assert.equal(t.acting(102.6), true);
-  assert.equal(t.acting(102.7), false);
-  assert.equal(t.answering(122, 21), true);
-  assert.equal(t.answering(124, 21), false);
-  t.renewed(101);
-  t.renewed(100.5);
-  assert.equal(t.acting(103.6), true);
+  const t = new LeadershipTerm("n0", 4, 17, 9, 3, 100);
+  assert.equal(t.mayAct(102.6), true);
+  assert.equal(t.mayAct(102.7), false);
+  assert.equal(t.isWithinGracePeriod(122, 21), true);
+  assert.equal(t.isWithinGracePeriod(124, 21), false);
+  t.extendFrom(101);
+  t.extendFrom(100.5);
+  assert.equal(t.mayAct(103.6), true);
 });
 
 test("bad settings are named field by field", () => {
@@ -125,38 +125,48 @@
   assert.ok("faults" in bad);
   assert.deepEqual(bad.faults.map((f) => f.split(":")[0]).sort(), ["serve_on", "siblings"]);
   assert.ok("faults" in decodeSettings("{"));
-  const ini = decodeOperator("[term]\ngrace_ratio = 9\nnew_key = 1\n[other]\na = 1\n");
+  const ini = decodeOperatorSettings("[term]\ngrace_ratio = 9\nnew_key = 1\n[other]\na = 1\n");
   assert.equal(ini.faults.length, 1);
   assert.match(ini.faults[0]!, /^term.grace_ratio/);
   assert.deepEqual(ini.unknown, ["other", "term.new_key"]);
 });
 
 test("beats come out whole however the stream is cut, and strangers are turned away", () => {
-  const a = encodeHeartbeat({ stateOk: true, holds: false, epoch: 2 ** 40 + 1, zone: 2 });
-  const b = encodeHeartbeat({ stateOk: false, holds: true, epoch: 0, zone: 0 });
+  const a = encodePeerHeartbeat({
+    reachesStateService: true,
+    holdsLeadership: false,
+    epoch: 2 ** 40 + 1,
+    zoneIndex: 2,
+  });
+  const b = encodePeerHeartbeat({
+    reachesStateService: false,
+    holdsLeadership: true,
+    epoch: 0,
+    zoneIndex: 0,
+  });
   assert.equal(a.toString("hex"), "5001000a01000001000000000102");
-  const reader = new HeartbeatReader();
+  const reader = new PeerHeartbeatReader();
   const got = [...Buffer.concat([a, b, a])].flatMap((byte) => reader.feed(Buffer.from([byte])));
   assert.deepEqual(got, [
     { stateOk: true, holds: false, epoch: 2 ** 40 + 1, zone: 2 },
     { stateOk: false, holds: true, epoch: 0, zone: 0 },
     { stateOk: true, holds: false, epoch: 2 ** 40 + 1, zone: 2 },
   ]);
-  assert.throws(() => new HeartbeatReader().feed(Buffer.from("GET / HTTP/1.1")));
+  assert.throws(() => new PeerHeartbeatReader().feed(Buffer.from("GET / HTTP/1.1")));
 });
 
 test("the leader writes what the others leave, and its own part after a refusal", () => {
   const share = new WriteBudget(30);
-  assert.ok(share.rate(0) > 25, "nobody else writes");
+  assert.ok(share.leaderChangesPerS(0) > 25, "nobody else writes");
   // Ten submissions a second, at any node.
   for (let t = 0.25; t <= 10; t += 0.25) {
-    share.seen(2.5);
-    share.rate(t);
+    share.recordRequestChanges(2.5);
+    share.leaderChangesPerS(t);
   }
-  assert.equal(share.rate(10), 12);
-  for (let t = 10.25; t <= 20; t += 0.25) share.rate(t);
-  assert.ok(share.rate(20) > 25);
-  share.refused(20);
-  assert.equal(share.rate(24), 20);
-  assert.ok(share.rate(26) > 25);
+  assert.equal(share.leaderChangesPerS(10), 12);
+  for (let t = 10.25; t <= 20; t += 0.25) share.leaderChangesPerS(t);
+  assert.ok(share.leaderChangesPerS(20) > 25);
+  share.recordRefusal(20);
+  assert.equal(share.leaderChangesPerS(24), 20);
+  assert.ok(share.leaderChangesPerS(26) > 25);
 });
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -1,15 +1,15 @@
 /** The constraints on places as pure logic: every small case, held against the rule as it is written. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobSpec } from "../src/core/model.js";
 import {
-  machineAllowed,
+  areZonesSufficient,
+  isMachineAllowed,
   UNKNOWN_ZONE,
   ZoneOccupancy,
-  zonesSuffice,
-} from "../src/core/placement-rules.js";
-import { spec } from "./helpers.js";
-import { placeFaults } from "./placement-checker.js";
+} from "../src/core/dispatch/placement-constraints.js";
+import type { JobSpec } from "../src/core/model.js";
+import { jobSpec } from "./support/helpers.js";
+import { placeFaults } from "./support/placement-checker.js";
 
 const ZONES = ["a", "b", "c"];
 
@@ -40,13 +40,13 @@
   for (const spread of [false, true]) {
     test(`room in zones, every case of up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
       for (const tasks of [1, 2, 3, 4, 5]) {
-        const s = spec("j", { tasks, oneZone, spread });
+        const s = jobSpec("j", { tasks, oneZone, spread });
         for (let n = 0; n <= 4; n++) {
           for (const others of lists([...ZONES, UNKNOWN_ZONE], n)) {
             for (const zone of ZONES) {
               const may = mayBeIn(s, zone, others);
               const what = `${tasks} tasks, one to ${zone} beside ${others}`;
-              assert.equal(occupancyOf(s, others).roomIn(zone) > 0, may, what);
+              assert.equal(occupancyOf(s, others).capacityIn(zone) > 0, may, what);
               const counted = occupancyOf(s, [...others, zone]);
               assert.equal(counted.mayStartIn(zone), may, `${what}, at its start`);
             }
@@ -58,48 +58,53 @@
 }
 
 test("as many tasks may be placed as there is room for, and no more", () => {
-  const s = spec("j", { tasks: 7, spread: true });
+  const s = jobSpec("j", { tasks: 7, spread: true });
   const zones = occupancyOf(s, ["a"]);
-  assert.equal(zones.takeRoom("a", 9), 3);
-  assert.equal(zones.takeRoom("a", 1), 0);
-  assert.equal(zones.takeRoom("b", 2), 2);
-  assert.equal(zones.roomIn("b"), 2);
+  assert.equal(zones.reserveIn("a", 9), 3);
+  assert.equal(zones.reserveIn("a", 1), 0);
+  assert.equal(zones.reserveIn("b", 2), 2);
+  assert.equal(zones.capacityIn("b"), 2);
   zones.remove("a");
-  assert.equal(zones.roomIn("a"), 1);
+  assert.equal(zones.capacityIn("a"), 1);
 });
 
 test("nothing is placed where the zone is not known, if zones matter to the job", () => {
   for (const constraint of [{ oneZone: true }, { spread: true }]) {
-    const zones = new ZoneOccupancy(spec("j", { tasks: 4, ...constraint }));
-    assert.equal(zones.roomIn(UNKNOWN_ZONE), 0);
+    const zones = new ZoneOccupancy(jobSpec("j", { tasks: 4, ...constraint }));
+    assert.equal(zones.capacityIn(UNKNOWN_ZONE), 0);
     zones.add(UNKNOWN_ZONE);
     assert.equal(zones.mayStartIn(UNKNOWN_ZONE), false);
   }
-  assert.ok(new ZoneOccupancy(spec("j")).roomIn(UNKNOWN_ZONE) > 0);
+  assert.ok(new ZoneOccupancy(jobSpec("j")).capacityIn(UNKNOWN_ZONE) > 0);
 });
 
 test("tasks that must share a zone are split over two; the zone with most of them is kept", () => {
-  const zones = occupancyOf(spec("j", { tasks: 5, oneZone: true }), ["b", "a", "b", UNKNOWN_ZONE]);
+  const zones = occupancyOf(jobSpec("j", { tasks: 5, oneZone: true }), [
+    "b",
+    "a",
+    "b",
+    UNKNOWN_ZONE,
+  ]);
   assert.equal(zones.isSplit, true);
   assert.equal(zones.mainZone, "b");
-  assert.equal(occupancyOf(spec("j", { tasks: 5 }), ["a", "b"]).isSplit, false);
+  assert.equal(occupancyOf(jobSpec("j", { tasks: 5 }), ["a", "b"]).isSplit, false);
 });
 
 test("types, zone and kind of machine", () => {
   const machine = { type: { name: "small" }, zone: "a", spot: true };
-  assert.equal(machineAllowed(spec("j"), machine), true);
-  assert.equal(machineAllowed(spec("j", { types: ["big"] }), machine), false);
-  assert.equal(machineAllowed(spec("j", { types: [] }), machine), false);
-  assert.equal(machineAllowed(spec("j", { zone: "b" }), machine), false);
-  assert.equal(machineAllowed(spec("j", { spot: false }), machine), false);
-  assert.equal(machineAllowed(spec("j", { spot: false }), { ...machine, spot: false }), true);
+  assert.equal(isMachineAllowed(jobSpec("j"), machine), true);
+  assert.equal(isMachineAllowed(jobSpec("j", { types: ["big"] }), machine), false);
+  assert.equal(isMachineAllowed(jobSpec("j", { types: [] }), machine), false);
+  assert.equal(isMachineAllowed(jobSpec("j", { zone: "b" }), machine), false);
+  assert.equal(isMachineAllowed(jobSpec("j", { spot: false }), machine), false);
+  assert.equal(isMachineAllowed(jobSpec("j", { spot: false }), { ...machine, spot: false }), true);
   const unknown = { ...machine, zone: UNKNOWN_ZONE };
-  assert.equal(machineAllowed(spec("j", { zone: "a" }), unknown), false);
+  assert.equal(isMachineAllowed(jobSpec("j", { zone: "a" }), unknown), false);
 });
 
 test("a spread job needs two zones for all its tasks to run at one time", () => {
-  assert.equal(zonesSuffice(spec("j", { tasks: 4, spread: true }), 1), false);
-  assert.equal(zonesSuffice(spec("j", { tasks: 5, spread: true }), 2), true);
-  assert.equal(zonesSuffice(spec("j", { tasks: 1, spread: true }), 1), true);
-  assert.equal(zonesSuffice(spec("j", { tasks: 4 }), 1), true);
+  assert.equal(areZonesSufficient(jobSpec("j", { tasks: 4, spread: true }), 1), false);
+  assert.equal(areZonesSufficient(jobSpec("j", { tasks: 5, spread: true }), 2), true);
+  assert.equal(areZonesSufficient(jobSpec("j", { tasks: 1, spread: true }), 1), true);
+  assert.equal(areZonesSufficient(jobSpec("j", { tasks: 4 }), 1), true);
 });
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -7,19 +7,19 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { Command } from "commander";
-import { eventually, ProcessSite } from "./process-site.js";
-import type { ProcessProfile } from "./profile-hook.js";
-import { sleep } from "./site.js";
+import { sleepSeconds } from "./support/in-process-cluster.js";
+import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
+import type { ProcessProfile } from "./support/profile-hook.js";
 
 /** The program in many files, so that each sample names its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
-const HOOK = new URL("./profile-hook.js", import.meta.url).href;
-const NODES = 3;
-const CPUS_A_MACHINE = 4;
-const REPORT_S = 3;
+const HOOK = new URL("./support/profile-hook.js", import.meta.url).href;
+const NODE_COUNT = 3;
+const CPUS_PER_MACHINE = 4;
+const HEARTBEAT_INTERVAL_S = 3;
 const LEASE_S = 21;
-const TASKS_A_JOB = 40;
-const SHOWN = 40;
+const TASKS_PER_JOB = 40;
+const ROWS_SHOWN = 40;
 
 interface Options {
   readonly machines: number;
@@ -37,7 +37,7 @@
 type Node = Profile["nodes"][number];
 
 /** Milliseconds by name: `self` without what was called, `inclusive` with it. */
-interface Times {
+interface ProcessorTimes {
   readonly self: Map<string, number>;
   readonly inclusive: Map<string, number>;
 }
@@ -51,7 +51,7 @@
   return own === null ? functionName || "native" : own[1]!;
 }
 
-function timesOf({ nodes, samples, timeDeltas }: Profile): Times {
+function processorTimesOf({ nodes, samples, timeDeltas }: Profile): ProcessorTimes {
   const byId = new Map(nodes.map((n) => [n.id, n]));
   const parents = new Map<number, number>();
   for (const n of nodes) for (const child of n.children ?? []) parents.set(child, n.id);
@@ -77,7 +77,7 @@
   const rows = [...times]
     .filter(([name]) => !name.includes("(idle)") && !name.includes("(root)"))
     .sort((a, b) => b[1] - a[1])
-    .slice(0, SHOWN)
+    .slice(0, ROWS_SHOWN)
     .map(([name, ms]) => `  ${(ms / seconds).toFixed(2).padStart(8)} ${name}`);
   return [`${title} (ms a second)`, ...rows].join("\n");
 }
@@ -89,7 +89,7 @@
     `garbage collection ${(gcMs / seconds).toFixed(2)} ms in ${(gcRuns / seconds).toFixed(2)} runs, ` +
     `resident ${residentMb.toFixed(0)} MB, heap ${heapMb.toFixed(0)} MB`;
   if (profile === null) return summary;
-  const { self, inclusive } = timesOf(profile);
+  const { self, inclusive } = processorTimesOf(profile);
   return [
     summary,
     table("  by module, without what it calls", self, seconds),
@@ -98,13 +98,13 @@
 }
 
 /** Users who keep the machines full, and ask about what they submitted. */
-class Users {
+class SimulatedUsers {
   private next = 0;
   private readonly submitted: string[] = [];
   private stopped = false;
 
   constructor(
-    private readonly site: ProcessSite,
+    private readonly site: MultiProcessCluster,
     private readonly options: Options,
   ) {}
 
@@ -118,39 +118,39 @@
 
   private async submitAll(): Promise<void> {
     const { machines, taskSeconds } = this.options;
-    const jobsASecond = (machines * CPUS_A_MACHINE) / TASKS_A_JOB / taskSeconds;
+    const jobsASecond = (machines * CPUS_PER_MACHINE) / TASKS_PER_JOB / taskSeconds;
     while (!this.stopped) {
       const id = `run-${this.next++}`;
-      const change = { strides: TASKS_A_JOB, rideS: taskSeconds, memoryGb: 0.1, outfit: "maps" };
+      const change = { strides: TASKS_PER_JOB, rideS: taskSeconds, memoryGb: 0.1, outfit: "maps" };
       void this.site
-        .submitOnce(this.next % NODES, id, change)
+        .submitJobOnce(this.next % NODE_COUNT, id, change)
         .then(({ status }) => status === 201 && this.submitted.push(id));
-      await sleep(1 / jobsASecond);
+      await sleepSeconds(1 / jobsASecond);
     }
   }
 
   private async askAll(): Promise<void> {
     for (let n = 0; !this.stopped; n++) {
       const id = this.submitted[(n * 7) % Math.max(1, this.submitted.length)];
-      if (id !== undefined) void this.site.query(n % NODES, id).catch(() => null);
-      await sleep(1 / this.options.questions);
+      if (id !== undefined) void this.site.queryJob(n % NODE_COUNT, id).catch(() => null);
+      await sleepSeconds(1 / this.options.questions);
     }
   }
 }
 
-function reportsOf(site: ProcessSite): number {
+function heartbeatCount(site: MultiProcessCluster): number {
   let reports = 0;
-  for (const worker of site.cloud.workers.values()) reports += worker.sent.length;
+  for (const worker of site.cloud.workers.values()) reports += worker.sentHeartbeats.length;
   return reports;
 }
 
 async function measure(options: Options): Promise<string> {
   const dir = mkdtempSync(join(tmpdir(), "peatsaddle-profile-"));
-  const files = Array.from({ length: NODES }, (_, i) => join(dir, `n${i}.json`));
-  const site = await ProcessSite.open({
+  const files = Array.from({ length: NODE_COUNT }, (_, i) => join(dir, `n${i}.json`));
+  const site = await MultiProcessCluster.open({
     taskMs: () => options.taskSeconds * 1000,
     workers: options.machines,
-    report: { everyS: REPORT_S, leaseS: LEASE_S },
+    heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
     nodeArguments: [...options.flags.split(" ").filter((f) => f !== ""), "--import", HOOK],
     environment: (i) => ({
       PROFILE_FILE: files[i]!,
@@ -159,22 +159,22 @@
     }),
   });
   try {
-    for (let i = 0; i < NODES; i++) site.start(i, options.program);
-    for (let i = 0; i < NODES; i++) await site.healthy(i);
-    await eventually("somebody leads", () => site.leader() >= 0);
-    const users = new Users(site, options);
+    for (let i = 0; i < NODE_COUNT; i++) site.startNode(i, options.program);
+    for (let i = 0; i < NODE_COUNT; i++) await site.awaitHealthy(i);
+    await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
+    const users = new SimulatedUsers(site, options);
     users.start();
-    if (!options.fromStart) await sleep(options.warmUp);
-    const leader = site.leader();
-    const reportsBefore = reportsOf(site);
-    if (!options.fromStart) for (let i = 0; i < NODES; i++) site.signal(i, "SIGUSR2");
-    await sleep(options.seconds);
-    const reports = (reportsOf(site) - reportsBefore) / options.seconds;
-    for (let i = 0; i < NODES; i++) site.signal(i, "SIGUSR2");
-    await eventually("profiles are written", () => files.every(existsSync));
-    await sleep(1);
+    if (!options.fromStart) await sleepSeconds(options.warmUp);
+    const leader = site.leaderIndex();
+    const reportsBefore = heartbeatCount(site);
+    if (!options.fromStart) for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
+    await sleepSeconds(options.seconds);
+    const reports = (heartbeatCount(site) - reportsBefore) / options.seconds;
+    for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
+    await waitUntil("profiles are written", () => files.every(existsSync));
+    await sleepSeconds(1);
     users.stop();
-    const kept = site.leader() === leader ? "one leader" : "the leader changed: of no use";
+    const kept = site.leaderIndex() === leader ? "one leader" : "the leader changed: of no use";
     const text = files.map((file, i) => {
       const measured = JSON.parse(readFileSync(file, "utf8")) as ProcessProfile;
       return describe(`n${i}${i === leader ? " (leader)" : ""}`, measured);
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -1,18 +1,18 @@
 /** One trace for each rule of the protocol, with the failure that could break it. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { dependenciesOf, written } from "../src/core/pipeline.js";
-import { KEY, Records } from "../src/core/records.js";
-import { ready, spec, TestLeader, task } from "./helpers.js";
+import { dependenciesOf, formatResiduals } from "../src/core/jobs/pipeline.js";
+import { KEY, StateReplica } from "../src/core/state/state-replica.js";
+import { jobSpec, leaderWithTwoMachines, TestLeader, taskStatus } from "./support/helpers.js";
 
 test("ran_twice: a start without an answer is repeated where it was, not elsewhere", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer(null);
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest(null);
   h.tick(2);
-  h.answer([task("j", 0, 1)]);
+  h.answerRequest([taskStatus("j", 0, 1)]);
   assert.equal(
-    h.trace(),
+    h.takeTrace(),
     `
 > submit j
 write p/j done= at=[["m1a",1,1,"0"]]
@@ -25,32 +25,32 @@
 });
 
 test("ran_twice: nothing is sent before the placement is stored", () => {
-  const h = ready();
-  h.storing = false;
-  h.submit(spec("j"));
-  h.report("m1a", []);
-  assert.equal(h.trace(), "\n> submit j\n> m1a reports s1 []\n");
-  h.storing = true;
+  const h = leaderWithTwoMachines();
+  h.isStoreAvailable = false;
+  h.submit(jobSpec("j"));
+  h.receiveHeartbeat("m1a", []);
+  assert.equal(h.takeTrace(), "\n> submit j\n> m1a reports s1 []\n");
+  h.isStoreAvailable = true;
   h.tick();
-  assert.match(h.trace(), /write p\/j .*\nsend m1a: start j\/0#1/);
+  assert.match(h.takeTrace(), /write p\/j .*\nsend m1a: start j\/0#1/);
 });
 
 test("ran_twice: a silent machine's task starts elsewhere only after the cloud took it", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer([task("j", 0, 1)]);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest([taskStatus("j", 0, 1)]);
+  h.takeTrace();
   for (let i = 0; i < 7; i++) {
-    h.report("m2b", []);
+    h.receiveHeartbeat("m2b", []);
     h.tick(1);
   }
-  assert.match(h.trace(), /cloud return m1a/);
-  h.report("m2b", []);
-  h.trace();
-  h.take(h.scheduler.returned(["m1a"], true, h.now));
+  assert.match(h.takeTrace(), /cloud return m1a/);
+  h.receiveHeartbeat("m2b", []);
+  h.takeTrace();
+  h.performEffects(h.scheduler.releaseAnswered(["m1a"], true, h.now));
   h.tick();
   assert.equal(
-    h.trace(),
+    h.takeTrace(),
     `
 write p/j done= at=[["m2b",1,2,"0"]]
 send m2b: start j/0#2
@@ -59,103 +59,106 @@
 });
 
 test("ran_twice: with the cloud down too, only once the worker's lease is over", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer([task("j", 0, 1)]);
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest([taskStatus("j", 0, 1)]);
   const began = h.now;
   let moved = 0;
   for (let i = 0; i < 60 && moved === 0; i++) {
     h.now += 1;
-    h.report("m2b", []);
-    if (h.trace().includes("start j/0#2")) moved = h.now - began;
+    h.receiveHeartbeat("m2b", []);
+    if (h.takeTrace().includes("start j/0#2")) moved = h.now - began;
   }
   // A former leader might have answered its reports for 21 s, and then its lease is 21 s.
   assert.ok(moved > 42 && moved < 50, `moved after ${moved} s`);
 });
 
 test("ran_twice: an end is forgotten only when stored, and not while a start is unanswered", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 2, cpus: 4, memoryGb: 1 }));
-  h.answer(null);
-  h.answer([task("j", 1, 1)]);
-  h.report("m1a", [task("j", 0, 1, "exited", "done")]);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 2, cpus: 4, memoryGb: 1 }));
+  h.answerRequest(null);
+  h.answerRequest([taskStatus("j", 1, 1)]);
+  h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
+  h.takeTrace();
   for (let i = 0; i < 4; i++) {
     h.now += 3;
-    h.report("m1a", [task("j", 0, 1, "exited", "done")]);
-    h.report("m2b", [task("j", 1, 1)]);
+    h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
+    h.receiveHeartbeat("m2b", [taskStatus("j", 1, 1)]);
   }
-  const t = h.trace();
+  const t = h.takeTrace();
   assert.equal(/forget/.test(t), false);
   assert.match(t, /raise the token/);
   h.epoch = 2;
-  h.take(h.scheduler.tokenRaised({ n: 2, mark: 50 }, h.now));
-  assert.equal(h.trace(), "\nsend m1a: fence\nsend m2b: fence\n");
-  h.answer([task("j", 0, 1, "exited", "done")]);
-  h.report("m1a", [task("j", 0, 1, "exited", "done")]);
-  assert.match(h.trace(), /answer forget j\/0#1/);
+  h.performEffects(h.scheduler.fencingTokenAdvanced({ n: 2, mark: 50 }, h.now));
+  assert.equal(h.takeTrace(), "\nsend m1a: fence\nsend m2b: fence\n");
+  h.answerRequest([taskStatus("j", 0, 1, "exited", "done")]);
+  h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
+  assert.match(h.takeTrace(), /answer forget j\/0#1/);
 });
 
 test("quota: a placement counts until it is proven gone", () => {
-  const h = ready();
+  const h = leaderWithTwoMachines();
   // 16 CPUs at most for the team: 4 tasks of 4; two machines of 4 take two.
-  h.submit(spec("j", { tasks: 6, cpus: 4 }));
+  h.submit(jobSpec("j", { tasks: 6, cpus: 4 }));
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 8);
-  h.answer(null);
-  h.answer(null);
+  h.answerRequest(null);
+  h.answerRequest(null);
   h.cancel("j");
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 8);
-  h.report("m1a", [], { session: 2 });
+  h.receiveHeartbeat("m1a", [], { incarnation: 2 });
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 4);
 });
 
 test("wrong_place: at most half of the tasks, rounded up, in one zone", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 5, spread: true, kind: "service" }));
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 5, spread: true, kind: "service" }));
   assert.match(
-    h.trace(),
+    h.takeTrace(),
     /\["m1a",1,1,"0-2"\],\["m2b",1,1,"3-4"\]|\["m2b",1,1,"0-2"\],\["m1a",1,1,"3-4"\]/,
   );
 });
 
 test("wrong_place: tasks that must share a zone wait for those of an old attempt", () => {
-  const h = ready();
-  h.submit(spec("g", { kind: "gang", tasks: 2, cpus: 2, oneZone: true }));
-  const first = h.pending[0]!.machine;
-  h.answer([task("g", 0, 1), task("g", 1, 1)]);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("g", { kind: "gang", tasks: 2, cpus: 2, oneZone: true }));
+  const first = h.unansweredRequests[0]!.machine;
+  h.answerRequest([taskStatus("g", 0, 1), taskStatus("g", 1, 1)]);
+  h.takeTrace();
   // One ends with its mates gone, the other still saves: nothing starts, in either zone.
-  h.report(first, [task("g", 0, 1, "exited", "peers"), task("g", 1, 1, "running")]);
-  assert.equal(/start/.test(h.trace()), false);
+  h.receiveHeartbeat(first, [
+    taskStatus("g", 0, 1, "exited", "peers"),
+    taskStatus("g", 1, 1, "running"),
+  ]);
+  assert.equal(/start/.test(h.takeTrace()), false);
 });
 
 test("ran_cancelled: a start that may be under way is fenced off by a new token", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer(null);
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest(null);
   h.cancel("j");
   h.now += 11;
-  h.report("m1a", []);
-  h.report("m2b", []);
-  const t = h.trace();
+  h.receiveHeartbeat("m1a", []);
+  h.receiveHeartbeat("m2b", []);
+  const t = h.takeTrace();
   assert.match(t, /raise the token/);
   assert.equal(/d\/j cancelled/.test(t), false);
   h.epoch = 2;
-  h.take(h.scheduler.tokenRaised({ n: 2, mark: 50 }, h.now));
-  h.trace();
-  h.answer([]);
-  assert.match(h.trace(), /write d\/j cancelled; remove p\/j; remove x\/j/);
+  h.performEffects(h.scheduler.fencingTokenAdvanced({ n: 2, mark: 50 }, h.now));
+  h.takeTrace();
+  h.answerRequest([]);
+  assert.match(h.takeTrace(), /write d\/j cancelled; remove p\/j; remove x\/j/);
 });
 
 test("ran_cancelled: tasks are stopped at once and the end is stored when they are gone", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer([task("j", 0, 1)]);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest([taskStatus("j", 0, 1)]);
+  h.takeTrace();
   h.cancel("j");
-  h.answer([task("j", 0, 1, "exited", "stopped")]);
+  h.answerRequest([taskStatus("j", 0, 1, "exited", "stopped")]);
   assert.equal(
-    h.trace(),
+    h.takeTrace(),
     `
 > cancel j
 send m1a: stop j/0#1
@@ -164,101 +167,101 @@
 write d/j cancelled; remove p/j; remove x/j
 `,
   );
-  h.report("m1a", [task("j", 0, 1, "exited", "stopped")]);
-  assert.match(h.trace(), /answer forget j\/0#1/);
+  h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "stopped")]);
+  assert.match(h.takeTrace(), /answer forget j\/0#1/);
 });
 
 test("went_back, not_done: the end is one write that a cancellation makes fail", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer([task("j", 0, 1)]);
-  h.storing = false;
-  h.report("m1a", [task("j", 0, 1, "exited", "done")]);
-  const w = h.scheduler.nextWrite(32, 60_000);
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest([taskStatus("j", 0, 1)]);
+  h.isStoreAvailable = false;
+  h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
+  const w = h.scheduler.nextTransaction(32, 60_000);
   assert.deepEqual(
-    w?.conditions.map((c) => `${c.key}=${c.mark === 0 ? 0 : "n"}`),
+    w?.preconditions.map((c) => `${c.key}=${c.modRevision === 0 ? 0 : "n"}`),
     ["epoch=n", "p/j=n", "d/j=0", "x/j=0"],
   );
-  assert.deepEqual(h.records.view("j")?.state, "running");
+  assert.deepEqual(h.replica.view("j")?.state, "running");
 });
 
 test("not_done: a result is not lost with the report that told of it", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 2 }));
-  h.answer([task("j", 0, 1, "exited", "done"), task("j", 1, 1)]);
-  h.report("m1a", [task("j", 0, 1, "exited", "done"), task("j", 1, 1)]);
-  assert.match(h.trace(), /answer forget j\/0#1/);
-  h.report("m1a", [task("j", 1, 1, "exited", "done")]);
-  assert.match(h.trace(), /write d\/j done; remove p\/j/);
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 2 }));
+  h.answerRequest([taskStatus("j", 0, 1, "exited", "done"), taskStatus("j", 1, 1)]);
+  h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done"), taskStatus("j", 1, 1)]);
+  assert.match(h.takeTrace(), /answer forget j\/0#1/);
+  h.receiveHeartbeat("m1a", [taskStatus("j", 1, 1, "exited", "done")]);
+  assert.match(h.takeTrace(), /write d\/j done; remove p\/j/);
 });
 
 test("takeover: a placement counts until its machine is fenced, then starts again in place", () => {
-  const old = ready();
-  old.submit(spec("j"));
-  old.submit(spec("k"));
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("j"));
+  old.submit(jobSpec("k"));
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
-  assert.equal(h.trace(), "\n\n");
+  assert.equal(h.takeTrace(), "\n\n");
   h.tick();
   // Workers mostly come by themselves: those without replicas get a third of their lease.
   for (let i = 0; i < 4; i++) h.tick(1.5);
-  assert.equal(h.trace(), "\n\n");
+  assert.equal(h.takeTrace(), "\n\n");
   h.tick(1.5);
-  assert.equal(h.trace(), "\nsend m1a: fence\nsend m2b: fence\n");
-  h.answer([task("j", 0, 1)]);
+  assert.equal(h.takeTrace(), "\nsend m1a: fence\nsend m2b: fence\n");
+  h.answerRequest([taskStatus("j", 0, 1)]);
   // The start of k never arrived. Older tokens are dropped from now on, so it can be sent again.
-  assert.equal(h.trace(), "\n> m1a answers s1 [j/0#1 running]\nsend m1a: start k/0#1\n");
+  assert.equal(h.takeTrace(), "\n> m1a answers s1 [j/0#1 running]\nsend m1a: start k/0#1\n");
 });
 
 test("takeover: a report with an older token proves nothing", () => {
-  const old = ready();
-  old.submit(spec("j"));
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("j"));
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
-  h.report("m1a", [], { token: 1 });
-  assert.equal(/start/.test(h.trace()), false);
+  h.receiveHeartbeat("m1a", [], { fencingToken: 1 });
+  assert.equal(/start/.test(h.takeTrace()), false);
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 1);
 });
 
 test("a leader that meets a higher token leaves office", () => {
-  const h = ready();
-  h.report("m1a", [], { token: 9 });
-  assert.match(h.trace(), /resign: machine m1a has seen a higher token/);
+  const h = leaderWithTwoMachines();
+  h.receiveHeartbeat("m1a", [], { fencingToken: 9 });
+  assert.match(h.takeTrace(), /resign: machine m1a has seen a higher token/);
 });
 
 test("preemption never goes in circles: the stopped job cannot stop its stopper", () => {
-  const h = ready();
-  h.submit(spec("low", { tasks: 2, cpus: 4, priority: "low", team: "maps" }));
-  h.answer([task("low", 0, 1)]);
-  h.answer([task("low", 1, 1)]);
-  h.submit(spec("web", { cpus: 4, priority: "production", kind: "service" }));
-  const t = h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("low", { tasks: 2, cpus: 4, priority: "low", team: "maps" }));
+  h.answerRequest([taskStatus("low", 0, 1)]);
+  h.answerRequest([taskStatus("low", 1, 1)]);
+  h.submit(jobSpec("web", { cpus: 4, priority: "production", kind: "service" }));
+  const t = h.takeTrace();
   assert.match(t, /send m..: stop low\/.#1/);
-  const victim = h.pending[0]!;
+  const victim = h.unansweredRequests[0]!;
   const n = victim.commands[0]!.task;
-  h.answer([task("low", n, 1, "exited", "stopped")]);
-  assert.match(h.trace(), new RegExp(`send ${victim.machine}: .*start web/0#1`));
+  h.answerRequest([taskStatus("low", n, 1, "exited", "stopped")]);
+  assert.match(h.takeTrace(), new RegExp(`send ${victim.machine}: .*start web/0#1`));
   for (let i = 0; i < 5; i++) h.tick(0.5);
-  assert.equal(/stop web/.test(h.trace()), false);
+  assert.equal(/stop web/.test(h.takeTrace()), false);
 });
 
 test("a leader that hears hardly any worker leaves office, and gives back no machine", () => {
-  const h = ready();
-  h.report("m3a", []);
-  h.report("m4b", []);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.receiveHeartbeat("m3a", []);
+  h.receiveHeartbeat("m4b", []);
+  h.takeTrace();
   for (let i = 0; i < 12; i++) {
-    h.report("m1a", []);
+    h.receiveHeartbeat("m1a", []);
     h.tick(1);
   }
-  const t = h.trace();
+  const t = h.takeTrace();
   assert.match(t, /resign: hears 1 of 4 workers/);
   assert.equal(/cloud return/.test(t), false);
 });
 
 test("a machine on which tasks take far longer than elsewhere is emptied and given back", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 8 }));
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 8 }));
   const on = (m: string): number[] =>
     [...h.scheduler.cluster.jobs.get("j")!.placements.values()]
       .filter((p) => p.machine.name === m)
@@ -266,76 +269,78 @@
   const fast = on("m1a");
   const slow = on("m2b");
   assert.deepEqual([fast.length, slow.length], [4, 4]);
-  h.report(
+  h.receiveHeartbeat(
     "m1a",
-    fast.map((n) => task("j", n, 1)),
+    fast.map((n) => taskStatus("j", n, 1)),
   );
-  h.report(
+  h.receiveHeartbeat(
     "m2b",
-    slow.map((n) => task("j", n, 1)),
+    slow.map((n) => taskStatus("j", n, 1)),
   );
   for (let i = 0; i < 40; i++) {
     h.tick(1);
-    h.report(
+    h.receiveHeartbeat(
       "m1a",
-      i < 9 ? fast.map((n) => task("j", n, 1)) : fast.map((n) => task("j", n, 1, "exited", "done")),
+      i < 9
+        ? fast.map((n) => taskStatus("j", n, 1))
+        : fast.map((n) => taskStatus("j", n, 1, "exited", "done")),
     );
-    h.report(
+    h.receiveHeartbeat(
       "m2b",
-      slow.map((n) => task("j", n, 1)),
+      slow.map((n) => taskStatus("j", n, 1)),
     );
   }
-  const t = h.trace();
+  const t = h.takeTrace();
   assert.match(t, /stop j\/\d#1/);
-  assert.equal(h.scheduler.cluster.machines.get("m2b")?.drain, "slow");
-  assert.equal(h.scheduler.cluster.machines.get("m1a")?.drain, null);
+  assert.equal(h.scheduler.cluster.machines.get("m2b")?.drainReason, "slow");
+  assert.equal(h.scheduler.cluster.machines.get("m1a")?.drainReason, null);
 });
 
 test("before a GPU job was seen a replica takes a GPU machine only when nothing else comes up", () => {
   const h = new TestLeader();
-  h.report("m1a", [], { type: "big" });
-  h.submit(spec("web", { priority: "production", kind: "service" }));
-  assert.equal(/start web/.test(h.trace()), false);
+  h.receiveHeartbeat("m1a", [], { type: "big" });
+  h.submit(jobSpec("web", { priority: "production", kind: "service" }));
+  assert.equal(/start web/.test(h.takeTrace()), false);
   for (let i = 0; i < 8; i++) {
     h.tick(1);
-    h.report("m1a", [], { type: "big" });
+    h.receiveHeartbeat("m1a", [], { type: "big" });
   }
-  assert.match(h.trace(), /send m1a: start web\/0#1/);
+  assert.match(h.takeTrace(), /send m1a: start web\/0#1/);
 });
 
 test("a machine that answers neither of two looks is given up before its silence alone would tell", () => {
-  const h = ready();
-  h.dead.add("m1a");
+  const h = leaderWithTwoMachines();
+  h.unreachableMachines.add("m1a");
   const began = h.now;
   let after = 0;
   for (let i = 0; i < 60 && after === 0; i++) {
     h.tick(0.15);
-    h.report("m2b", []);
-    if (h.trace().includes("cloud return m1a")) after = h.now - began;
+    h.receiveHeartbeat("m2b", []);
+    if (h.takeTrace().includes("cloud return m1a")) after = h.now - began;
   }
   // Reports come every 3 s, give or take a quarter.
   assert.ok(after > 3.75 && after < 4.5, `given up after ${after} s`);
 });
 
 test("machines go back when there has been no job for a worker's lease, and not before", () => {
-  const h = ready();
-  h.submit(spec("j"));
-  h.answer([task("j", 0, 1, "exited", "done")]);
-  h.trace();
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j"));
+  h.answerRequest([taskStatus("j", 0, 1, "exited", "done")]);
+  h.takeTrace();
   const began = h.now;
   let back = 0;
   for (let i = 1; i < 40 && back === 0; i++) {
     h.tick(1);
-    h.report("m1a", []);
-    h.report("m2b", []);
-    if (h.trace().includes("cloud return")) back = h.now - began;
+    h.receiveHeartbeat("m1a", []);
+    h.receiveHeartbeat("m2b", []);
+    if (h.takeTrace().includes("cloud return")) back = h.now - began;
   }
   assert.ok(back >= 20.5 && back <= 24, `gave back after ${back} s`);
 });
 
 test("a job of 100,000 tasks keeps its value small, however its tasks end", () => {
-  const h = ready();
-  h.submit(spec("big", { tasks: 100_000, cpus: 0.02, memoryGb: 0.01 }));
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("big", { tasks: 100_000, cpus: 0.02, memoryGb: 0.01 }));
   let largest = 0;
   for (let round = 0; round < 12; round++) {
     for (const m of ["m1a", "m2b"]) {
@@ -343,16 +348,16 @@
       // Every other task ends, so that what is done is scattered.
       const tasks = here.map((p, i) =>
         i % 2 === round % 2
-          ? task("big", p.task, p.attempt, "exited", "done")
-          : task("big", p.task, p.attempt),
+          ? taskStatus("big", p.task, p.attempt, "exited", "done")
+          : taskStatus("big", p.task, p.attempt),
       );
-      h.report(m, tasks);
+      h.receiveHeartbeat(m, tasks);
       h.tick(0.5);
-      while (h.pending.length > 0) h.answer(null);
+      while (h.unansweredRequests.length > 0) h.answerRequest(null);
     }
-    largest = Math.max(largest, JSON.stringify(h.records.live.get("big")?.value).length);
+    largest = Math.max(largest, JSON.stringify(h.replica.activeJobs.get("big")?.value).length);
   }
-  const done = h.records.view("big")?.done ?? 0;
+  const done = h.replica.view("big")?.done ?? 0;
   assert.ok(done > 300, `${done} done`);
   assert.ok(largest < 8 * 1024, `value of ${largest} bytes`);
 });
@@ -360,11 +365,11 @@
 test("a successor gives up a task of an earlier session although the records name the next one too", () => {
   // The former leader saw the new session and placed another job under it; what it knew of the first job's end
   // was not stored when it ended.
-  const records = new Records();
+  const records = new StateReplica();
   const stored = (id: string, session: number) => ({
-    j: spec(id),
+    j: jobSpec(id),
     at: 0,
-    r: written(dependenciesOf(id, [])),
+    r: formatResiduals(dependenciesOf(id, [])),
     v: 2,
     n: 2,
     o: 1,
@@ -372,16 +377,17 @@
     pl: [[1, session, ["m1a", "0"]]],
   });
   const items = [
-    { key: KEY.live("early"), value: stored("early", 1), mark: 5 },
-    { key: KEY.live("late"), value: stored("late", 2), mark: 6 },
-    { key: KEY.group(1), value: { m1a: ["m1a:9000", "small", "a", false] }, mark: 7 },
+    { key: KEY.activeJob("early"), value: stored("early", 1), modRevision: 5 },
+    { key: KEY.activeJob("late"), value: stored("late", 2), modRevision: 6 },
+    { key: KEY.machineShard(1), value: { m1a: ["m1a:9000", "small", "a", false] }, modRevision: 7 },
   ];
   records.reset(items, 10);
   const h = new TestLeader({ records, epoch: 2 });
   h.epoch = 2;
-  h.report("m1a", [task("late", 0, 1)], { session: 2 });
-  for (let i = 0; i < 4; i++) h.report("m1a", [task("late", 0, 1)], { session: 2 });
+  h.receiveHeartbeat("m1a", [taskStatus("late", 0, 1)], { incarnation: 2 });
+  for (let i = 0; i < 4; i++)
+    h.receiveHeartbeat("m1a", [taskStatus("late", 0, 1)], { incarnation: 2 });
   const early = h.scheduler.cluster.jobs.get("early")!;
   const [placement] = [...early.placements.values()];
-  assert.deepEqual([placement?.session, placement?.attempt], [2, 2], "it is placed again");
+  assert.deepEqual([placement?.incarnation, placement?.attempt], [2, 2], "it is placed again");
 });
--- a/tests/pass-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -2,26 +2,26 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
-import { PassLoop } from "../src/pass-loop.js";
+import { SchedulingLoop } from "../src/node/scheduling-loop.js";
 
 /** A loop on a clock of its own; `passS`: what each pass takes. */
 class SimulatedLoop {
   now = 100;
   readonly passes: number[] = [];
   overloaded = false;
-  readonly loop: PassLoop;
+  readonly loop: SchedulingLoop;
 
   constructor(readonly passS: number) {
-    this.loop = new PassLoop({
+    this.loop = new SchedulingLoop({
       now: () => this.now,
-      settings: { reportS: 3 },
-      look: () => {},
-      pass: () => {
+      settings: { heartbeatIntervalS: 3 },
+      onPoll: () => {},
+      runCycle: () => {
         this.passes.push(this.now);
         this.now += this.passS;
       },
-      took: () => {},
-      behind: (_, overloaded) => {
+      onCycleEnd: () => {},
+      onLag: (_, overloaded) => {
         this.overloaded = overloaded;
       },
     });
@@ -67,17 +67,17 @@
 test("what comes in during the rest makes one pass once the rest is over", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
   const simulated = new SimulatedLoop(0.5);
-  simulated.loop.queue();
+  simulated.loop.requeue();
   t.mock.timers.tick(0);
   assert.equal(simulated.passes.length, 1);
-  for (let i = 0; i < 5; i++) simulated.loop.queue();
+  for (let i = 0; i < 5; i++) simulated.loop.requeue();
   simulated.now += 0.9;
   t.mock.timers.tick(900);
   assert.equal(simulated.passes.length, 1, "it rests for twice its own time");
   simulated.now += 0.2;
   t.mock.timers.tick(200);
   assert.equal(simulated.passes.length, 2);
-  simulated.loop.queue();
+  simulated.loop.requeue();
   simulated.loop.stop();
   simulated.now += 5;
   t.mock.timers.tick(5000);
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -1,17 +1,17 @@
 /** A leader with a small share of a core: what it leaves out, what it never does, and how much it looks at. Counts, not times. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Output } from "../src/core/outputs.js";
-import { NodeLoad } from "../src/node-load.js";
-import { spec, TestLeader, task } from "./helpers.js";
+import type { Effect } from "../src/core/effects.js";
+import { NodeLoad } from "../src/node/node-load.js";
+import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
 
 const SMALL_SHARE = 0.076;
 const nameOf = (i: number): string => `m-${String(i).padStart(6, "0")}${i % 2 ? "b" : "a"}`;
 
 function leaderOf(machines: number, options: { cpuShare?: number; logsTasks?: boolean } = {}) {
   const leader = new TestLeader(options);
-  for (let i = 0; i < machines; i++) leader.quietReport(nameOf(i), []);
-  leader.store();
+  for (let i = 0; i < machines; i++) leader.receiveHeartbeatOnly(nameOf(i), []);
+  leader.flushWrites();
   return leader;
 }
 
@@ -19,13 +19,13 @@
   const resigned = (overloaded: boolean): boolean => {
     const leader = leaderOf(8);
     leader.scheduler.overloaded = overloaded;
-    leader.trace();
+    leader.takeTrace();
     // Time enough to hear; one of eight is heard.
     for (let t = 0; t < 14; t++) {
-      leader.quietReport(nameOf(0), []);
+      leader.receiveHeartbeatOnly(nameOf(0), []);
       leader.tick(1);
     }
-    return /resign/.test(leader.trace());
+    return /resign/.test(leader.takeTrace());
   };
   assert.equal(resigned(true), false);
   assert.equal(resigned(false), true);
@@ -35,17 +35,17 @@
   const linesOf = (logsTasks: boolean): Set<string> => {
     const leader = leaderOf(1, { logsTasks });
     const seen = new Set<string>();
-    const note = (outputs: readonly Output[]): void => {
+    const note = (outputs: readonly Effect[]): void => {
       for (const o of outputs) if (o.kind === "log") seen.add(o.message);
     };
-    const take = leader.take.bind(leader);
-    leader.take = (outputs: Output[]) => {
+    const take = leader.performEffects.bind(leader);
+    leader.performEffects = (outputs: Effect[]) => {
       note(outputs);
       take(outputs);
     };
-    leader.submit(spec("j", {}));
-    leader.answer([task("j", 0, 1)]);
-    leader.report(nameOf(0), [task("j", 0, 1, "exited", "done")]);
+    leader.submit(jobSpec("j", {}));
+    leader.answerRequest([taskStatus("j", 0, 1)]);
+    leader.receiveHeartbeat(nameOf(0), [taskStatus("j", 0, 1, "exited", "done")]);
     return seen;
   };
   const quiet = linesOf(false);
@@ -77,7 +77,7 @@
   const looks = (waiting: number): number => {
     const leader = leaderOf(400, { cpuShare: SMALL_SHARE });
     const tasks = 5000;
-    for (let i = 0; i <= waiting; i++) leader.submit(spec(`j-${i}`, { team: "maps", tasks }));
+    for (let i = 0; i <= waiting; i++) leader.submit(jobSpec(`j-${i}`, { team: "maps", tasks }));
     leader.tick(0.5);
     // Long enough for another pass, which places what may be placed of the first.
     return looksOf(leader, () => leader.tick(1.1));
@@ -89,10 +89,10 @@
 test("looks at machines a report interval grow no more than in proportion to machines", () => {
   const looks = (machines: number): number => {
     const leader = leaderOf(machines, { cpuShare: SMALL_SHARE });
-    for (let i = 0; i < 6; i++) leader.submit(spec(`w-${i}`, { team: "maps", cpus: 5 }));
+    for (let i = 0; i < 6; i++) leader.submit(jobSpec(`w-${i}`, { team: "maps", cpus: 5 }));
     return looksOf(leader, () => {
       for (let t = 0; t < 10; t++) {
-        for (let i = t; i < machines; i += 10) leader.quietReport(nameOf(i), []);
+        for (let i = t; i < machines; i += 10) leader.receiveHeartbeatOnly(nameOf(i), []);
         leader.tick(0.3);
       }
     });
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -2,10 +2,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type ApiBackend, buildServer } from "../src/api/server.js";
-import { AdaptiveLimit } from "../src/core/limit.js";
 import type { JobView } from "../src/core/model.js";
+import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { encode } from "../src/wire/msgpack.js";
-import { jobBody } from "./helpers.js";
+import { jobBody } from "./support/helpers.js";
 
 const REPORT = {
   mount: "m-1",
@@ -27,28 +27,28 @@
   let leaves = false;
   const view: JobView = { id: "run-1", state: "queued", done: 0, running: 0 };
   const backend: ApiBackend = {
-    healthy: () => true,
-    leavesUsers: () => leaves,
-    read: () => (storm ? new Promise((r) => asked.push(r)) : Promise.resolve(view)),
-    judge: () => "fits",
+    isHealthy: () => true,
+    shedsUsers: () => leaves,
+    readJob: () => (storm ? new Promise((r) => asked.push(r)) : Promise.resolve(view)),
+    checkFeasibility: () => "fits",
     submit: async () => {
       stored++;
       return "ok";
     },
     cancel: async () => "ok",
-    ended: async () => ({ ...view, state: "cancelled" }),
-    report: () => ({ kind: "answer", token: 1, commands: [] }),
-    elsewhere: () => null,
+    waitForEnd: async () => ({ ...view, state: "cancelled" }),
+    handleHeartbeat: () => ({ kind: "answer", token: 1, commands: [] }),
+    redirectTarget: () => null,
   };
   const app = buildServer(backend, {
-    questions: new AdaptiveLimit(8, 8, 1),
-    mutations: new AdaptiveLimit(8, 8, 1),
+    queryLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
+    mutationLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
     now: () => 0,
     retryAfterS: 1,
-    maxWaitS: 1,
-    idleS: 10,
-    took: () => {},
-    fault: (e) => assert.fail(e),
+    cancellationWaitS: 1,
+    idleTimeoutS: 10,
+    onRequestDone: () => {},
+    onFault: (e) => assert.fail(e),
   });
   const ask = () => app.inject({ method: "GET", url: "/api/jobs/run-1" });
   const questions = Array.from({ length: 400 }, ask);
--- a/tests/site.ts
+++ b/tests/support/in-process-cluster.ts
@@ -3,24 +3,30 @@
 import { createServer } from "node:net";
 import { test } from "node:test";
 import { type Logger, pino } from "pino";
-import { decodeOperator } from "../src/config/operator.js";
-import { Controller } from "../src/controller.js";
-import { Peer } from "../src/net/client.js";
-import { decode, encode } from "../src/wire/msgpack.js";
-import { decodeSettings } from "../src/wire/settings.js";
+import { decodeOperatorSettings } from "../../src/config/operator.js";
+import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
+import { Controller } from "../../src/node/controller.js";
+import { decode, encode } from "../../src/wire/msgpack.js";
+import { decodeSettings } from "../../src/wire/settings.js";
 import { jobBody, settingsText } from "./helpers.js";
-import { CloudStandIn, type Door, StateStandIn, WorkerStandIn } from "./stand-ins.js";
+import {
+  CloudStandIn,
+  type StateServiceProxy,
+  StateServiceStandIn,
+  WorkerStandIn,
+} from "./stand-ins.js";
 
-export const sleep = (s: number): Promise<void> => new Promise((r) => setTimeout(r, s * 1000));
+export const sleepSeconds = (s: number): Promise<void> =>
+  new Promise((r) => setTimeout(r, s * 1000));
 
 /** Below the range from which the system takes ports for outgoing connections. */
 const FIRST_PORT = 10_000;
 const LAST_PORT = 32_000;
 /** Test processes that run at the same time begin in different blocks. */
-const BLOCK = 200;
-let nextPort = FIRST_PORT + ((process.pid * BLOCK) % (LAST_PORT - FIRST_PORT));
+const PORTS_PER_PROCESS = 200;
+let nextPort = FIRST_PORT + ((process.pid * PORTS_PER_PROCESS) % (LAST_PORT - FIRST_PORT));
 
-async function isFree(port: number): Promise<boolean> {
+async function isPortFree(port: number): Promise<boolean> {
   const server = createServer();
   const free = await new Promise<boolean>((resolve) => {
     server.once("error", () => resolve(false));
@@ -39,77 +45,77 @@
   while (ports.length < n) {
     const port = nextPort++;
     if (nextPort >= LAST_PORT) nextPort = FIRST_PORT;
-    if (await isFree(port)) ports.push(port);
+    if (await isPortFree(port)) ports.push(port);
   }
   return ports;
 }
 
-export async function until(what: string, f: () => Promise<boolean> | boolean): Promise<void> {
+export async function waitUntil(what: string, f: () => Promise<boolean> | boolean): Promise<void> {
   for (let i = 0; i < 1000; i++) {
     if (await f()) return;
-    await sleep(0.02);
+    await sleepSeconds(0.02);
   }
   assert.fail(`never: ${what}`);
 }
 
-export interface Figures {
+export interface InProcessClusterOptions {
   readonly nodes: number;
   readonly workers: number;
-  readonly reportS: number;
+  readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly cancelS: number;
   /** How long every task runs. */
   readonly taskS: number;
   /** The cloud does not tell the machine types. */
-  readonly typesUnknown: boolean;
+  readonly isCatalogUnavailable: boolean;
   /** The operators' settings (INI). */
-  readonly operator: string;
+  readonly operatorIni: string;
 }
 
-const FIGURES: Figures = {
+const DEFAULT_OPTIONS: InProcessClusterOptions = {
   nodes: 3,
   workers: 4,
-  reportS: 0.5,
+  heartbeatIntervalS: 0.5,
   leaseS: 3,
   cancelS: 4,
   taskS: 1000,
-  typesUnknown: false,
-  operator: "",
+  isCatalogUnavailable: false,
+  operatorIni: "",
 };
 
-interface Node {
+interface ClusterNode {
   readonly name: string;
   readonly address: string;
-  readonly door: Door;
-  readonly peer: Peer;
+  readonly stateProxy: StateServiceProxy;
+  readonly connection: HttpConnectionPool;
   controller: Controller | null;
 }
 
-export interface Answer {
+export interface JobAnswer {
   readonly status: number;
-  readonly stance: string | undefined;
+  readonly state: string | undefined;
   readonly retryAfter: string | undefined;
 }
 
-export class Site {
-  readonly state = new StateStandIn();
+export class InProcessCluster {
+  readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
-  readonly nodes: Node[] = [];
+  readonly nodes: ClusterNode[] = [];
   /** Machines on which each task is. */
-  readonly on = new Map<string, Set<string>>();
-  readonly starts: string[] = [];
+  readonly machinesByTask = new Map<string, Set<string>>();
+  readonly startedTasks: string[] = [];
   /** Tasks that started while they were on another machine. */
-  readonly twice: string[] = [];
-  private settings: string[] = [];
+  readonly duplicateStarts: string[] = [];
+  private settingsTexts: string[] = [];
   /** What each node logged of admission, in order. */
-  readonly decisions: Record<string, unknown>[][] = [];
+  readonly admissionDecisions: Record<string, unknown>[][] = [];
 
-  private constructor(readonly figures: Figures) {}
+  private constructor(readonly options: InProcessClusterOptions) {}
 
-  static async open(change: Partial<Figures> = {}): Promise<Site> {
-    const site = new Site({ ...FIGURES, ...change });
+  static async open(change: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
+    const site = new InProcessCluster({ ...DEFAULT_OPTIONS, ...change });
     try {
-      await site.begin();
+      await site.startAll();
     } catch (error) {
       // What has started would keep the test process alive for good.
       await site.close();
@@ -118,9 +124,9 @@
     return site;
   }
 
-  private async begin(): Promise<void> {
-    const f = this.figures;
-    await Promise.all([this.state.start(), this.cloud.start()]);
+  private async startAll(): Promise<void> {
+    const f = this.options;
+    await Promise.all([this.stateService.start(), this.cloud.start()]);
     const ports = await freePorts(2 * f.nodes);
     const members = ports.slice(0, f.nodes).map((p, i) => ({
       member: `n${i}`,
@@ -129,12 +135,12 @@
       zone: i % 2 === 0 ? "a" : "b",
     }));
     for (const m of members) {
-      const door = await this.state.door();
+      const door = await this.stateService.openProxy();
       const base = JSON.parse(settingsText()) as { settings: object };
       const siblings = members
         .filter((x) => x !== m)
         .map((x) => ({ member: x.member, location: x.zone, addr: x.mesh }));
-      this.settings.push(
+      this.settingsTexts.push(
         JSON.stringify({
           ...base,
           member: m.member,
@@ -147,7 +153,7 @@
             ...base.settings,
             nodes: f.nodes,
             workers: {
-              report_s: f.reportS,
+              report_s: f.heartbeatIntervalS,
               lease_s: f.leaseS,
               gang_wait_s: 10,
               gang_peer_s: 3,
@@ -157,8 +163,14 @@
           },
         }),
       );
-      const peer = new Peer(m.address, 16);
-      this.nodes.push({ name: m.member, address: m.address, door, peer, controller: null });
+      const peer = new HttpConnectionPool(m.address, 16);
+      this.nodes.push({
+        name: m.member,
+        address: m.address,
+        stateProxy: door,
+        connection: peer,
+        controller: null,
+      });
     }
     const addresses = members.map((m) => ({ member: m.member, address: m.address }));
     for (let i = 0; i < f.workers; i++) {
@@ -167,45 +179,45 @@
         i % 2 === 0 ? "a" : "b",
         addresses,
         () => 1000 * f.taskS,
-        600 * f.reportS,
+        600 * f.heartbeatIntervalS,
         1000 * f.leaseS,
         (task, machine, running) => this.watch(task, machine, running),
       );
       await w.start();
       this.cloud.workers.set(w.name, w);
     }
-    this.cloud.silent = f.typesUnknown;
-    for (let i = 0; i < f.nodes; i++) await this.start(i);
-    if (!f.typesUnknown) await until("somebody leads", () => this.leader() >= 0);
+    this.cloud.isCatalogUnavailable = f.isCatalogUnavailable;
+    for (let i = 0; i < f.nodes; i++) await this.startNode(i);
+    if (!f.isCatalogUnavailable) await waitUntil("somebody leads", () => this.leaderIndex() >= 0);
   }
 
   private watch(task: string, machine: string, running: boolean): void {
-    const where = this.on.get(task) ?? new Set();
-    this.on.set(task, where);
+    const where = this.machinesByTask.get(task) ?? new Set();
+    this.machinesByTask.set(task, where);
     if (!running) where.delete(machine);
     else {
-      this.starts.push(task);
+      this.startedTasks.push(task);
       where.add(machine);
-      if (where.size > 1) this.twice.push(`${task} on ${[...where].join(" and ")}`);
+      if (where.size > 1) this.duplicateStarts.push(`${task} on ${[...where].join(" and ")}`);
     }
   }
 
-  async start(i: number, operatorText: string = this.figures.operator): Promise<void> {
-    const read = decodeSettings(this.settings[i]!);
+  async startNode(i: number, operatorText: string = this.options.operatorIni): Promise<void> {
+    const read = decodeSettings(this.settingsTexts[i]!);
     if (!("settings" in read)) throw new Error(read.faults.join("; "));
-    const { operator, faults } = decodeOperator(operatorText);
+    const { operator, faults } = decodeOperatorSettings(operatorText);
     if (operator === null) throw new Error(faults.join("; "));
-    const node = new Controller(read.settings, operator, this.logOf(i));
+    const node = new Controller(read.settings, operator, this.loggerFor(i));
     this.nodes[i]!.controller = node;
     await node.start();
-    await until(`n${i} is healthy`, () => node.healthy());
+    await waitUntil(`n${i} is healthy`, () => node.isHealthy());
   }
 
-  private logOf(i: number): Logger {
+  private loggerFor(i: number): Logger {
     const level = process.env.SITE_LOG;
     if (level !== undefined) return pino({ level }).child({ node: i });
     const decisions: Record<string, unknown>[] = [];
-    this.decisions[i] = decisions;
+    this.admissionDecisions[i] = decisions;
     const write = (text: string): void => {
       const { level: _, time: __, msg, ...line } = JSON.parse(text) as Record<string, unknown>;
       if (msg === "admission decision") decisions.push(line);
@@ -214,75 +226,79 @@
   }
 
   /** It ends without a word, as a killed process does: what it sent before may still be under way. */
-  async end(i: number): Promise<void> {
+  async stopNode(i: number): Promise<void> {
     await this.nodes[i]!.controller?.stop();
     this.nodes[i]!.controller = null;
   }
 
   /** By the state service; -1: nobody. */
-  leader(): number {
-    const lead = this.state.keys.get("lead")?.data as { member: string } | undefined;
+  leaderIndex(): number {
+    const lead = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
     return lead === undefined ? -1 : this.nodes.findIndex((n) => n.name === lead.member);
   }
 
   /** Machines on which any task of the job is, by what the machines themselves say. */
   machinesOf(job: string): Set<string> {
     const out = new Set<string>();
-    for (const [task, where] of this.on) {
+    for (const [task, where] of this.machinesByTask) {
       if (task.startsWith(`${job}/`)) for (const m of where) out.add(m);
     }
     return out;
   }
 
-  async ask(i: number, method: string, path: string, body?: unknown): Promise<Answer> {
+  async request(i: number, method: string, path: string, body?: unknown): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
-    const r = await this.nodes[i]!.peer.request(method, path, bytes, 5000);
+    const r = await this.nodes[i]!.connection.request(method, path, bytes, 5000);
     const said = decode(r.body) as { stance?: string } | null;
-    return { status: r.status, stance: said?.stance, retryAfter: r.headers.get("retry-after") };
+    return { status: r.status, state: said?.stance, retryAfter: r.headers.get("retry-after") };
   }
-  submit(i: number, id: string, change: Record<string, unknown> = {}): Promise<Answer> {
+  submitJob(i: number, id: string, change: Record<string, unknown> = {}): Promise<JobAnswer> {
     const body = jobBody({ nameId: id, outfit: "maps", loaners: false, ...change });
-    return this.ask(i, "POST", "/api/jobs", body);
+    return this.request(i, "POST", "/api/jobs", body);
   }
-  question(i: number, id: string): Promise<Answer> {
-    return this.ask(i, "GET", `/api/jobs/${id}`);
+  queryJob(i: number, id: string): Promise<JobAnswer> {
+    return this.request(i, "GET", `/api/jobs/${id}`);
   }
-  cancel(i: number, id: string): Promise<Answer> {
-    return this.ask(i, "POST", `/api/jobs/${id}/withdraw`, {});
+  cancelJob(i: number, id: string): Promise<JobAnswer> {
+    return this.request(i, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
   /** A job that runs with all its tasks. */
-  async running(id: string, change: Record<string, unknown> = {}): Promise<void> {
-    await until(`${id} is taken`, async () => (await this.submit(0, id, change)).status <= 201);
+  async submitAndAwaitRunning(id: string, change: Record<string, unknown> = {}): Promise<void> {
+    await waitUntil(
+      `${id} is taken`,
+      async () => (await this.submitJob(0, id, change)).status <= 201,
+    );
     const tasks = Number(change.strides ?? 4);
-    await until(`${id} runs`, () => {
+    await waitUntil(`${id} runs`, () => {
       let n = 0;
-      for (const [t, where] of this.on) if (t.startsWith(`${id}/`) && where.size > 0) n++;
+      for (const [t, where] of this.machinesByTask)
+        if (t.startsWith(`${id}/`) && where.size > 0) n++;
       return n === tasks;
     });
   }
 
   async close(): Promise<void> {
     for (const n of this.nodes) {
-      n.peer.close();
+      n.connection.close();
       await n.controller?.stop();
     }
     this.cloud.stop();
-    this.state.stop();
+    this.stateService.stop();
   }
 }
 
 /** A test of whole controllers: whatever happens in it, no task may be on two machines. */
-export function scenario(
+export function clusterTest(
   name: string,
-  figures: Partial<Figures>,
-  body: (site: Site) => Promise<void>,
+  figures: Partial<InProcessClusterOptions>,
+  body: (site: InProcessCluster) => Promise<void>,
 ): void {
   test(name, { timeout: 120_000 }, async () => {
-    const site = await Site.open(figures);
+    const site = await InProcessCluster.open(figures);
     try {
       await body(site);
-      assert.deepEqual(site.twice, [], "ran_twice");
+      assert.deepEqual(site.duplicateStarts, [], "ran_twice");
     } finally {
       await site.close();
     }
--- a/tests/production-build.ts
+++ b/tests/support/production-build.ts
@@ -5,9 +5,9 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 
-const REPOSITORY = fileURLToPath(new URL("../../../", import.meta.url));
+const REPOSITORY = fileURLToPath(new URL("../../../../", import.meta.url));
 
-const run = (command: string, args: readonly string[], cwd: string): string =>
+const runCommand = (command: string, args: readonly string[], cwd: string): string =>
   execFileSync(command, args, { cwd, encoding: "utf8", stdio: ["ignore", "pipe", "pipe"] });
 
 /** The commit that `deploy/service.toml` names as the version in production. */
@@ -19,9 +19,9 @@
 }
 
 /** Is that commit in the history that is at hand? A copy of the files alone, or a shallow clone, has none. */
-export function productionIsAtHand(): boolean {
+export function isProductionCommitAvailable(): boolean {
   try {
-    run("git", ["cat-file", "-e", `${productionCommit()}^{commit}`], REPOSITORY);
+    runCommand("git", ["cat-file", "-e", `${productionCommit()}^{commit}`], REPOSITORY);
     return true;
   } catch {
     return false;
@@ -29,13 +29,13 @@
 }
 
 /** Builds it into a temporary folder; returns its program. */
-export function buildProduction(): string {
+export function buildProductionVersion(): string {
   const folder = mkdtempSync(join(tmpdir(), "peatsaddle-production-"));
   const archive = join(folder, "sources.tar");
-  run("git", ["archive", "--output", archive, productionCommit()], REPOSITORY);
-  run("tar", ["-xf", archive], folder);
-  run("npm", ["ci", "--silent"], folder);
-  run("npm", ["run", "--silent", "build"], folder);
+  runCommand("git", ["archive", "--output", archive, productionCommit()], REPOSITORY);
+  runCommand("tar", ["-xf", archive], folder);
+  runCommand("npm", ["ci", "--silent"], folder);
+  runCommand("npm", ["run", "--silent", "build"], folder);
   const program = join(folder, "target/peatsaddle.js");
   if (!existsSync(program)) throw new Error("the version in production left no program");
   return program;
--- a/tests/simulated-sites.ts
+++ b/tests/support/simulated-clusters.ts
@@ -1,7 +1,7 @@
 /** The sites that the simulation plays: zones, machine types, machines and the kinds of jobs that users submit. */
-import type { ClusterSettings, JobSpec, MachineType } from "../src/core/model.js";
-import { decodeSettings } from "../src/wire/settings.js";
-import { settingsText, TYPES } from "./helpers.js";
+import type { ClusterSettings, JobSpec, MachineType } from "../../src/core/model.js";
+import { decodeSettings } from "../../src/wire/settings.js";
+import { MACHINE_TYPES, settingsText } from "./helpers.js";
 
 export interface MachineKind {
   readonly type: string;
@@ -9,7 +9,7 @@
   readonly spot: boolean;
 }
 
-export interface Site {
+export interface SimulatedCluster {
   readonly settings: ClusterSettings;
   readonly types: readonly MachineType[];
   readonly machines: readonly MachineKind[];
@@ -19,7 +19,7 @@
 }
 
 /** Jobs of every kind without a constraint, and those that the first searches had. */
-const PLAIN: readonly Partial<JobSpec>[] = [
+const UNCONSTRAINED_JOBS: readonly Partial<JobSpec>[] = [
   { tasks: 1 },
   { tasks: 3 },
   { tasks: 2, cpus: 2, zone: "b" },
@@ -29,7 +29,7 @@
 ];
 
 /** Each constraint on jobs of each kind. */
-const CONSTRAINED: readonly Partial<JobSpec>[] = [
+const CONSTRAINED_JOBS: readonly Partial<JobSpec>[] = [
   { kind: "array", tasks: 5, oneZone: true },
   { kind: "array", tasks: 5, spread: true },
   { kind: "array", tasks: 2, types: ["big"] },
@@ -48,7 +48,7 @@
 ];
 
 /** Larger ones for sites of tens of machines: some stand in parts. */
-const LARGE: readonly Partial<JobSpec>[] = [
+const LARGE_JOBS: readonly Partial<JobSpec>[] = [
   { kind: "array", tasks: 16, oneZone: true },
   { kind: "array", tasks: 70, oneZone: true, team: "maps" },
   { kind: "array", tasks: 16, spread: true, types: ["small"] },
@@ -59,9 +59,9 @@
 ];
 
 /** Values of this size put jobs of some tens of tasks into parts. */
-const SMALL_VALUE_KB = 2;
+const SHARDING_VALUE_KB = 2;
 
-function settingsOf(zones: readonly string[], valueKb: number): ClusterSettings {
+function clusterSettings(zones: readonly string[], valueKb: number): ClusterSettings {
   const base = JSON.parse(settingsText()) as { settings: { state: object } };
   const state = { ...base.settings.state, value_kb: valueKb };
   const s = decodeSettings(settingsText({ settings: { ...base.settings, zones, state } }));
@@ -69,38 +69,59 @@
   return s.settings.cluster;
 }
 
-const typesIn = (zones: readonly string[]): MachineType[] =>
-  TYPES.map((t) => ({ ...t, zones: [...zones] }));
+const machineTypesIn = (zones: readonly string[]): MachineType[] =>
+  MACHINE_TYPES.map((t) => ({ ...t, zones: [...zones] }));
 
 /** Five ordinary machines of one type in two zones. */
-function smallest(jobs: readonly Partial<JobSpec>[]): Site {
+function minimalCluster(jobs: readonly Partial<JobSpec>[]): SimulatedCluster {
   const zones = ["a", "b"];
   const machines = ["a", "a", "a", "b", "b"].map((zone) => ({ type: "small", zone, spot: false }));
-  return { settings: settingsOf(zones, 8), types: typesIn(zones), machines, maxMachines: 0, jobs };
+  return {
+    settings: clusterSettings(zones, 8),
+    types: machineTypesIn(zones),
+    machines,
+    maxMachines: 0,
+    jobs,
+  };
 }
 
 /** Machines of two types in three zones, a third of them spot machines. */
-function mixed(count: number, maxMachines: number, jobs: readonly Partial<JobSpec>[]): Site {
+function mixedCluster(
+  count: number,
+  maxMachines: number,
+  jobs: readonly Partial<JobSpec>[],
+): SimulatedCluster {
   const zones = ["a", "b", "c"];
   const machines = Array.from({ length: count }, (_, i) => ({
     type: i % 4 === 3 ? "big" : "small",
     zone: zones[i % 3]!,
     spot: Math.floor(i / 3) % 3 === 1,
   }));
-  const settings = settingsOf(zones, SMALL_VALUE_KB);
-  return { settings, types: typesIn(zones), machines, maxMachines, jobs };
+  const settings = clusterSettings(zones, SHARDING_VALUE_KB);
+  return { settings, types: machineTypesIn(zones), machines, maxMachines, jobs };
 }
 
 /** Sites of several sizes in turn; `pick` chooses one of so many. */
-export function siteOf(seed: number, pick: (n: number) => number): Site {
-  if (seed % 4 === 0) return smallest(PLAIN);
-  if (seed % 4 === 1) return smallest([...PLAIN, ...CONSTRAINED.filter((j) => !needsBig(j))]);
-  if (seed % 4 === 2) return mixed(10 + pick(8), 0, [...PLAIN, ...CONSTRAINED]);
+export function clusterForSeed(seed: number, pick: (n: number) => number): SimulatedCluster {
+  if (seed % 4 === 0) return minimalCluster(UNCONSTRAINED_JOBS);
+  if (seed % 4 === 1)
+    return minimalCluster([
+      ...UNCONSTRAINED_JOBS,
+      ...CONSTRAINED_JOBS.filter((j) => !requiresBigMachine(j)),
+    ]);
+  if (seed % 4 === 2)
+    return mixedCluster(10 + pick(8), 0, [...UNCONSTRAINED_JOBS, ...CONSTRAINED_JOBS]);
   const count = 12 + pick(40);
-  return mixed(count, count + 10, [...PLAIN, ...CONSTRAINED, ...LARGE]);
+  return mixedCluster(count, count + 10, [
+    ...UNCONSTRAINED_JOBS,
+    ...CONSTRAINED_JOBS,
+    ...LARGE_JOBS,
+  ]);
 }
 
-const needsBig = (job: Partial<JobSpec>): boolean => job.types?.includes("small") === false;
+const requiresBigMachine = (job: Partial<JobSpec>): boolean =>
+  job.types?.includes("small") === false;
 
 /** A site for one sort of job, with little else in its way. */
-export const siteFor = (job: Partial<JobSpec>): Site => mixed(18, 0, [job, { tasks: 2 }]);
+export const clusterForJob = (job: Partial<JobSpec>): SimulatedCluster =>
+  mixedCluster(18, 0, [job, { tasks: 2 }]);
--- a/tests/simulated-machine.ts
+++ b/tests/support/simulated-machine.ts
@@ -1,31 +1,31 @@
 /** A machine of the simulation with its worker: its session and lease, the tasks on it, and what it reports. */
-import type { Report, TaskReport } from "../src/core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
 import type { Place } from "./placement-checker.js";
 
 /** A worker's lease, in seconds. */
-export const LEASE_S = 21;
+export const WORKER_LEASE_S = 21;
 
 /** A task on a machine: it fetches its image until `imageAt`. */
 export interface SimulatedTask {
-  report: TaskReport;
+  status: TaskStatus;
   endsAt: number;
-  readonly imageAt: number;
+  readonly imagePulledAt: number;
 }
 
 export class SimulatedMachine {
-  session = 1;
+  incarnation = 1;
   /** Highest fencing token that the worker has seen. */
-  token = 0;
-  leaseUntil: number;
-  nextReport: number;
+  fencingToken = 0;
+  leaseExpiresAt: number;
+  nextHeartbeatAt: number;
   /** Its reports reach nobody until then. */
-  mute = 0;
+  dropsOutboundUntil = 0;
   /** Nothing that is sent to it arrives until then. */
-  deaf = 0;
+  dropsInboundUntil = 0;
   /** It stands still until then. */
-  hung = 0;
+  hungUntil = 0;
   /** It is cut off with former leaders until then: the present one neither hears nor reaches it. */
-  apart = 0;
+  partitionedUntil = 0;
   readonly tasks = new Map<string, SimulatedTask>();
   private sequence = 0;
 
@@ -36,8 +36,8 @@
     readonly spot: boolean,
     now: number,
   ) {
-    this.leaseUntil = now + LEASE_S;
-    this.nextReport = now;
+    this.leaseExpiresAt = now + WORKER_LEASE_S;
+    this.nextHeartbeatAt = now;
   }
 
   get place(): Place {
@@ -45,32 +45,32 @@
   }
 
   /** A direct request gets there and its answer back. */
-  reaches(now: number): boolean {
-    return now >= Math.max(this.deaf, this.hung, this.apart);
+  isReachable(now: number): boolean {
+    return now >= Math.max(this.dropsInboundUntil, this.hungUntil, this.partitionedUntil);
   }
 
   /** Ends the session if its lease is over, and says whether tasks went with it. */
-  expire(now: number): boolean {
-    if (now <= this.leaseUntil) return false;
+  expireLease(now: number): boolean {
+    if (now <= this.leaseExpiresAt) return false;
     const lost = this.tasks.size > 0;
     this.tasks.clear();
-    this.session++;
-    this.leaseUntil = now + LEASE_S;
+    this.incarnation++;
+    this.leaseExpiresAt = now + WORKER_LEASE_S;
     return lost;
   }
 
-  report(): Report {
+  heartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
       address: `${this.name}:9000`,
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
-      seq: ++this.sequence,
-      token: this.token,
-      noticeS: null,
-      tasks: [...this.tasks.values()].map((t) => ({ ...t.report })),
+      incarnation: this.incarnation,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
+      interruptionNoticeS: null,
+      tasks: [...this.tasks.values()].map((t) => ({ ...t.status })),
     };
   }
 }
