--- a/tests/stand-ins.ts
+++ b/tests/support/stand-ins.ts
@@ -1,17 +1,23 @@
 /** Stand-ins for what peatsaddle meets: state service, cloud and workers, on loopback. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import type { Report, TaskReport } from "../src/core/model.js";
-import { Peer } from "../src/net/client.js";
-import { decode, encode } from "../src/wire/msgpack.js";
-import { PATH } from "../src/wire/names.js";
-import { encodeReport } from "../src/wire/report.js";
-import { decodeCommands } from "../src/wire/schema.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
+import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
+import { decode, encode } from "../../src/wire/msgpack.js";
+import { PATH } from "../../src/wire/names.js";
+import { decodeCommands } from "../../src/wire/schema.js";
+import { encodeWorkerHeartbeat } from "../../src/wire/worker-heartbeat.js";
 
-type Answer = { status: number; body: unknown };
-type Handler = (method: string, url: URL, body: unknown) => Answer | Promise<Answer>;
+type StandInResponse = { status: number; body: unknown };
+type RequestHandler = (
+  method: string,
+  url: URL,
+  body: unknown,
+) => StandInResponse | Promise<StandInResponse>;
 
-async function serve(handler: Handler): Promise<{ server: Server; address: string }> {
+async function startHttpServer(
+  handler: RequestHandler,
+): Promise<{ server: Server; address: string }> {
   const server = createServer(async (req: IncomingMessage, res: ServerResponse) => {
     const parts: Buffer[] = [];
     for await (const p of req) parts.push(p as Buffer);
@@ -25,44 +31,49 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 }
 
-interface Entry {
-  data: unknown;
-  mark: number;
-  tether: number | null;
+interface StoredEntry {
+  value: unknown;
+  modRevision: number;
+  lease: number | null;
 }
-interface LogEntry {
+interface ChangeLogEntry {
   key: string;
-  data: unknown;
+  value: unknown;
   removed: boolean;
-  mark: number;
+  modRevision: number;
 }
 
 /** What becomes of a transaction that comes through a door. */
-export type Fate = "answered" | "answer lost" | "late";
+export type TransactionFate = "answered" | "answer lost" | "late";
 
 /** The way of one node to the state service. */
-export class Door {
+export class StateServiceProxy {
   address = "";
   server: Server | null = null;
   /** The service refuses this node alone; its open watches wait, as in an outage. */
-  refused = false;
+  isRefusing = false;
   /** Decides for each transaction, by its body. */
-  fate: (txn: unknown) => Fate = () => "answered";
+  fateOf: (txn: unknown) => TransactionFate = () => "answered";
   /** Transactions that are carried out only when the test says so. */
-  readonly held: (() => void)[] = [];
-  private readonly reopened = new Set<() => void>();
+  readonly delayedTransactions: (() => void)[] = [];
+  private readonly reopenWaiters = new Set<() => void>();
 
-  open(): void {
-    this.refused = false;
-    for (const f of this.reopened) f();
-    this.reopened.clear();
+  reopen(): void {
+    this.isRefusing = false;
+    for (const f of this.reopenWaiters) f();
+    this.reopenWaiters.clear();
   }
-  async through(handler: Handler, method: string, url: URL, body: unknown): Promise<Answer> {
-    if (this.refused) return { status: 503, body: { error: "trouble" } };
+  async forward(
+    handler: RequestHandler,
+    method: string,
+    url: URL,
+    body: unknown,
+  ): Promise<StandInResponse> {
+    if (this.isRefusing) return { status: 503, body: { error: "trouble" } };
     if (url.pathname === PATH.txn) {
-      const fate = this.fate(body);
+      const fate = this.fateOf(body);
       if (fate === "late") {
-        this.held.push(() => void handler(method, url, body));
+        this.delayedTransactions.push(() => void handler(method, url, body));
         return await new Promise(() => {});
       }
       if (fate === "answer lost") {
@@ -71,92 +82,95 @@
       }
     }
     const answer = await handler(method, url, body);
-    while (this.refused) await new Promise<void>((r) => this.reopened.add(r));
+    while (this.isRefusing) await new Promise<void>((r) => this.reopenWaiters.add(r));
     return answer;
   }
 }
 
 /** Strongly consistent by being one map in one process. */
-export class StateStandIn {
-  readonly keys = new Map<string, Entry>();
-  private log: LogEntry[] = [];
+export class StateServiceStandIn {
+  readonly entries = new Map<string, StoredEntry>();
+  private changeLog: ChangeLogEntry[] = [];
   /** How many changes of each key were carried out. */
-  readonly changes = new Map<string, number>();
+  readonly changeCounts = new Map<string, number>();
   private leases = new Map<number, { ttl: number; timer: NodeJS.Timeout }>();
   private nextLease = 1;
   private revision = 1;
-  private waiters = new Set<() => void>();
+  private watchers = new Set<() => void>();
   address = "";
   private server: Server | null = null;
   /** Larger values and transactions are refused. */
   limits = { valueBytes: Number.POSITIVE_INFINITY, txnOps: Number.POSITIVE_INFINITY };
   /** Transactions that were refused for what they hold. */
-  tooLarge = 0;
+  rejectedTransactions = 0;
   /** It refuses everybody; open watches wait. */
-  out = false;
+  isUnavailable = false;
 
   async start(): Promise<void> {
-    const s = await serve((m, u, b) => this.handle(m, u, b));
+    const s = await startHttpServer((m, u, b) => this.handle(m, u, b));
     this.server = s.server;
     this.address = s.address;
   }
-  private readonly doors: Door[] = [];
+  private readonly proxies: StateServiceProxy[] = [];
   /** A way of its own for one node, with troubles of its own. */
-  async door(): Promise<Door> {
-    const door = new Door();
-    const s = await serve((m, u, b) => door.through((...x) => this.handle(...x), m, u, b));
+  async openProxy(): Promise<StateServiceProxy> {
+    const door = new StateServiceProxy();
+    const s = await startHttpServer((m, u, b) =>
+      door.forward((...x) => this.handle(...x), m, u, b),
+    );
     door.server = s.server;
     door.address = s.address;
-    this.doors.push(door);
+    this.proxies.push(door);
     return door;
   }
   stop(): void {
     for (const l of this.leases.values()) clearTimeout(l.timer);
-    for (const s of [this.server, ...this.doors.map((d) => d.server)]) {
+    for (const s of [this.server, ...this.proxies.map((d) => d.server)]) {
       s?.closeAllConnections();
       s?.close();
     }
   }
 
   /** All changes so far, in their order. */
-  get history(): readonly LogEntry[] {
-    return this.log;
+  get history(): readonly ChangeLogEntry[] {
+    return this.changeLog;
   }
 
-  private change(key: string, data: unknown, removed: boolean, tether: number | null): void {
-    if (removed) this.keys.delete(key);
-    else this.keys.set(key, { data, mark: this.revision, tether });
-    this.log.push({ key, data, removed, mark: this.revision });
-    this.changes.set(key, (this.changes.get(key) ?? 0) + 1);
+  private applyChange(key: string, data: unknown, removed: boolean, tether: number | null): void {
+    if (removed) this.entries.delete(key);
+    else this.entries.set(key, { value: data, modRevision: this.revision, lease: tether });
+    this.changeLog.push({ key, value: data, removed, modRevision: this.revision });
+    this.changeCounts.set(key, (this.changeCounts.get(key) ?? 0) + 1);
   }
-  private wake(): void {
-    for (const w of [...this.waiters]) w();
+  private wakeWatchers(): void {
+    for (const w of [...this.watchers]) w();
   }
-  private end(id: number): void {
+  private expireLease(id: number): void {
     const l = this.leases.get(id);
     if (l === undefined) return;
     clearTimeout(l.timer);
     this.leases.delete(id);
     this.revision++;
-    for (const [k, e] of [...this.keys]) if (e.tether === id) this.change(k, null, true, null);
-    this.wake();
+    for (const [k, e] of [...this.entries])
+      if (e.lease === id) this.applyChange(k, null, true, null);
+    this.wakeWatchers();
   }
-  private arm(id: number, ttl: number): void {
-    const timer = setTimeout(() => this.end(id), ttl);
+  private armLease(id: number, ttl: number): void {
+    const timer = setTimeout(() => this.expireLease(id), ttl);
     timer.unref();
     this.leases.set(id, { ttl, timer });
   }
 
-  private async handle(method: string, url: URL, body: unknown): Promise<Answer> {
+  private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
     const path = url.pathname;
-    if (this.out) return { status: 503, body: { error: "trouble" } };
+    if (this.isUnavailable) return { status: 503, body: { error: "trouble" } };
     const q = (k: string): string => url.searchParams.get(k) ?? "";
     if (path === PATH.leases && method === "POST") {
       const { ttlMs } = body as { ttlMs: number };
       if (!Number.isInteger(ttlMs))
         return { status: 400, body: { error: "not whole milliseconds" } };
       const id = this.nextLease++;
-      this.arm(id, ttlMs);
+      this.armLease(id, ttlMs);
       return { status: 200, body: { tether: id } };
     }
     if (path.startsWith(`${PATH.leases}/`)) {
@@ -164,37 +178,40 @@
       const l = this.leases.get(id);
       if (l === undefined) return { status: 404, body: {} };
       clearTimeout(l.timer);
-      if (method === "DELETE") this.end(id);
-      else this.arm(id, l.ttl);
+      if (method === "DELETE") this.expireLease(id);
+      else this.armLease(id, l.ttl);
       return { status: 200, body: {} };
     }
-    if (path === PATH.txn) return this.txn(body as Parameters<StateStandIn["txn"]>[0]);
+    if (path === PATH.txn)
+      return this.transact(body as Parameters<StateServiceStandIn["transact"]>[0]);
     if (path === PATH.kv) {
       const since = q("since");
-      const all = [...this.keys]
+      const all = [...this.entries]
         .filter(([k]) => k.startsWith(q("prefix")) && k > since)
         .sort(([a], [b]) => (a < b ? -1 : 1));
       const most = Number(q("most"));
-      const items = all.slice(0, most).map(([k, e]) => ({ k, data: e.data, mark: e.mark }));
+      const items = all.slice(0, most).map(([k, e]) => ({ k, data: e.value, mark: e.modRevision }));
       return { status: 200, body: { items, more: all.length > most, ledger: this.revision } };
     }
     if (path === PATH.follow) {
       const since = Number(q("since"));
-      const events = (): LogEntry[] => this.log.filter((e) => e.mark > since);
+      const events = (): ChangeLogEntry[] => this.changeLog.filter((e) => e.modRevision > since);
       if (events().length === 0 && Number(q("blockMs")) > 0) {
         await new Promise<void>((resolve) => {
           const done = (): void => {
             clearTimeout(timer);
-            this.waiters.delete(done);
+            this.watchers.delete(done);
             resolve();
           };
           const timer = setTimeout(done, Number(q("blockMs")));
           timer.unref();
-          this.waiters.add(done);
+          this.watchers.add(done);
         });
       }
       const log = events().map((e) =>
-        e.removed ? { remove: e.key, mark: e.mark } : { write: e.key, data: e.data, mark: e.mark },
+        e.removed
+          ? { remove: e.key, mark: e.modRevision }
+          : { write: e.key, data: e.value, mark: e.modRevision },
       );
       return { status: 200, body: { ledger: this.revision, log } };
     }
@@ -207,28 +224,28 @@
     return changes.some((c) => c.data !== undefined && JSON.stringify(c.data).length > valueBytes);
   }
 
-  private txn(t: {
+  private transact(t: {
     if?: { k: string; mark: number }[];
     then?: { write?: string; remove?: string; data?: unknown; tether?: number }[];
-  }): Answer {
+  }): StandInResponse {
     for (const c of t.then ?? []) {
       if (c.tether !== undefined && c.tether !== null && !this.leases.has(c.tether))
         return { status: 400, body: { error: "no such lease" } };
     }
     if (this.exceedsLimits(t.then ?? [])) {
-      this.tooLarge++;
+      this.rejectedTransactions++;
       return { status: 400, body: { error: "too large" } };
     }
     const failed = (t.if ?? [])
-      .filter((c) => (this.keys.get(c.k)?.mark ?? 0) !== c.mark)
+      .filter((c) => (this.entries.get(c.k)?.modRevision ?? 0) !== c.mark)
       .map((c) => c.k);
     if (failed.length > 0) return { status: 409, body: { failed, ledger: this.revision } };
     this.revision++;
     for (const c of t.then ?? []) {
-      if (typeof c.write === "string") this.change(c.write, c.data, false, c.tether ?? null);
-      else if (typeof c.remove === "string") this.change(c.remove, null, true, null);
+      if (typeof c.write === "string") this.applyChange(c.write, c.data, false, c.tether ?? null);
+      else if (typeof c.remove === "string") this.applyChange(c.remove, null, true, null);
     }
-    this.wake();
+    this.wakeWatchers();
     return { status: 200, body: { ledger: this.revision } };
   }
 }
@@ -237,12 +254,12 @@
 export class CloudStandIn {
   readonly workers = new Map<string, WorkerStandIn>();
   /** The machine types are not to be had. */
-  silent = false;
+  isCatalogUnavailable = false;
   address = "";
   private server: Server | null = null;
 
   async start(): Promise<void> {
-    const s = await serve((m, u, b) => this.handle(m, u, b));
+    const s = await startHttpServer((m, u, b) => this.handle(m, u, b));
     this.server = s.server;
     this.address = s.address;
   }
@@ -252,9 +269,9 @@
     this.server?.close();
   }
 
-  private handle(method: string, url: URL, body: unknown): Answer {
+  private handle(method: string, url: URL, body: unknown): StandInResponse {
     if (url.pathname === PATH.catalog) {
-      if (this.silent) return { status: 503, body: { error: "trouble" } };
+      if (this.isCatalogUnavailable) return { status: 503, body: { error: "trouble" } };
       const type = {
         sku: "small",
         cpus: 4,
@@ -292,104 +309,104 @@
   }
 }
 
-interface Running extends Omit<TaskReport, "state" | "cause"> {
-  state: TaskReport["state"];
-  cause: TaskReport["cause"];
+interface StandInTask extends Omit<TaskStatus, "state" | "cause"> {
+  state: TaskStatus["state"];
+  cause: TaskStatus["cause"];
   timer: NodeJS.Timeout | null;
 }
 
 /** Told of a task's start, and of its end with the cause. */
-export type TaskWatch = (
+export type TaskListener = (
   task: string,
   machine: string,
   on: boolean,
-  cause: TaskReport["cause"],
+  cause: TaskStatus["cause"],
 ) => void;
 
 /** Runs every task for a time that its job sets, and writes down each start. */
 export class WorkerStandIn {
   address = "";
   private server: Server | null = null;
-  private session = 1;
-  private seq = 0;
-  private token = 0;
-  private readonly tasks = new Map<string, Running>();
-  private at = 0;
-  private stopped = false;
-  private leaseUntil: number;
-  private peers: Peer[] = [];
+  private incarnation = 1;
+  private sequence = 0;
+  private fencingToken = 0;
+  private readonly tasks = new Map<string, StandInTask>();
+  private controllerIndex = 0;
+  private isStopped = false;
+  private leaseExpiresAt: number;
+  private connections: HttpConnectionPool[] = [];
   /** It reaches no controller, while direct commands reach it. */
-  mute = false;
+  dropsOutbound = false;
   /** Its reports arrive; answers and direct commands are lost. */
-  deaf = false;
+  dropsInbound = false;
   /** The bytes of each report that it sent, for copies that arrive later. */
-  readonly sent: Buffer[] = [];
+  readonly sentHeartbeats: Buffer[] = [];
 
   constructor(
     readonly name: string,
     readonly zone: string,
     private readonly controllers: { member: string; address: string }[],
     private readonly taskMs: (job: string) => number,
-    private readonly reportMs: number,
+    private readonly heartbeatIntervalMs: number,
     private readonly leaseMs: number,
     /** Told of starts and ends, to see that nothing is on two machines. */
-    private readonly watch: TaskWatch,
+    private readonly onTaskChange: TaskListener,
   ) {
-    this.leaseUntil = performance.now() + leaseMs;
-    this.peers = controllers.map((c) => new Peer(c.address, 4));
+    this.leaseExpiresAt = performance.now() + leaseMs;
+    this.connections = controllers.map((c) => new HttpConnectionPool(c.address, 4));
   }
 
   async start(): Promise<void> {
-    const s = await serve((m, u, b) => this.handle(m, u, b));
+    const s = await startHttpServer((m, u, b) => this.handle(m, u, b));
     this.server = s.server;
     this.address = s.address;
-    void this.reportLoop();
+    void this.heartbeatLoop();
   }
   stop(): void {
-    this.stopped = true;
-    this.killAll();
-    for (const p of this.peers) p.close();
+    this.isStopped = true;
+    this.stopAllTasks();
+    for (const p of this.connections) p.close();
     this.server?.closeAllConnections();
     this.server?.close();
   }
-  private killAll(): void {
-    for (const t of this.tasks.values()) this.exit(t, "stopped");
+  private stopAllTasks(): void {
+    for (const t of this.tasks.values()) this.exitTask(t, "stopped");
     this.tasks.clear();
   }
-  private exit(t: Running, cause: TaskReport["cause"]): void {
+  private exitTask(t: StandInTask, cause: TaskStatus["cause"]): void {
     if (t.state === "exited") return;
     if (t.timer !== null) clearTimeout(t.timer);
     t.state = "exited";
     t.cause = cause;
-    this.watch(`${t.job}/${t.task}`, this.name, false, cause);
+    this.onTaskChange(`${t.job}/${t.task}`, this.name, false, cause);
   }
 
-  private report(): Report {
+  private heartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
       address: this.address,
       type: "small",
       zone: this.zone,
       spot: false,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
-      noticeS: null,
+      incarnation: this.incarnation,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
+      interruptionNoticeS: null,
       tasks: [...this.tasks.values()].map(({ timer, ...t }) => t),
     };
   }
 
-  private async handle(method: string, url: URL, body: unknown): Promise<Answer> {
-    if (this.deaf) return await new Promise(() => {});
-    this.expire();
+  private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
+    if (this.dropsInbound) return await new Promise(() => {});
+    this.expireLease();
     if (url.pathname === PATH.show && method === "GET")
-      return { status: 200, body: encodeReport(this.report()) };
+      return { status: 200, body: encodeWorkerHeartbeat(this.heartbeat()) };
     const c = decodeCommands(body);
     if (c === null || c.session === null) return { status: 400, body: {} };
-    const fits = c.token >= this.token && c.session === this.session;
-    this.token = Math.max(this.token, c.token);
+    const fits = c.token >= this.fencingToken && c.session === this.incarnation;
+    this.fencingToken = Math.max(this.fencingToken, c.token);
     if (fits) this.execute(c.commands);
-    return { status: fits ? 200 : 409, body: encodeReport(this.report()) };
+    return { status: fits ? 200 : 409, body: encodeWorkerHeartbeat(this.heartbeat()) };
   }
 
   private execute(commands: NonNullable<ReturnType<typeof decodeCommands>>["commands"]): void {
@@ -399,59 +416,64 @@
       if (c.op === "forget") {
         if (t?.state === "exited") this.tasks.delete(key);
       } else if (c.op === "stop") {
-        if (t !== undefined) this.exit(t, "stopped");
+        if (t !== undefined) this.exitTask(t, "stopped");
       } else if (t === undefined) {
-        const fresh: Running = {
+        const fresh: StandInTask = {
           job: c.job,
           task: c.task,
           attempt: c.attempt,
           state: "running",
           cause: null,
-          saved: false,
+          checkpointed: false,
           timer: null,
         };
-        fresh.timer = setTimeout(() => this.exit(fresh, "done"), this.taskMs(c.job));
+        fresh.timer = setTimeout(() => this.exitTask(fresh, "done"), this.taskMs(c.job));
         fresh.timer.unref();
         this.tasks.set(key, fresh);
-        this.watch(`${c.job}/${c.task}`, this.name, true, null);
+        this.onTaskChange(`${c.job}/${c.task}`, this.name, true, null);
       }
     }
   }
 
-  private expire(): void {
-    if (performance.now() <= this.leaseUntil) return;
-    this.killAll();
-    this.session++;
-    this.seq = 0;
-    this.leaseUntil = performance.now() + this.leaseMs;
+  private expireLease(): void {
+    if (performance.now() <= this.leaseExpiresAt) return;
+    this.stopAllTasks();
+    this.incarnation++;
+    this.sequence = 0;
+    this.leaseExpiresAt = performance.now() + this.leaseMs;
   }
 
-  private async reportLoop(): Promise<void> {
-    while (!this.stopped) {
-      await new Promise((r) => setTimeout(r, this.reportMs));
-      if (this.stopped) return;
-      this.expire();
-      if (this.mute) continue;
+  private async heartbeatLoop(): Promise<void> {
+    while (!this.isStopped) {
+      await new Promise((r) => setTimeout(r, this.heartbeatIntervalMs));
+      if (this.isStopped) return;
+      this.expireLease();
+      if (this.dropsOutbound) continue;
       const sent = performance.now();
-      const bytes = encode(encodeReport(this.report()));
-      this.sent.push(bytes);
+      const bytes = encode(encodeWorkerHeartbeat(this.heartbeat()));
+      this.sentHeartbeats.push(bytes);
       try {
-        const r = await this.peers[this.at]!.request("POST", PATH.report, bytes, 1000);
-        if (this.deaf) continue;
+        const r = await this.connections[this.controllerIndex]!.request(
+          "POST",
+          PATH.report,
+          bytes,
+          1000,
+        );
+        if (this.dropsInbound) continue;
         const body = decode(r.body) as { rein?: number; groom?: string };
         if (r.status === 200) {
           const c = decodeCommands(body);
-          if (c !== null && c.token >= this.token) {
-            this.token = c.token;
-            this.leaseUntil = sent + this.leaseMs;
+          if (c !== null && c.token >= this.fencingToken) {
+            this.fencingToken = c.token;
+            this.leaseExpiresAt = sent + this.leaseMs;
             this.execute(c.commands);
           }
           continue;
         }
         const to = this.controllers.findIndex((x) => x.member === body.groom);
-        this.at = to >= 0 ? to : (this.at + 1) % this.controllers.length;
+        this.controllerIndex = to >= 0 ? to : (this.controllerIndex + 1) % this.controllers.length;
       } catch {
-        this.at = (this.at + 1) % this.controllers.length;
+        this.controllerIndex = (this.controllerIndex + 1) % this.controllers.length;
       }
     }
   }
--- a/tests/term.test.ts
+++ b/tests/term.test.ts
@@ -1,7 +1,7 @@
 /** The length of the term's lease, and the moment until which its leader may act. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Term, termLeaseS } from "../src/core/term.js";
+import { LeadershipTerm, termLeaseS } from "../src/core/leadership/term.js";
 
 test("on a small share of a core the term's lease is longer, and as wanted on a larger one", () => {
   assert.equal(termLeaseS(1.5, 0.255), 1.5);
@@ -19,11 +19,11 @@
 
 test("the leader stops by its own clock before its lease lapses, however long it is", () => {
   for (const ttlS of [0.5, 1.5, 3.948]) {
-    const term = new Term("n0", 1, 1, 7, ttlS, 100);
-    assert.ok(term.acting(100 + 0.89 * ttlS));
-    assert.ok(!term.acting(100 + 0.9 * ttlS));
-    term.renewed(101);
-    assert.ok(term.acting(101 + 0.89 * ttlS));
-    assert.ok(!term.acting(101 + 0.9 * ttlS));
+    const term = new LeadershipTerm("n0", 1, 1, 7, ttlS, 100);
+    assert.ok(term.mayAct(100 + 0.89 * ttlS));
+    assert.ok(!term.mayAct(100 + 0.9 * ttlS));
+    term.extendFrom(101);
+    assert.ok(term.mayAct(101 + 0.89 * ttlS));
+    assert.ok(!term.mayAct(101 + 0.9 * ttlS));
   }
 });
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -6,7 +6,7 @@
   InMemorySpanExporter,
   SimpleSpanProcessor,
 } from "@opentelemetry/sdk-trace-base";
-import { scenario, until } from "./site.js";
+import { clusterTest, waitUntil } from "./support/in-process-cluster.js";
 
 const exporter = new InMemorySpanExporter();
 trace.setGlobalTracerProvider(
@@ -16,14 +16,14 @@
 const spansOf = (job: string) =>
   exporter.getFinishedSpans().filter((span) => span.attributes["job.id"] === job);
 
-scenario(
+clusterTest(
   "a submission, its repetition and the first start are one trace",
-  { operator: "[tracing]\nenabled = true\n" },
+  { operatorIni: "[tracing]\nenabled = true\n" },
   async (site) => {
-    const follower = [0, 1, 2].find((i) => i !== site.leader())!;
-    await site.running("run-1");
-    assert.equal((await site.submit(follower, "run-1")).status, 200);
-    await until("the first start is traced", () =>
+    const follower = [0, 1, 2].find((i) => i !== site.leaderIndex())!;
+    await site.submitAndAwaitRunning("run-1");
+    assert.equal((await site.submitJob(follower, "run-1")).status, 200);
+    await waitUntil("the first start is traced", () =>
       spansOf("run-1").some((s) => s.name === "job.wait"),
     );
     const spans = spansOf("run-1");
@@ -42,8 +42,8 @@
   },
 );
 
-scenario("switched off, nothing is traced", {}, async (site) => {
+clusterTest("switched off, nothing is traced", {}, async (site) => {
   exporter.reset();
-  await site.running("run-3");
+  await site.submitAndAwaitRunning("run-3");
   assert.deepEqual(exporter.getFinishedSpans(), []);
 });
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -7,13 +7,13 @@
 import { test } from "node:test";
 import { z } from "zod";
 import type { JobSpec } from "../src/core/model.js";
-import { Records } from "../src/core/records.js";
-import { encodeHeartbeat, HeartbeatReader } from "../src/mesh/codec.js";
-import type { Item } from "../src/wire/state.js";
-import { spec, TestLeader, task } from "./helpers.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
+import type { KeyValueItem } from "../src/wire/key-value.js";
+import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
 
 const file = new URL("../../../tests/traces/production.json", import.meta.url);
-const trace = (): Item[] => JSON.parse(readFileSync(file, "utf8")) as Item[];
+const trace = (): KeyValueItem[] => JSON.parse(readFileSync(file, "utf8")) as KeyValueItem[];
 
 const placements = z.array(z.tuple([z.number(), z.number(), z.array(z.string())]));
 const part = { v: z.number(), n: z.number(), done: z.string(), pl: placements };
@@ -40,15 +40,15 @@
   }),
 };
 const shapeOf = (key: string) => PRODUCTION[key.split("/")[0]!]!;
-const specKeys = (items: readonly Item[]) =>
+const specKeys = (items: readonly KeyValueItem[]) =>
   new Set(
     items.flatMap((i) =>
       i.key.startsWith("p/") ? Object.keys((i.value as { j: JobSpec }).j) : [],
     ),
   );
 
-function takeOver(items: Item[], state = {}): TestLeader {
-  const records = new Records();
+function takeOver(items: KeyValueItem[], state = {}): TestLeader {
+  const records = new StateReplica();
   records.reset(items, 100);
   return new TestLeader({ records, epoch: 2, state });
 }
@@ -69,9 +69,9 @@
     const { jobs } = h.scheduler.cluster;
     const placed = (id: string) => jobs.get(id)?.placements.size;
     assert.deepEqual(["web", "gang", "list", "large", "waiting"].map(placed), [2, 2, 6, 659, 0]);
-    assert.equal(jobs.get("gang")!.cancelled, true);
+    assert.equal(jobs.get("gang")!.isCancelled, true);
     assert.deepEqual(
-      ["web", "gang", "list", "over", "nobody"].map((id) => h.records.view(id)?.state),
+      ["web", "gang", "list", "over", "nobody"].map((id) => h.replica.view(id)?.state),
       ["running", "running", "running", "done", undefined],
     );
   }
@@ -82,34 +82,35 @@
   h.epoch = 2;
   const known = specKeys(trace());
   const machines = [...h.scheduler.cluster.machines.values()].map((m) => m.name);
-  h.submit(spec("new", { team: "maps", tasks: 3 }));
+  h.submit(jobSpec("new", { team: "maps", tasks: 3 }));
   for (const m of machines) {
     const on = [...h.scheduler.cluster.machines.get(m)!.placements.values()];
-    h.quietReport(
+    h.receiveHeartbeatOnly(
       m,
-      on.map((p) => task(p.job.spec.id, p.task, p.attempt)),
+      on.map((p) => taskStatus(p.job.spec.id, p.task, p.attempt)),
     );
   }
   for (let i = 0; i < 6; i++) h.tick();
-  const items = (): Item[] => {
-    const out: Item[] = [];
-    for (const [id, m] of h.records.live) {
+  const items = (): KeyValueItem[] => {
+    const out: KeyValueItem[] = [];
+    for (const [id, m] of h.replica.activeJobs) {
       out.push({ key: `p/${id}`, ...m });
-      for (const [n, q] of h.records.partsOf(id)) out.push({ key: `q/${id}/${n}`, ...q });
+      for (const [n, q] of h.replica.shardsOf(id)) out.push({ key: `q/${id}/${n}`, ...q });
     }
-    for (const [id, value] of h.records.finals) out.push({ key: `d/${id}`, value, mark: 1 });
-    for (const [n, g] of h.records.groups) out.push({ key: `g/${n}`, ...g });
+    for (const [id, value] of h.replica.finalRecords)
+      out.push({ key: `d/${id}`, value, modRevision: 1 });
+    for (const [n, g] of h.replica.machineShards) out.push({ key: `g/${n}`, ...g });
     return out;
   };
-  assert.ok(h.records.live.get("new")!.value.pl.length > 0, "it wrote something");
+  assert.ok(h.replica.activeJobs.get("new")!.value.pl.length > 0, "it wrote something");
   for (const i of items()) shapeOf(i.key).parse(JSON.parse(JSON.stringify(i.value)));
   assert.deepEqual(specKeys(items()), known);
   // Residuals too are those that production stores for a job by itself.
-  const r = (id: string) => h.records.live.get(id)!.value.r.join().replaceAll(id, "JOB");
+  const r = (id: string) => h.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
   const waiting = trace().find((i) => i.key === "p/waiting")!.value as { r: string[] };
-  h.submit(spec("other", { types: ["big"], cpus: 4 }));
+  h.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
   assert.equal(r("other"), waiting.r.join().replaceAll("waiting", "JOB"));
-  h.submit(spec("follower", { after: ["other"] }));
+  h.submit(jobSpec("follower", { after: ["other"] }));
   assert.deepEqual(
     [...specKeys(items())].filter((k) => !known.has(k)),
     ["after"],
@@ -117,8 +118,8 @@
 });
 
 test("beats between controllers are the bytes that production sends and reads", () => {
-  const beat = { stateOk: true, holds: true, epoch: 258, zone: 1 };
+  const beat = { reachesStateService: true, holdsLeadership: true, epoch: 258, zoneIndex: 1 };
   const recorded = "5001000a0300000000000001" + "02" + "01";
-  assert.equal(encodeHeartbeat(beat).toString("hex"), recorded);
-  assert.deepEqual(new HeartbeatReader().feed(Buffer.from(recorded, "hex")), [beat]);
+  assert.equal(encodePeerHeartbeat(beat).toString("hex"), recorded);
+  assert.deepEqual(new PeerHeartbeatReader().feed(Buffer.from(recorded, "hex")), [beat]);
 });
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -1,16 +1,24 @@
 /** The rule `wrong_place`: a task is where its job allows it, given the job's other tasks at that moment. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { canEverRun } from "../src/core/feasibility.js";
-import type { JobSpec, Kind } from "../src/core/model.js";
-import type { Records } from "../src/core/records.js";
-import { wanted } from "../src/core/renting.js";
+import { planScaleOut } from "../src/core/capacity/scaling.js";
+import { canEverRun } from "../src/core/jobs/feasibility.js";
+import type { JobKind, JobSpec } from "../src/core/model.js";
+import type { StateReplica } from "../src/core/state/state-replica.js";
 import { decodeJob } from "../src/wire/schema.js";
-import { jobBody, ready, spec, TestLeader, TYPES, task, Workers } from "./helpers.js";
-import { CONSTRAINTS, type Constraint, placeFaults, without } from "./placement-checker.js";
-import { RuleLog } from "./rule-log.js";
-import { siteFor } from "./simulated-sites.js";
-import { World } from "./simulation.js";
+import {
+  jobBody,
+  jobSpec,
+  leaderWithTwoMachines,
+  MACHINE_TYPES,
+  SimulatedWorkers,
+  TestLeader,
+  taskStatus,
+} from "./support/helpers.js";
+import { CONSTRAINTS, type Constraint, placeFaults, without } from "./support/placement-checker.js";
+import { ProtocolRuleChecker } from "./support/protocol-rule-checker.js";
+import { clusterForJob } from "./support/simulated-clusters.js";
+import { Simulation } from "./support/simulation.js";
 
 const BINDING: Record<Constraint, Partial<JobSpec>> = {
   types: { types: ["big"], tasks: 3 },
@@ -19,13 +27,13 @@
   oneZone: { oneZone: true, tasks: 5 },
   spread: { spread: true, tasks: 5 },
 };
-const KINDS: readonly Kind[] = ["array", "gang", "service"];
+const KINDS: readonly JobKind[] = ["array", "gang", "service"];
 
 /** Plays one sort of job on a site of 18 machines; the leader may be told of it without a constraint. */
-function play(seed: number, job: Partial<JobSpec>, ignored: Constraint | null): World {
+function play(seed: number, job: Partial<JobSpec>, ignored: Constraint | null): Simulation {
   const seen = (s: JobSpec): JobSpec => (ignored === null ? s : without(s, ignored));
-  const w = new World(seed, seen, siteFor(job));
-  for (let i = 0; i < 300 && w.broken.length === 0; i++) w.step();
+  const w = new Simulation(seed, seen, clusterForJob(job));
+  for (let i = 0; i < 300 && w.violations.length === 0; i++) w.step();
   return w;
 }
 
@@ -35,15 +43,15 @@
       const job = { ...BINDING[constraint], kind };
       const found = new Set<string>();
       for (let seed = 1; seed <= 8 && found.size === 0; seed++) {
-        for (const b of play(seed, job, constraint).broken) found.add(b.rule);
+        for (const b of play(seed, job, constraint).violations) found.add(b.rule);
       }
       assert.deepEqual([...found], ["wrong_place"]);
     });
     test(`wrong_place: ${constraint} holds for a ${kind}`, () => {
       for (let seed = 1; seed <= 8; seed++) {
         const w = play(seed, { ...BINDING[constraint], kind }, null);
-        assert.deepEqual(w.broken, [], w.trace.slice(-30).join("\n"));
-        assert.ok(w.starts > 0);
+        assert.deepEqual(w.violations, [], w.trace.slice(-30).join("\n"));
+        assert.ok(w.startCount > 0);
       }
     });
   }
@@ -52,7 +60,7 @@
 test("the checker of places counts by itself", () => {
   const at = (zone: string, type = "small", spot = false) => ({ machine: "m", type, zone, spot });
   const names = (s: Partial<JobSpec>, here: ReturnType<typeof at>, others = [at("a")]): string[] =>
-    placeFaults(spec("j", { tasks: 5, ...s }), here, others).map((f) => f.constraint);
+    placeFaults(jobSpec("j", { tasks: 5, ...s }), here, others).map((f) => f.constraint);
   assert.deepEqual(names({}, at("b")), []);
   assert.deepEqual(names({ types: ["big"] }, at("a")), ["types"]);
   assert.deepEqual(names({ zone: "b" }, at("a")), ["zone"]);
@@ -64,22 +72,22 @@
 });
 
 /** The state service holds another value, as some other version wrote it. */
-function store(records: Records, key: string, value: unknown): void {
-  const mark = records.ledger + 1;
-  records.apply([{ key, value, removed: false, mark }], mark);
+function store(records: StateReplica, key: string, value: unknown): void {
+  const mark = records.revision + 1;
+  records.apply([{ key, value, removed: false, modRevision: mark }], mark);
 }
 
 const zoneOf = (machine: string): string => machine.at(-1)!;
 
 /** Zones to which starts of a job were sent, in order. */
 const startedIn = (h: TestLeader, job: string): string[] =>
-  h.pending.flatMap((o) =>
+  h.unansweredRequests.flatMap((o) =>
     o.commands.filter((c) => c.op === "start" && c.job === job).map(() => zoneOf(o.machine)),
   );
 
 test("wrong_place: an array that must be in one zone is placed in one zone by one pass", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 6, oneZone: true }));
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 6, oneZone: true }));
   // Four fit each machine. Two waited in the same pass for the machine in the other zone.
   const zones = startedIn(h, "j");
   assert.equal(zones.length, 4);
@@ -87,158 +95,158 @@
 });
 
 test("wrong_place: a service that must be in one zone goes where all of it fits", () => {
-  const h = ready();
-  h.report("m3b", []);
-  h.submit(spec("j", { tasks: 6, kind: "service", oneZone: true, spot: false }));
+  const h = leaderWithTwoMachines();
+  h.receiveHeartbeat("m3b", []);
+  h.submit(jobSpec("j", { tasks: 6, kind: "service", oneZone: true, spot: false }));
   assert.deepEqual(startedIn(h, "j"), ["b", "b", "b", "b", "b", "b"]);
 });
 
 test("wrong_place: what an older leader placed in two zones is not started by a newer one", () => {
-  const old = ready();
-  old.submit(spec("j", { tasks: 6, cpus: 1 }));
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("j", { tasks: 6, cpus: 1 }));
   assert.equal(new Set(startedIn(old, "j")).size, 2);
   // As the version before stored a job that must be in one zone.
-  const stored = old.records.live.get("j")!;
+  const stored = old.replica.activeJobs.get("j")!;
   const job = { ...stored.value.j, oneZone: true };
   const value = { ...stored.value, j: job };
-  store(old.records, "p/j", value);
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  store(old.replica, "p/j", value);
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   // What stands in one zone runs; of what stands in the other no start has arrived.
   const placed = [...h.scheduler.cluster.jobs.get("j")!.placements.values()];
   const running = placed.filter((p) => zoneOf(p.machine.name) === "a");
-  const tasks = running.map((p) => task("j", p.task, p.attempt));
+  const tasks = running.map((p) => taskStatus("j", p.task, p.attempt));
   assert.ok(running.length > 0 && running.length < placed.length);
   // A successor sends nothing by itself for a while.
   for (let i = 0; i < 6; i++) {
-    h.report("m1a", tasks);
-    h.report("m2b", []);
+    h.receiveHeartbeat("m1a", tasks);
+    h.receiveHeartbeat("m2b", []);
     h.tick(2);
   }
-  assert.deepEqual(startedIn(h, "j"), [], h.trace());
+  assert.deepEqual(startedIn(h, "j"), [], h.takeTrace());
 });
 
 test("wrong_place: tasks that run in two zones are brought back to one, and the rest follows", () => {
-  const old = ready();
-  old.submit(spec("j", { tasks: 7, cpus: 1, kind: "service" }));
-  const stored = old.records.live.get("j")!;
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("j", { tasks: 7, cpus: 1, kind: "service" }));
+  const stored = old.replica.activeJobs.get("j")!;
   const value = { ...stored.value, j: { ...stored.value.j, oneZone: true, tasks: 8 } };
-  store(old.records, "p/j", value);
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  store(old.replica, "p/j", value);
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   const on = [...h.scheduler.cluster.jobs.get("j")!.placements.values()];
   for (const m of ["m1a", "m2b"]) {
     const here = on.filter((p) => p.machine.name === m);
-    h.report(
+    h.receiveHeartbeat(
       m,
-      here.map((p) => task("j", p.task, p.attempt)),
+      here.map((p) => taskStatus("j", p.task, p.attempt)),
     );
   }
   for (let i = 0; i < 4; i++) h.tick();
-  const stopped = h.pending.flatMap((o) =>
+  const stopped = h.unansweredRequests.flatMap((o) =>
     o.commands.filter((c) => c.op === "stop").map(() => o.machine),
   );
-  assert.equal(new Set(stopped).size, 1, h.trace());
+  assert.equal(new Set(stopped).size, 1, h.takeTrace());
   assert.deepEqual(startedIn(h, "j"), []);
 });
 
 test("wrong_place: a task that turns up between placement and start keeps the start back", () => {
-  const h = ready();
-  h.storing = false;
-  h.submit(spec("j", { tasks: 1, oneZone: true }));
+  const h = leaderWithTwoMachines();
+  h.isStoreAvailable = false;
+  h.submit(jobSpec("j", { tasks: 1, oneZone: true }));
   const [p] = h.scheduler.cluster.jobs.get("j")!.placements.values();
   const here = p!.machine.name;
   const other = here === "m1a" ? "m2b" : "m1a";
-  h.report(other, [task("j", 0, 7)]);
-  h.storing = true;
+  h.receiveHeartbeat(other, [taskStatus("j", 0, 7)]);
+  h.isStoreAvailable = true;
   h.tick();
   assert.deepEqual(startedIn(h, "j"), []);
   assert.equal(h.scheduler.cluster.jobs.get("j")!.placements.size, 0);
 });
 
 test("ran_twice: a task of which an unrecorded attempt runs is not placed elsewhere", () => {
-  const h = ready();
-  h.storing = false;
-  h.submit(spec("j", { tasks: 1, cpus: 4 }));
-  h.report("m2b", [task("k", 0, 1)]);
+  const h = leaderWithTwoMachines();
+  h.isStoreAvailable = false;
+  h.submit(jobSpec("j", { tasks: 1, cpus: 4 }));
+  h.receiveHeartbeat("m2b", [taskStatus("k", 0, 1)]);
   const [p] = h.scheduler.cluster.jobs.get("j")!.placements.values();
   const other = p!.machine.name === "m1a" ? "m2b" : "m1a";
-  h.report(other, [task("j", 0, 7)]);
-  h.storing = true;
+  h.receiveHeartbeat(other, [taskStatus("j", 0, 7)]);
+  h.isStoreAvailable = true;
   const job = h.scheduler.cluster.jobs.get("j")!;
   for (let i = 0; i < 6; i++) {
     h.tick();
-    assert.equal(job.placements.size, 0, h.trace());
-    assert.deepEqual([job.pendingCount, ...job.pending()], [0]);
+    assert.equal(job.placements.size, 0, h.takeTrace());
+    assert.deepEqual([job.pendingCount, ...job.pendingTasks()], [0]);
   }
   assert.deepEqual(startedIn(h, "j"), []);
   // It ends: now there is no doubt, and the task is placed once more.
-  h.pending.splice(0);
-  h.report(other, [task("j", 0, 7, "exited", "stopped")]);
+  h.unansweredRequests.splice(0);
+  h.receiveHeartbeat(other, [taskStatus("j", 0, 7, "exited", "stopped")]);
   for (let i = 0; i < 4; i++) h.tick();
-  assert.equal(startedIn(h, "j").length, 1, h.trace());
+  assert.equal(startedIn(h, "j").length, 1, h.takeTrace());
 });
 
 test("quota: a start is kept back while unrecorded tasks take its team over the limit", () => {
-  const h = ready();
-  h.report("m3a", []);
-  h.report("m4b", []);
-  h.report("m5a", [], { type: "big" });
-  h.submit(spec("old", { tasks: 1, cpus: 4, kind: "service" }));
-  h.pending.splice(0);
-  h.storing = false;
+  const h = leaderWithTwoMachines();
+  h.receiveHeartbeat("m3a", []);
+  h.receiveHeartbeat("m4b", []);
+  h.receiveHeartbeat("m5a", [], { type: "big" });
+  h.submit(jobSpec("old", { tasks: 1, cpus: 4, kind: "service" }));
+  h.unansweredRequests.splice(0);
+  h.isStoreAvailable = false;
   // 16 CPUs are the limit, and 4 of them are in use.
-  h.submit(spec("j", { tasks: 3, cpus: 4 }));
+  h.submit(jobSpec("j", { tasks: 3, cpus: 4 }));
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 16);
-  h.report("m5a", [task("old", 0, 9)], { type: "big" });
+  h.receiveHeartbeat("m5a", [taskStatus("old", 0, 9)], { type: "big" });
   assert.equal(h.scheduler.cluster.usageOf("vision").cpus, 20);
-  h.storing = true;
-  h.store();
-  assert.equal(startedIn(h, "j").length, 2, h.trace());
+  h.isStoreAvailable = true;
+  h.flushWrites();
+  assert.equal(startedIn(h, "j").length, 2, h.takeTrace());
 });
 
 test("wrong_place: a worker's own report corrects what is known of its machine", () => {
-  const h = ready();
+  const h = leaderWithTwoMachines();
   const request = { type: "small", zone: "a", spot: false, count: 1 };
-  h.scheduler.rented(request, { machines: ["m9b"] }, h.now);
+  h.scheduler.scaleOutAnswered(request, { machines: ["m9b"] }, h.now);
   const m = h.scheduler.cluster.machines.get("m9b")!;
   assert.equal(m.zone, "a");
-  h.report("m9b", [], { type: "big", zone: "b", spot: true });
+  h.receiveHeartbeat("m9b", [], { type: "big", zone: "b", spot: true });
   assert.deepEqual([m.type.name, m.zone, m.spot], ["big", "b", true]);
   // The list is the cloud's word, and may be old: the worker's stands.
   const listed = { name: "m9b", address: "m9b:9000", state: "running", ageS: 30 } as const;
-  h.scheduler.list([{ ...listed, type: "small", zone: "a", spot: false }], h.now);
+  h.scheduler.machineListAnswered([{ ...listed, type: "small", zone: "a", spot: false }], h.now);
   assert.deepEqual([m.type.name, m.zone, m.spot], ["big", "b", true]);
-  const records = [...h.records.groups.values()].map((g) => g.value.m9b);
+  const records = [...h.replica.machineShards.values()].map((g) => g.value.m9b);
   assert.deepEqual(records, [["m9b:9000", "big", "b", true]]);
 });
 
 test("wrong_place: a machine proves to be elsewhere between placement and start", () => {
-  const h = ready();
-  h.storing = false;
-  h.submit(spec("j", { tasks: 1, zone: "a" }));
+  const h = leaderWithTwoMachines();
+  h.isStoreAvailable = false;
+  h.submit(jobSpec("j", { tasks: 1, zone: "a" }));
   const [p] = h.scheduler.cluster.jobs.get("j")!.placements.values();
   assert.equal(p!.machine.name, "m1a");
-  h.report("m1a", [], { zone: "b" });
-  h.storing = true;
-  h.store();
+  h.receiveHeartbeat("m1a", [], { zone: "b" });
+  h.isStoreAvailable = true;
+  h.flushWrites();
   assert.deepEqual(startedIn(h, "j"), []);
-  const records = [...h.records.groups.values()].map((g) => g.value.m1a);
+  const records = [...h.replica.machineShards.values()].map((g) => g.value.m1a);
   assert.deepEqual(records, [["m1a:9000", "small", "b", false]]);
 });
 
 test("wrong_place: a task on a machine without a record may be in any zone", () => {
-  const old = ready();
-  old.submit(spec("s", { tasks: 3, kind: "service", spread: true, spot: false }));
-  old.submit(spec("z", { tasks: 6, oneZone: true }));
-  for (const [n, g] of old.records.groups) {
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("s", { tasks: 3, kind: "service", spread: true, spot: false }));
+  old.submit(jobSpec("z", { tasks: 6, oneZone: true }));
+  for (const [n, g] of old.replica.machineShards) {
     const value = Object.fromEntries(Object.entries(g.value).filter(([name]) => name !== "m1a"));
-    store(old.records, `g/${n}`, value);
+    store(old.replica, `g/${n}`, value);
   }
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
-  h.report("m2b", []);
-  h.report("m3b", []);
+  h.receiveHeartbeat("m2b", []);
+  h.receiveHeartbeat("m3b", []);
   for (let i = 0; i < 20; i++) h.tick();
   const m1a = h.scheduler.cluster.machines.get("m1a")!;
   assert.equal(m1a.zone, "");
@@ -254,34 +262,34 @@
 test("a service whose zone has no room for the rest of it moves as a whole", () => {
   const h = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b", "m4b"].map((name) => [name, "small"]));
-  const workers = new Workers(h, types, () => 1e9);
-  workers.run(4);
-  h.submit(spec("first", { tasks: 2, kind: "service", team: "maps", zone: "b", spot: false }));
-  h.submit(spec("s", { tasks: 8, kind: "service", team: "maps", oneZone: true, spot: false }));
-  workers.run(8);
+  const workers = new SimulatedWorkers(h, types, () => 1e9);
+  workers.runFor(4);
+  h.submit(jobSpec("first", { tasks: 2, kind: "service", team: "maps", zone: "b", spot: false }));
+  h.submit(jobSpec("s", { tasks: 8, kind: "service", team: "maps", oneZone: true, spot: false }));
+  workers.runFor(8);
   const zonesNow = (): Set<string> =>
     new Set([...h.scheduler.cluster.jobs.get("s")!.placements.values()].map((p) => p.machine.zone));
   assert.deepEqual(zonesNow(), new Set(["b"]));
   // Two of the zone's three machines are lost, and four come up in the other zone.
-  workers.lose("m3b");
-  workers.lose("m4b");
-  workers.add("m5a", "small");
-  workers.add("m6a", "small");
-  workers.run(150);
+  workers.crashMachine("m3b");
+  workers.crashMachine("m4b");
+  workers.addMachine("m5a", "small");
+  workers.addMachine("m6a", "small");
+  workers.runFor(150);
   assert.deepEqual(zonesNow(), new Set(["a"]));
   assert.equal(h.scheduler.cluster.jobs.get("s")!.pendingCount, 0);
-  assert.deepEqual(workers.twice, []);
+  assert.deepEqual(workers.duplicateStarts, []);
 });
 
 test("a service stays and waits where no other zone takes all of it", () => {
   const h = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b"].map((name) => [name, "small"]));
-  const workers = new Workers(h, types, () => 1e9);
-  workers.run(4);
-  h.submit(spec("s", { tasks: 8, kind: "service", team: "maps", oneZone: true, spot: false }));
-  workers.run(8);
-  workers.lose("m3b");
-  workers.run(150);
+  const workers = new SimulatedWorkers(h, types, () => 1e9);
+  workers.runFor(4);
+  h.submit(jobSpec("s", { tasks: 8, kind: "service", team: "maps", oneZone: true, spot: false }));
+  workers.runFor(8);
+  workers.crashMachine("m3b");
+  workers.runFor(150);
   const placed = [...h.scheduler.cluster.jobs.get("s")!.placements.values()];
   assert.deepEqual(new Set(placed.map((p) => p.machine.zone)), new Set(["b"]));
   assert.equal(placed.length, 4);
@@ -290,19 +298,19 @@
 test("a service that waits for its team's limit does not move", () => {
   const h = new TestLeader();
   const types = new Map(["m1a", "m2a", "m3a", "m4b", "m5b"].map((name) => [name, "small"]));
-  const workers = new Workers(h, types, () => 1e9);
-  workers.run(4);
+  const workers = new SimulatedWorkers(h, types, () => 1e9);
+  workers.runFor(4);
   const service = { kind: "service", spot: false } as const;
-  h.submit(spec("first", { ...service, tasks: 10, zone: "a" }));
-  h.submit(spec("full-a", { ...service, tasks: 2, zone: "a", team: "maps" }));
-  h.submit(spec("full-b", { ...service, tasks: 2, zone: "b", team: "maps" }));
-  workers.run(4);
+  h.submit(jobSpec("first", { ...service, tasks: 10, zone: "a" }));
+  h.submit(jobSpec("full-a", { ...service, tasks: 2, zone: "a", team: "maps" }));
+  h.submit(jobSpec("full-b", { ...service, tasks: 2, zone: "b", team: "maps" }));
+  workers.runFor(4);
   // Of the team's 16 CPUs 10 are in use: six replicas of seven run, and fill their zone.
-  h.submit(spec("s", { ...service, tasks: 7, oneZone: true }));
-  workers.run(4);
-  workers.add("m6a", "small");
-  workers.add("m7a", "small");
-  workers.run(150);
+  h.submit(jobSpec("s", { ...service, tasks: 7, oneZone: true }));
+  workers.runFor(4);
+  workers.addMachine("m6a", "small");
+  workers.addMachine("m7a", "small");
+  workers.runFor(150);
   assert.equal(workers.starts.filter((x) => x.job === "s").length, 6);
   assert.equal(h.scheduler.cluster.jobs.get("s")!.placements.size, 6);
 });
@@ -310,43 +318,43 @@
 test("room is gathered for a spread gang on free machines, though others come first", () => {
   const h = new TestLeader();
   const names = ["m1a", "m2a", "m3a", "m4a", "m5b", "m6b", "m7b", "m8b"];
-  for (const name of names) h.report(name, [], { type: "big" });
+  for (const name of names) h.receiveHeartbeat(name, [], { type: "big" });
   const wide = { team: "maps", class: "gpu", cpus: 6, gpus: 4, types: ["big"] };
   for (const zone of ["a", "b"]) {
     for (const n of [1, 2, 3]) {
-      h.submit(spec(`now${n}${zone}`, { ...wide, zone, kind: "gang", priority: "high" }));
+      h.submit(jobSpec(`now${n}${zone}`, { ...wide, zone, kind: "gang", priority: "high" }));
     }
   }
-  while (h.pending.length > 0) {
-    const start = h.pending[0]!.commands[0]!;
-    h.answer([task(start.job, 0, start.attempt)]);
+  while (h.unansweredRequests.length > 0) {
+    const start = h.unansweredRequests[0]!.commands[0]!;
+    h.answerRequest([taskStatus(start.job, 0, start.attempt)]);
   }
-  h.submit(spec("g", { ...wide, tasks: 4, spread: true, kind: "gang", priority: "high" }));
+  h.submit(jobSpec("g", { ...wide, tasks: 4, spread: true, kind: "gang", priority: "high" }));
   for (let i = 0; i < 4; i++) h.tick(0.3);
   const held = [...h.scheduler.cluster.machines.values()].filter(
-    (m) => m.reservedFor?.job.spec.id === "g",
+    (m) => m.reservation?.job.spec.id === "g",
   );
   assert.equal(held.length, 2);
 });
 
 test("room is rented and made where a job's other tasks allow it", () => {
-  const h = ready();
-  h.submit(spec("j", { tasks: 6, oneZone: true, spot: false, team: "maps" }));
+  const h = leaderWithTwoMachines();
+  h.submit(jobSpec("j", { tasks: 6, oneZone: true, spot: false, team: "maps" }));
   const job = h.scheduler.cluster.jobs.get("j")!;
   const bound = job.zones.mainZone;
   for (let i = 0; i < 8; i++) {
-    const rental = wanted(
+    const rental = planScaleOut(
       {
         cluster: h.scheduler.cluster,
-        settings: siteFor({}).settings,
-        types: TYPES,
+        settings: clusterForJob({}).settings,
+        types: MACHINE_TYPES,
         now: h.now,
-        refused: new Map(),
-        spare: 0,
+        capacityBackoffUntil: new Map(),
+        spareRatio: 0,
         maxMachines: 50,
         // The other zone has the fewest machines, so it is preferred where both will do.
-        inZone: new Map([[bound!, 1000]]),
-        late: new Map(),
+        machinesByZone: new Map([[bound!, 1000]]),
+        lateBootsByOffer: new Map(),
       },
       [job],
       [],
@@ -359,42 +367,44 @@
 test("room is made in the zone of a job's other tasks", () => {
   const h = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b"].map((name) => [name, "small"]));
-  const workers = new Workers(h, types, () => 1e9);
-  workers.run(4);
-  h.submit(spec("low", { tasks: 11, priority: "low", team: "maps" }));
-  workers.run(4);
+  const workers = new SimulatedWorkers(h, types, () => 1e9);
+  workers.runFor(4);
+  h.submit(jobSpec("low", { tasks: 11, priority: "low", team: "maps" }));
+  workers.runFor(4);
   // One machine has a free place for one task; the rest of the job needs room in that zone.
-  h.submit(spec("s", { tasks: 3, kind: "service", priority: "production", oneZone: true }));
+  h.submit(jobSpec("s", { tasks: 3, kind: "service", priority: "production", oneZone: true }));
   const job = h.scheduler.cluster.jobs.get("s")!;
   const bound = job.zones.mainZone;
-  workers.run(20);
+  workers.runFor(20);
   assert.equal(job.placements.size, 3);
   assert.deepEqual(new Set(workers.stops.map((x) => zoneOf(x.machine))), new Set([bound]));
 });
 
 test("a successor stops what is left of a gang that had lost tasks", () => {
-  const old = ready();
-  old.submit(spec("g", { kind: "gang", tasks: 6, spread: true }));
+  const old = leaderWithTwoMachines();
+  old.submit(jobSpec("g", { kind: "gang", tasks: 6, spread: true }));
   for (const _ of [0, 1]) {
-    const o = old.pending[0]!;
-    old.answer(o.commands.filter((c) => c.op === "start").map((c) => task("g", c.task, c.attempt)));
+    const o = old.unansweredRequests[0]!;
+    old.answerRequest(
+      o.commands.filter((c) => c.op === "start").map((c) => taskStatus("g", c.task, c.attempt)),
+    );
   }
   // One machine's session ends; its tasks are stored as gone, and the leader ends before it has stopped the rest.
-  old.report("m1a", [], { session: 2 });
-  const h = new TestLeader({ records: old.records, epoch: 2, now: old.now });
+  old.receiveHeartbeat("m1a", [], { incarnation: 2 });
+  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   const left = [...h.scheduler.cluster.jobs.get("g")!.placements.values()];
   assert.equal(left.length, 3);
-  h.report(
+  h.receiveHeartbeat(
     "m2b",
-    left.map((p) => task("g", p.task, p.attempt)),
+    left.map((p) => taskStatus("g", p.task, p.attempt)),
   );
-  assert.match(h.trace(), /stop g\/\d#1/);
+  assert.match(h.takeTrace(), /stop g\/\d#1/);
 });
 
 test("422: a gang that is to be spread and may be in one zone only can never run", () => {
-  const { settings, types } = siteFor({});
-  const gang = spec("g", { kind: "gang", tasks: 4, spread: true });
+  const { settings, types } = clusterForJob({});
+  const gang = jobSpec("g", { kind: "gang", tasks: 4, spread: true });
   assert.equal(canEverRun(gang, settings, types), true);
   assert.equal(canEverRun({ ...gang, zone: "a" }, settings, types), false);
   assert.equal(canEverRun({ ...gang, kind: "array", zone: "a" }, settings, types), true);
@@ -416,15 +426,15 @@
 });
 
 test("the log of what processes did tells a task in a wrong place", () => {
-  const log = new RuleLog();
-  log.machine({ machine: "m1", type: "small", zone: "a", spot: false });
-  log.machine({ machine: "m2", type: "small", zone: "b", spot: true });
-  log.submitted(spec("j", { tasks: 2, oneZone: true, spot: false }));
-  log.task("j/0", "m1", true, null);
-  assert.equal(log.faults.length, 0);
-  log.task("j/1", "m2", true, null);
+  const log = new ProtocolRuleChecker();
+  log.addMachine({ machine: "m1", type: "small", zone: "a", spot: false });
+  log.addMachine({ machine: "m2", type: "small", zone: "b", spot: true });
+  log.jobSubmitted(jobSpec("j", { tasks: 2, oneZone: true, spot: false }));
+  log.taskChanged("j/0", "m1", true, null);
+  assert.equal(log.violations.length, 0);
+  log.taskChanged("j/1", "m2", true, null);
   assert.deepEqual(
-    log.faults.map((f) => f.slice(0, 15)),
+    log.violations.map((f) => f.slice(0, 15)),
     ["wrong_place: j/", "wrong_place: j/"],
   );
 });
