--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -6,7 +6,7 @@
 import { clusterTest, sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
 
 const ON = "[admission]\nenabled = true\nqueue_ratio = 1\n";
-const FIGURES = { operator: ON, leaseS: 6 };
+const FIGURES = { operatorIni: ON, leaseS: 6 };
 /** Sixteen CPUs run four tasks of four; as much again may wait. */
 const FLOOD = { herd: "flood", strides: 4, cpus: 4 };
 
