--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -208,7 +208,7 @@
   assert.equal(key, KEY.machineShard(1));
   assert.deepEqual(
     first.preconditions.find((c) => c.key === key),
-    { key, mark: 0 },
+    { key, modRevision: 0 },
   );
   h.commitWrite(first);
   h.receiveHeartbeat(name(2), []);
--- a/tests/bundle.test.ts
+++ b/tests/bundle.test.ts
@@ -26,7 +26,7 @@
   node(
     ...flags,
     "-p",
-    `require(${JSON.stringify(join(TARGET, "bundle/bundle.cjs"))}).cacheIsTaken()`,
+    `require(${JSON.stringify(join(TARGET, "bundle/bundle.cjs"))}).isCodeCacheAccepted()`,
   );
 
 test("V8 takes the code cache under the flags that service.toml runs the program with", () => {
--- a/tests/joined-faults.test.ts
+++ b/tests/joined-faults.test.ts
@@ -226,7 +226,7 @@
     await site.submitJob(0, "job");
     await waitUntil("it is done", async () => (await site.queryJob(0, "job")).state === "done");
     for (const i of [0, 1, 2]) {
-      const known = { status: 200, stance: "done", retryAfter: undefined };
+      const known = { status: 200, state: "done", retryAfter: undefined };
       assert.deepEqual(await site.submitJob(i, "job", { strides: "many" }), known);
       assert.deepEqual(await site.submitJob(i, "job", { cpus: 1000 }), known);
       assert.deepEqual(await site.cancelJob(i, "job"), known);
