--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -217,7 +217,7 @@
   assert.ok(mark > 0);
   assert.deepEqual(
     second.preconditions.find((c) => c.key === key),
-    { key, mark },
+    { key, modRevision: mark },
   );
 });
 
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -57,7 +57,7 @@
 
 test("a removal carries no value (a schema that wanted one stopped all following)", () => {
   const f = decodeWatchResponse({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
-  assert.deepEqual(f?.events, [{ key: "p/a", value: null, removed: true, mark: 9 }]);
+  assert.deepEqual(f?.events, [{ key: "p/a", value: null, removed: true, modRevision: 9 }]);
 });
 
 test("the copy never goes back when an older answer arrives late", () => {
@@ -148,9 +148,9 @@
   const reader = new PeerHeartbeatReader();
   const got = [...Buffer.concat([a, b, a])].flatMap((byte) => reader.feed(Buffer.from([byte])));
   assert.deepEqual(got, [
-    { stateOk: true, holds: false, epoch: 2 ** 40 + 1, zone: 2 },
-    { stateOk: false, holds: true, epoch: 0, zone: 0 },
-    { stateOk: true, holds: false, epoch: 2 ** 40 + 1, zone: 2 },
+    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
+    { reachesStateService: false, holdsLeadership: true, epoch: 0, zoneIndex: 0 },
+    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
   ]);
   assert.throws(() => new PeerHeartbeatReader().feed(Buffer.from("GET / HTTP/1.1")));
 });
