--- /dev/null
+++ b/src/wire/counterpart.ts
@@ -0,0 +1,141 @@
+/**
+ * The other side of the protocol: what users, workers, the state service and the cloud send and read. Stand-ins and
+ * tests speak through it in the field's terms; the controller itself needs none of it.
+ */
+import type { JobSpec, ListedMachine, MachineType } from "../core/model.js";
+import type { Change, ChangeEvent, KeyValueItem, Precondition } from "./key-value.js";
+import { WIRE_KIND, WIRE_PRIORITY } from "./names.js";
+
+/** A submission, as a user sends it. */
+export const encodeJob = (spec: JobSpec): Record<string, unknown> => ({
+  nameId: spec.id,
+  herd: spec.class,
+  outfit: spec.team,
+  gait: WIRE_KIND[spec.kind],
+  rank: WIRE_PRIORITY[spec.priority],
+  strides: spec.tasks,
+  cpus: spec.cpus,
+  cards: spec.gpus,
+  memoryGb: spec.memoryGb,
+  tack: spec.image,
+  pullGb: spec.imageGb,
+  breeds: spec.types,
+  paddock: spec.zone,
+  together: spec.oneZone,
+  apart: spec.spread,
+  loaners: spec.spot,
+  rideS: spec.estimateS,
+  restS: spec.checkpointS,
+  unsaddleS: spec.saveS,
+  dueS: spec.deadlineS,
+  ...(spec.after === undefined ? {} : { follows: spec.after }),
+});
+
+/** The state of a job that an answer to a user tells; undefined if it tells none. */
+export function decodeJobState(body: unknown): string | undefined {
+  return (body as { stance?: string } | null)?.stance;
+}
+
+/** The leader that a redirected worker is sent to; null if the answer names none. */
+export function decodeRedirect(body: unknown): string | null {
+  return (body as { groom?: string } | null)?.groom ?? null;
+}
+
+interface WireTransaction {
+  readonly if?: readonly { readonly k: string; readonly mark: number }[];
+  readonly then?: readonly {
+    readonly write?: string;
+    readonly remove?: string;
+    readonly data?: unknown;
+    readonly tether?: number | null;
+  }[];
+}
+
+/** What a transaction demands and changes. */
+export interface Transaction {
+  readonly preconditions: readonly Precondition[];
+  readonly changes: readonly Change[];
+}
+
+/** A transaction, as the state service reads it. */
+export function decodeTransaction(body: unknown): Transaction {
+  const { if: conditions = [], then: writes = [] } = body as WireTransaction;
+  const changes: Change[] = [];
+  for (const { write, remove, data, tether } of writes) {
+    const lease = tether === undefined || tether === null ? {} : { lease: tether };
+    if (typeof write === "string") changes.push({ op: "put", key: write, value: data, ...lease });
+    else if (typeof remove === "string") changes.push({ op: "delete", key: remove });
+  }
+  const preconditions = conditions.map(({ k, mark }) => ({ key: k, modRevision: mark }));
+  return { preconditions, changes };
+}
+
+/** The state service's answer to a transaction, with the keys whose preconditions did not hold. */
+export const encodeTransactionResult = (
+  revision: number,
+  failedKeys: readonly string[],
+): Record<string, unknown> =>
+  failedKeys.length === 0 ? { ledger: revision } : { failed: failedKeys, ledger: revision };
+
+/** A page of keys. */
+export const encodeRange = (
+  items: readonly KeyValueItem[],
+  hasMore: boolean,
+  revision: number,
+): Record<string, unknown> => ({
+  items: items.map(({ key, value, modRevision }) => ({ k: key, data: value, mark: modRevision })),
+  more: hasMore,
+  ledger: revision,
+});
+
+/** Changes in their order, as a watch is answered. */
+export const encodeWatchResponse = (
+  events: readonly ChangeEvent[],
+  revision: number,
+): Record<string, unknown> => ({
+  ledger: revision,
+  log: events.map(({ key, value, removed, modRevision }) =>
+    removed ? { remove: key, mark: modRevision } : { write: key, data: value, mark: modRevision },
+  ),
+});
+
+/** A lease that was granted. */
+export const encodeLease = (id: number): Record<string, unknown> => ({ tether: id });
+
+/** The machine types on offer. */
+export const encodeCatalog = (types: readonly MachineType[]): Record<string, unknown> => ({
+  breeds: types.map((type) => ({
+    sku: type.name,
+    cpus: type.cpus,
+    cards: type.gpus,
+    memoryGb: type.memoryGb,
+    localGb: type.cacheGb,
+    fetchGbPerS: type.fetchGbPerS,
+    hourly: type.price,
+    spotPrice: type.spotPrice,
+    readyS: type.bootS,
+    paddocks: type.zones,
+  })),
+});
+
+/** A page of provisioned machines. */
+export const encodeMachineList = (
+  machines: readonly ListedMachine[],
+  hasMore: boolean,
+): Record<string, unknown> => ({
+  mounts: machines.map((machine) => ({
+    nameId: machine.name,
+    address: machine.address,
+    breed: machine.type,
+    paddock: machine.zone,
+    loaners: machine.spot,
+    stance: machine.state,
+    ageS: machine.ageS,
+  })),
+  more: hasMore,
+});
+
+/** Names of the machines that a request to the cloud releases. */
+export function decodeRelease(body: unknown): readonly string[] {
+  return (body as { mounts: readonly string[] }).mounts;
+}
--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -10,8 +10,8 @@
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeJob } from "../src/wire/schema.js";
 import { compareDecisionLogs } from "./decision-logs.js";
-import { jobBody } from "./support/helpers.js";
 import { sleepSeconds } from "./support/in-process-cluster.js";
+import { jobBody } from "./support/job-builders.js";
 import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
 
 const NODES = 3;
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -12,7 +12,7 @@
 } from "../src/admission/index.js";
 import type { JobSpec } from "../src/core/model.js";
 import { AdmissionModel, type InjectedFaults, type TransactionFate } from "./admission-model.js";
-import { jobSpec } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
 
 const NODES = 3;
 const TEAMS = ["bookings", "guest"];
--- a/tests/admission-settings.test.ts
+++ b/tests/admission-settings.test.ts
@@ -7,8 +7,8 @@
 import { test } from "node:test";
 import { activePeriods, type Calendar } from "../src/admission/index.js";
 import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
-import { settingsText } from "./support/helpers.js";
 import { PROGRAM } from "./support/multi-process-cluster.js";
+import { settingsText } from "./support/node-settings.js";
 
 const SETTLEMENT = `
 [admission]
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -143,8 +143,8 @@
     await overload(site, "fill");
     let lost = 0;
     for (const n of site.nodes) {
-      n.stateProxy.fateOf = (txn) => {
-        const claim = JSON.stringify(txn).includes('"write":"a/t/');
+      n.stateProxy.fateOf = ({ changes }) => {
+        const claim = changes.some(({ op, key }) => op === "put" && key.startsWith("a/t/"));
         return claim && lost++ % 2 === 0 ? "answer lost" : "answered";
       };
     }
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -18,7 +18,9 @@
 import type { JobSpec, Team } from "../src/core/model.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { AdmissionModel } from "./admission-model.js";
-import { jobSpec, settingsText, TestLeader } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const WINDOW_S = 3;
 const RUN_S = 10;
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -6,7 +6,8 @@
 import type { TaskStatus, WorkerHeartbeat } from "../src/core/model.js";
 import { maxValueBytes } from "../src/core/state/job-values.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const MACHINES = 700;
 const name = (i: number): string => `m-${String(i).padStart(6, "0")}${i % 2 ? "b" : "a"}`;
@@ -62,7 +63,7 @@
   old.submit(jobSpec("web", { kind: "service", priority: "production", tasks: 3, cpus: 4 }));
   const busy = new Set(old.unansweredRequests.map((o) => o.machine));
   assert.equal(busy.size, 3);
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.tick(1);
   assert.deepEqual(new Set(h.unansweredRequests.map((o) => o.machine)), busy);
   for (let i = 0; i < 4; i++) h.tick(1.6);
@@ -107,7 +108,7 @@
 test("after a takeover no more than a few machines are given up in a report interval", () => {
   const old = crowd();
   old.flushWrites();
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   const began = h.now;
   const given = (): number =>
@@ -227,7 +228,7 @@
     [{ key: "g/1", value: { "m-1": ["10.0.0.1:1", "small", "a", true] }, modRevision: 3 }],
     3,
   );
-  const h = new TestLeader({ records: r, epoch: 2 });
+  const h = new TestLeader({ replica: r, epoch: 2 });
   const m = h.scheduler.cluster.machines.get("m-1")!;
   assert.deepEqual(
     [m.address, m.type.name, m.zone, m.spot, m.isPersisted],
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -9,7 +9,10 @@
 } from "../src/core/capacity/scaling.js";
 import type { ListedMachine } from "../src/core/model.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { MACHINE_TYPES } from "./support/machine-types.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const CLUSTER = (() => {
   const s = decodeSettings(settingsText());
--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -2,7 +2,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { LeaseExtension } from "../src/core/leadership/lease-extension.js";
-import { jobSpec, leaderWithTwoMachines, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
 test("a machine that reports but hears nothing takes no new work, and goes back to the cloud", () => {
   const h = leaderWithTwoMachines();
@@ -93,7 +94,7 @@
   old.submit(jobSpec("j"));
   old.answerRequest([taskStatus("j", 0, 1)]);
   const copy = old.makeHeartbeat("m1a", []);
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   h.takeTrace();
   const { commands } = h.scheduler.handleHeartbeat(copy, h.now);
@@ -150,7 +151,11 @@
 });
 
 test("in a cut-off zone an array's tasks move after a lease, replicas only when nobody can keep them", () => {
-  const h = new TestLeader({ graceS: 0, keepS: 60, othersIn: new Map([["b", 1]]) });
+  const h = new TestLeader({
+    gracePeriodS: 0,
+    leaseExtensionS: 60,
+    controllersPerZone: new Map([["b", 1]]),
+  });
   for (const m of ["m1a", "m2a", "m3b", "m4b", "m5b"]) h.receiveHeartbeat(m, []);
   h.submit(jobSpec("web", { kind: "service", cpus: 4, zone: "b" }));
   h.submit(jobSpec("j", { cpus: 4, zone: "b" }));
@@ -178,7 +183,7 @@
 
 test("ran_cancelled: a machine that no stop reaches goes back when a task on it was cancelled", () => {
   // On a day with a zone cut off, tasks kept alive there outlived their cancellation by minutes.
-  const h = new TestLeader({ keepS: 126, othersIn: new Map([["b", 1]]) });
+  const h = new TestLeader({ leaseExtensionS: 126, controllersPerZone: new Map([["b", 1]]) });
   const cut = ["m2b", "m3b", "m4b", "m5b"];
   const near = ["m1a", "m6a", "m7a"];
   for (const m of [...near, ...cut]) h.receiveHeartbeat(m, []);
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,8 +1,8 @@
 /** Real processes on loopback: the leader is killed or stands still while tasks run. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { jobSpec } from "./support/helpers.js";
 import { sleepSeconds } from "./support/in-process-cluster.js";
+import { jobSpec } from "./support/job-builders.js";
 import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
 
 test("killing the leader loses no job and runs nothing twice", { timeout: 120_000 }, async () => {
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -2,7 +2,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobSpec } from "../src/core/model.js";
-import { jobSpec, SimulatedWorkers, type TaskFateOf, TestLeader } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
+import { SimulatedWorkers, type TaskFateOf } from "./support/simulated-workers.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const broken = (job: string): boolean => job.startsWith("broken");
 
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -8,7 +8,10 @@
 import { Controller } from "../src/node/controller.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { maxWorkerConnections } from "../src/workers/sockets.js";
-import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { MACHINE_TYPES } from "./support/machine-types.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const gpu = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
   jobSpec(id, {
--- a/tests/four-thousand-machines.test.ts
+++ b/tests/four-thousand-machines.test.ts
@@ -7,7 +7,8 @@
 import { type TestContext, test } from "node:test";
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
-import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const SMALL = 1000;
 const LARGE = 4000;
@@ -75,7 +76,7 @@
 }
 
 function successorOf(leader: TestLeader): TestLeader {
-  return new TestLeader({ records: leader.replica, epoch: 2, now: leader.now });
+  return new TestLeader({ replica: leader.replica, epoch: 2, now: leader.now });
 }
 
 function measure(machines: number): Measured {
--- a/tests/gang-sizes.test.ts
+++ b/tests/gang-sizes.test.ts
@@ -1,7 +1,9 @@
 /** In a backlog of gangs every size of a class is served, not only the small ones. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { jobSpec, SimulatedWorkers, TestLeader } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
+import { SimulatedWorkers } from "./support/simulated-workers.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const SIZES = [1, 2, 4];
 const MACHINES = 32;
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -4,7 +4,9 @@
 import { test } from "node:test";
 import { maxValueBytes } from "../src/core/state/job-values.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { jobSpec, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const LOW = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
 
@@ -47,7 +49,7 @@
     .map((p) => `${p.task}#${p.attempt} ${p.machine.name}`)
     .sort();
 const successor = (old: TestLeader, epoch: number, state: object) =>
-  new TestLeader({ records: old.replica, epoch, now: old.now + 5, state: state as never });
+  new TestLeader({ replica: old.replica, epoch, now: old.now + 5, state: state as never });
 
 test("a job in one large value is cut into parts in one transaction, and every task is kept", () => {
   const old = before(400, 100);
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -12,9 +12,11 @@
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
-import { jobSpec, settingsText, taskStatus } from "./support/helpers.js";
+import { CloudStandIn } from "./support/cloud-stand-in.js";
 import { freePorts } from "./support/in-process-cluster.js";
-import { CloudStandIn, StateServiceStandIn } from "./support/stand-ins.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
+import { StateServiceStandIn } from "./support/state-service-stand-in.js";
 
 const sleep = (s: number): Promise<void> => new Promise((r) => setTimeout(r, s * 1000));
 
--- a/tests/parts.test.ts
+++ b/tests/parts.test.ts
@@ -3,7 +3,9 @@
 import { test } from "node:test";
 import { needsShards, shardSizeFor } from "../src/core/state/job-shards.js";
 import { KEY, type StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, SimulatedWorkers, TestLeader } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
+import { SimulatedWorkers } from "./support/simulated-workers.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const VALUE = 8 * 1024;
 
@@ -22,7 +24,7 @@
 
 /** The next leader starts from what is stored; what the one before had in mind is gone. */
 function takeOver(from: TestLeader, w: SimulatedWorkers, epoch: number): TestLeader {
-  const h = new TestLeader({ records: from.replica, epoch, now: from.now });
+  const h = new TestLeader({ replica: from.replica, epoch, now: from.now });
   h.epoch = epoch;
   w.leader = h;
   return h;
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -12,7 +12,8 @@
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeJob } from "../src/wire/schema.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { jobBody, settingsText } from "./support/helpers.js";
+import { jobBody } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
 
 test("ranges join, split and keep their count", () => {
   const r = TaskRanges.parse("0-3,7");
--- a/tests/pipelines.test.ts
+++ b/tests/pipelines.test.ts
@@ -12,7 +12,8 @@
 } from "../src/core/jobs/pipeline.js";
 import type { JobSpec } from "../src/core/model.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, leaderWithTwoMachines, type TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { leaderWithTwoMachines, type TestLeader } from "./support/test-leader.js";
 
 const start = (job: string) => eventName("start", job);
 
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -8,7 +8,7 @@
   ZoneOccupancy,
 } from "../src/core/dispatch/placement-constraints.js";
 import type { JobSpec } from "../src/core/model.js";
-import { jobSpec } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
 import { placeFaults } from "./support/placement-checker.js";
 
 const ZONES = ["a", "b", "c"];
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -3,7 +3,8 @@
 import { test } from "node:test";
 import { dependenciesOf, formatResiduals } from "../src/core/jobs/pipeline.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, leaderWithTwoMachines, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
 test("ran_twice: a start without an answer is repeated where it was, not elsewhere", () => {
   const h = leaderWithTwoMachines();
@@ -199,7 +200,7 @@
   const old = leaderWithTwoMachines();
   old.submit(jobSpec("j"));
   old.submit(jobSpec("k"));
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   assert.equal(h.takeTrace(), "\n\n");
   h.tick();
@@ -216,7 +217,7 @@
 test("takeover: a report with an older token proves nothing", () => {
   const old = leaderWithTwoMachines();
   old.submit(jobSpec("j"));
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   h.receiveHeartbeat("m1a", [], { fencingToken: 1 });
   assert.equal(/start/.test(h.takeTrace()), false);
@@ -382,7 +383,7 @@
     { key: KEY.machineShard(1), value: { m1a: ["m1a:9000", "small", "a", false] }, modRevision: 7 },
   ];
   records.reset(items, 10);
-  const h = new TestLeader({ records, epoch: 2 });
+  const h = new TestLeader({ replica: records, epoch: 2 });
   h.epoch = 2;
   h.receiveHeartbeat("m1a", [taskStatus("late", 0, 1)], { incarnation: 2 });
   for (let i = 0; i < 4; i++)
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -3,7 +3,8 @@
 import { test } from "node:test";
 import type { Effect } from "../src/core/effects.js";
 import { NodeLoad } from "../src/node/node-load.js";
-import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const SMALL_SHARE = 0.076;
 const nameOf = (i: number): string => `m-${String(i).padStart(6, "0")}${i % 2 ? "b" : "a"}`;
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -5,7 +5,7 @@
 import type { JobView } from "../src/core/model.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { encode } from "../src/wire/msgpack.js";
-import { jobBody } from "./support/helpers.js";
+import { jobBody } from "./support/job-builders.js";
 
 const REPORT = {
   mount: "m-1",
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -26,7 +26,8 @@
 } from "../../src/wire/schema.js";
 import { decodeSettings, type NodeSettings } from "../../src/wire/settings.js";
 import { decodeWorkerHeartbeat } from "../../src/wire/worker-heartbeat.js";
-import { jobBody, settingsText } from "./helpers.js";
+import { jobBody } from "./job-builders.js";
+import { settingsText } from "./node-settings.js";
 
 type Bodies = Readonly<Record<string, unknown>>;
 
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -37,7 +37,10 @@
 import { decodeSettings } from "../../src/wire/settings.js";
 import { message } from "./golden-exchanges.js";
 import { catalog, submissions } from "./golden-messages.js";
-import { jobSpec, SimulatedWorkers, settingsText, TestLeader } from "./helpers.js";
+import { jobSpec } from "./job-builders.js";
+import { settingsText } from "./node-settings.js";
+import { SimulatedWorkers } from "./simulated-workers.js";
+import { TestLeader } from "./test-leader.js";
 
 const NOW_MS = 1_700_000_000_000;
 
@@ -265,7 +268,7 @@
     const view = records.view(id)!;
     return [id, view.state, view.done, view.running];
   });
-  const next = new TestLeader({ records: records, epoch: 2, state: { value_kb: 2 } });
+  const next = new TestLeader({ replica: records, epoch: 2, state: { value_kb: 2 } });
   const jobs = [...next.scheduler.cluster.jobs.values()].map((job) => ({
     id: job.spec.id,
     owner: job.ownerEpoch,
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -8,13 +8,12 @@
 import { Controller } from "../../src/node/controller.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { decodeSettings } from "../../src/wire/settings.js";
-import { jobBody, settingsText } from "./helpers.js";
-import {
-  CloudStandIn,
-  type StateServiceProxy,
-  StateServiceStandIn,
-  WorkerStandIn,
-} from "./stand-ins.js";
+import { CloudStandIn } from "./cloud-stand-in.js";
+import { jobBody } from "./job-builders.js";
+import { settingsText } from "./node-settings.js";
+import type { StateServiceProxy } from "./state-service-proxy.js";
+import { StateServiceStandIn } from "./state-service-stand-in.js";
+import { WorkerStandIn } from "./worker-stand-in.js";
 
 export const sleepSeconds = (s: number): Promise<void> =>
   new Promise((r) => setTimeout(r, s * 1000));
@@ -174,15 +173,15 @@
     }
     const addresses = members.map((m) => ({ member: m.member, address: m.address }));
     for (let i = 0; i < f.workers; i++) {
-      const w = new WorkerStandIn(
-        `m-${i}`,
-        i % 2 === 0 ? "a" : "b",
-        addresses,
-        () => 1000 * f.taskS,
-        600 * f.heartbeatIntervalS,
-        1000 * f.leaseS,
-        (task, machine, running) => this.watch(task, machine, running),
-      );
+      const w = new WorkerStandIn({
+        name: `m-${i}`,
+        zone: i % 2 === 0 ? "a" : "b",
+        controllers: addresses,
+        taskMs: () => 1000 * f.taskS,
+        heartbeatIntervalMs: 600 * f.heartbeatIntervalS,
+        leaseMs: 1000 * f.leaseS,
+        onTaskChange: (task, machine, running) => this.watch(task, machine, running),
+      });
       await w.start();
       this.cloud.workers.set(w.name, w);
     }
--- /dev/null
+++ b/tests/support/job-builders.ts
@@ -0,0 +1,47 @@
+/** Jobs, submissions and task statuses with ordinary values, of which a test gives only what matters to it. */
+import type { JobSpec, TaskStatus } from "../../src/core/model.js";
+import { encodeJob } from "../../src/wire/counterpart.js";
+
+/** A job of one small task that may run anywhere. */
+export const jobSpec = (id: string, change: Partial<JobSpec> = {}): JobSpec => ({
+  id,
+  class: "batch",
+  team: "vision",
+  kind: "array",
+  priority: "normal",
+  tasks: 1,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  image: "img",
+  imageGb: 1,
+  estimateS: 10,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+  ...change,
+});
+
+/** The job that users of a test submit: an array of four tasks. */
+export const submittedJob = (change: Partial<JobSpec> = {}): JobSpec =>
+  jobSpec("run-1", { class: "train", tasks: 4, memoryGb: 2, image: "img-1", ...change });
+
+/** The body of its submission; `change` replaces fields as they are on the wire. */
+export const jobBody = (change: Record<string, unknown> = {}): Record<string, unknown> => ({
+  ...encodeJob(submittedJob()),
+  ...change,
+});
+
+/** A task's status in a heartbeat: running, unless said otherwise. */
+export const taskStatus = (
+  job: string,
+  task: number,
+  attempt: number,
+  state: TaskStatus["state"] = "running",
+  cause: TaskStatus["cause"] = null,
+): TaskStatus => ({ job, task, attempt, state, cause, checkpointed: false });
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -10,10 +10,13 @@
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { decodeJob } from "../../src/wire/schema.js";
-import { jobBody, settingsText } from "./helpers.js";
+import { CloudStandIn } from "./cloud-stand-in.js";
 import { freePorts, sleepSeconds } from "./in-process-cluster.js";
+import { jobBody } from "./job-builders.js";
+import { settingsText } from "./node-settings.js";
 import { ProtocolRuleChecker } from "./protocol-rule-checker.js";
-import { CloudStandIn, StateServiceStandIn, WorkerStandIn } from "./stand-ins.js";
+import { StateServiceStandIn } from "./state-service-stand-in.js";
+import { WorkerStandIn } from "./worker-stand-in.js";
 
 /** The program as this version's build leaves it. */
 export const PROGRAM = fileURLToPath(new URL("../../../peatsaddle.cjs", import.meta.url));
@@ -139,18 +142,18 @@
   private async startWorkers(): Promise<void> {
     const { heartbeat: report } = this.options;
     for (let i = 0; i < (this.options.workers ?? DEFAULT_WORKER_COUNT); i++) {
-      const worker = new WorkerStandIn(
-        `m-${i}`,
-        i % 2 === 0 ? "a" : "b",
-        this.members,
-        this.options.taskMs,
-        report === undefined ? HEARTBEAT_INTERVAL_MS : report.everyS * 1000,
-        report === undefined ? LEASE_MS : report.leaseS * 1000,
-        (task, machine, on, cause) => {
+      const worker = new WorkerStandIn({
+        name: `m-${i}`,
+        zone: i % 2 === 0 ? "a" : "b",
+        controllers: this.members,
+        taskMs: this.options.taskMs,
+        heartbeatIntervalMs: report === undefined ? HEARTBEAT_INTERVAL_MS : report.everyS * 1000,
+        leaseMs: report === undefined ? LEASE_MS : report.leaseS * 1000,
+        onTaskChange: (task, machine, on, cause) => {
           this.ruleChecker.taskChanged(task, machine, on, cause);
           if (!on) this.options.onTaskExit?.(task, cause);
         },
-      );
+      });
       const { name, zone } = worker;
       this.ruleChecker.addMachine({ machine: name, type: "small", zone, spot: false });
       await worker.start();
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -1,7 +1,8 @@
 /** The sites that the simulation plays: zones, machine types, machines and the kinds of jobs that users submit. */
 import type { ClusterSettings, JobSpec, MachineType } from "../../src/core/model.js";
 import { decodeSettings } from "../../src/wire/settings.js";
-import { MACHINE_TYPES, settingsText } from "./helpers.js";
+import { MACHINE_TYPES } from "./machine-types.js";
+import { settingsText } from "./node-settings.js";
 
 export interface MachineKind {
   readonly type: string;
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -13,7 +13,7 @@
 import { KEY, StateReplica, type StoredJob } from "../../src/core/state/state-replica.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
 import type { Change, Precondition } from "../../src/wire/key-value.js";
-import { jobSpec, taskStatus } from "./helpers.js";
+import { jobSpec, taskStatus } from "./job-builders.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 import { clusterForSeed, type SimulatedCluster } from "./simulated-clusters.js";
 import { SimulatedKeyValueStore } from "./simulated-key-value-store.js";
--- /dev/null
+++ b/tests/support/state-service-stand-in.ts
@@ -0,0 +1,212 @@
+/** The state service of the tests: a key-value store with transactions, leases and watches, in one process. */
+import {
+  decodeTransaction,
+  encodeLease,
+  encodeRange,
+  encodeTransactionResult,
+  encodeWatchResponse,
+  type Transaction,
+} from "../../src/wire/counterpart.js";
+import type { Change, ChangeEvent } from "../../src/wire/key-value.js";
+import { PATH } from "../../src/wire/names.js";
+import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
+import { StateServiceProxy } from "./state-service-proxy.js";
+
+/** A stored value, with the lease that it is bound to. */
+interface StoredEntry {
+  readonly value: unknown;
+  readonly modRevision: number;
+  readonly lease: number | null;
+}
+
+interface Lease {
+  readonly ttlMs: number;
+  readonly timer: NodeJS.Timeout;
+}
+
+const NOT_FOUND: StandInResponse = { status: 404, body: {} };
+const ok = (body: unknown): StandInResponse => ({ status: 200, body });
+const badRequest = (error: string): StandInResponse => ({ status: 400, body: { error } });
+
+/** Strongly consistent by being one map in one process. */
+export class StateServiceStandIn {
+  readonly entries = new Map<string, StoredEntry>();
+  /** How many changes of each key were carried out. */
+  readonly changeCounts = new Map<string, number>();
+  /** Larger values and transactions are refused. */
+  limits = { valueBytes: Number.POSITIVE_INFINITY, txnOps: Number.POSITIVE_INFINITY };
+  /** Transactions that were refused for exceeding the limits. */
+  rejectedTransactions = 0;
+  /** It refuses everybody; open watches wait. */
+  isUnavailable = false;
+  private readonly changeLog: ChangeEvent[] = [];
+  private readonly leases = new Map<number, Lease>();
+  private readonly watchers = new Set<() => void>();
+  private readonly proxies: StateServiceProxy[] = [];
+  private readonly server = new StandInServer((...request) => this.handle(...request));
+  private nextLease = 1;
+  private revision = 1;
+
+  get address(): string {
+    return this.server.address;
+  }
+
+  /** All changes so far, in their order. */
+  get history(): readonly ChangeEvent[] {
+    return this.changeLog;
+  }
+
+  start(): Promise<void> {
+    return this.server.start();
+  }
+
+  /** A way of its own for one node, with faults of its own. */
+  async openProxy(): Promise<StateServiceProxy> {
+    const proxy = new StateServiceProxy((...request) => this.handle(...request));
+    await proxy.start();
+    this.proxies.push(proxy);
+    return proxy;
+  }
+
+  stop(): void {
+    for (const { timer } of this.leases.values()) clearTimeout(timer);
+    this.server.stop();
+    for (const proxy of this.proxies) proxy.stop();
+  }
+
+  private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
+    if (this.isUnavailable) return UNAVAILABLE;
+    const { pathname, searchParams } = url;
+    if (pathname === PATH.leases && method === "POST") return this.grantLease(body);
+    if (pathname.startsWith(`${PATH.leases}/`)) return this.changeLease(method, pathname);
+    if (pathname === PATH.txn) return this.transact(decodeTransaction(body));
+    if (pathname === PATH.kv) return this.range(searchParams);
+    if (pathname === PATH.follow) return await this.watch(searchParams);
+    return NOT_FOUND;
+  }
+
+  private grantLease(body: unknown): StandInResponse {
+    const { ttlMs } = body as { ttlMs: number };
+    if (!Number.isInteger(ttlMs)) return badRequest("not whole milliseconds");
+    const id = this.nextLease++;
+    this.armLease(id, ttlMs);
+    return ok(encodeLease(id));
+  }
+
+  /** Extends or revokes it. */
+  private changeLease(method: string, path: string): StandInResponse {
+    const id = Number(path.split("/")[2]);
+    const lease = this.leases.get(id);
+    if (lease === undefined) return NOT_FOUND;
+    clearTimeout(lease.timer);
+    if (method === "DELETE") this.expireLease(id);
+    else this.armLease(id, lease.ttlMs);
+    return ok({});
+  }
+
+  private armLease(id: number, ttlMs: number): void {
+    const timer = setTimeout(() => this.expireLease(id), ttlMs);
+    timer.unref();
+    this.leases.set(id, { ttlMs, timer });
+  }
+
+  private expireLease(id: number): void {
+    const lease = this.leases.get(id);
+    if (lease === undefined) return;
+    clearTimeout(lease.timer);
+    this.leases.delete(id);
+    this.revision++;
+    for (const [key, entry] of [...this.entries]) {
+      if (entry.lease === id) this.applyChange({ op: "delete", key });
+    }
+    this.wakeWatchers();
+  }
+
+  private range(query: URLSearchParams): StandInResponse {
+    const prefix = query.get("prefix") ?? "";
+    const since = query.get("since") ?? "";
+    const limit = Number(query.get("most") ?? "");
+    const found = [...this.entries]
+      .filter(([key]) => key.startsWith(prefix) && key > since)
+      .sort(([a], [b]) => (a < b ? -1 : 1));
+    const items = found
+      .slice(0, limit)
+      .map(([key, { value, modRevision }]) => ({ key, value, modRevision }));
+    return ok(encodeRange(items, found.length > limit, this.revision));
+  }
+
+  private async watch(query: URLSearchParams): Promise<StandInResponse> {
+    const since = Number(query.get("since") ?? "");
+    const blockMs = Number(query.get("blockMs") ?? "");
+    if (this.changesSince(since).length === 0 && blockMs > 0) await this.nextChange(blockMs);
+    return ok(encodeWatchResponse(this.changesSince(since), this.revision));
+  }
+
+  private changesSince(revision: number): ChangeEvent[] {
+    return this.changeLog.filter(({ modRevision }) => modRevision > revision);
+  }
+
+  private async nextChange(timeoutMs: number): Promise<void> {
+    await new Promise<void>((resolve) => {
+      const wake = (): void => {
+        clearTimeout(timer);
+        this.watchers.delete(wake);
+        resolve();
+      };
+      const timer = setTimeout(wake, timeoutMs);
+      timer.unref();
+      this.watchers.add(wake);
+    });
+  }
+
+  private wakeWatchers(): void {
+    for (const wake of [...this.watchers]) wake();
+  }
+
+  private transact({ preconditions, changes }: Transaction): StandInResponse {
+    if (changes.some((change) => this.hasUnknownLease(change))) return badRequest("no such lease");
+    if (this.exceedsLimits(changes)) {
+      this.rejectedTransactions++;
+      return badRequest("too large");
+    }
+    const failedKeys = preconditions
+      .filter(({ key, modRevision }) => (this.entries.get(key)?.modRevision ?? 0) !== modRevision)
+      .map(({ key }) => key);
+    if (failedKeys.length > 0) {
+      return { status: 409, body: encodeTransactionResult(this.revision, failedKeys) };
+    }
+    this.revision++;
+    for (const change of changes) this.applyChange(change);
+    this.wakeWatchers();
+    return ok(encodeTransactionResult(this.revision, []));
+  }
+
+  private hasUnknownLease(change: Change): boolean {
+    return change.op === "put" && change.lease !== undefined && !this.leases.has(change.lease);
+  }
+
+  private exceedsLimits(changes: readonly Change[]): boolean {
+    const { valueBytes, txnOps } = this.limits;
+    if (changes.length > txnOps) return true;
+    return changes.some(
+      (change) =>
+        change.op === "put" &&
+        change.value !== undefined &&
+        JSON.stringify(change.value).length > valueBytes,
+    );
+  }
+
+  private applyChange(change: Change): void {
+    const { key } = change;
+    const modRevision = this.revision;
+    if (change.op === "delete") {
+      this.entries.delete(key);
+      this.changeLog.push({ key, value: null, removed: true, modRevision });
+    } else {
+      const { value, lease = null } = change;
+      this.entries.set(key, { value, modRevision, lease });
+      this.changeLog.push({ key, value, removed: false, modRevision });
+    }
+    this.changeCounts.set(key, (this.changeCounts.get(key) ?? 0) + 1);
+  }
+}
--- /dev/null
+++ b/tests/support/worker-stand-in.ts
@@ -0,0 +1,205 @@
+/** A worker in this process that speaks with controllers over real connections. */
+import { setTimeout as sleepMs } from "node:timers/promises";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
+import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
+import { decodeRedirect } from "../../src/wire/counterpart.js";
+import { decode, encode } from "../../src/wire/msgpack.js";
+import { PATH } from "../../src/wire/names.js";
+import { decodeCommands } from "../../src/wire/schema.js";
+import { encodeWorkerHeartbeat } from "../../src/wire/worker-heartbeat.js";
+import { noResponse, type StandInResponse, StandInServer } from "./stand-in-server.js";
+
+const MAX_CONNECTIONS = 4;
+const REQUEST_TIMEOUT_MS = 1000;
+
+interface StandInTask {
+  status: TaskStatus;
+  timer: NodeJS.Timeout;
+}
+
+/** Told of a task's start, and of its end with the cause. */
+export type TaskListener = (
+  task: string,
+  machine: string,
+  isRunning: boolean,
+  cause: TaskStatus["cause"],
+) => void;
+
+/** What a worker is, whom it knows, and how long things take. */
+export interface WorkerStandInOptions {
+  readonly name: string;
+  readonly zone: string;
+  readonly controllers: readonly { readonly member: string; readonly address: string }[];
+  /** Milliseconds that each task of the job runs. */
+  readonly taskMs: (job: string) => number;
+  readonly heartbeatIntervalMs: number;
+  readonly leaseMs: number;
+  /** Told of starts and ends, to see that nothing is on two machines. */
+  readonly onTaskChange: TaskListener;
+}
+
+/** Runs every task for the time that its job sets; tasks end with the lease. */
+export class WorkerStandIn {
+  readonly name: string;
+  readonly zone: string;
+  /** Its heartbeats reach no controller, while direct commands reach it. */
+  dropsOutbound = false;
+  /** Its heartbeats arrive; answers and direct commands are lost. */
+  dropsInbound = false;
+  /** The bytes of each heartbeat that it sent, for copies that arrive later. */
+  readonly sentHeartbeats: Buffer[] = [];
+  private readonly connections: readonly HttpConnectionPool[];
+  private readonly server = new StandInServer((...request) => this.handle(...request));
+  private readonly tasks = new Map<string, StandInTask>();
+  private incarnation = 1;
+  private sequence = 0;
+  private fencingToken = 0;
+  private controllerIndex = 0;
+  private isStopped = false;
+  private leaseExpiresAtMs: number;
+
+  constructor(private readonly options: WorkerStandInOptions) {
+    this.name = options.name;
+    this.zone = options.zone;
+    this.leaseExpiresAtMs = performance.now() + options.leaseMs;
+    this.connections = options.controllers.map(
+      ({ address }) => new HttpConnectionPool(address, MAX_CONNECTIONS),
+    );
+  }
+
+  get address(): string {
+    return this.server.address;
+  }
+
+  async start(): Promise<void> {
+    await this.server.start();
+    void this.sendHeartbeats();
+  }
+
+  stop(): void {
+    this.isStopped = true;
+    this.stopAllTasks();
+    for (const connection of this.connections) connection.close();
+    this.server.stop();
+  }
+
+  private stopAllTasks(): void {
+    for (const task of this.tasks.values()) this.exitTask(task, "stopped");
+    this.tasks.clear();
+  }
+
+  private exitTask(task: StandInTask, cause: TaskStatus["cause"]): void {
+    const { status } = task;
+    if (status.state === "exited") return;
+    clearTimeout(task.timer);
+    task.status = { ...status, state: "exited", cause };
+    this.options.onTaskChange(`${status.job}/${status.task}`, this.name, false, cause);
+  }
+
+  private startTask(key: string, { job, task, attempt }: WorkerCommand): void {
+    const started: StandInTask = {
+      status: { job, task, attempt, state: "running", cause: null, checkpointed: false },
+      timer: setTimeout(() => this.exitTask(started, "done"), this.options.taskMs(job)),
+    };
+    started.timer.unref();
+    this.tasks.set(key, started);
+    this.options.onTaskChange(`${job}/${task}`, this.name, true, null);
+  }
+
+  private heartbeat(): WorkerHeartbeat {
+    return {
+      machine: this.name,
+      address: this.address,
+      type: "small",
+      zone: this.zone,
+      spot: false,
+      incarnation: this.incarnation,
+      sequence: ++this.sequence,
+      fencingToken: this.fencingToken,
+      interruptionNoticeS: null,
+      tasks: [...this.tasks.values()].map(({ status }) => status),
+    };
+  }
+
+  private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
+    if (this.dropsInbound) return await noResponse();
+    this.expireLease();
+    if (url.pathname === PATH.show && method === "GET") {
+      return { status: 200, body: encodeWorkerHeartbeat(this.heartbeat()) };
+    }
+    const request = decodeCommands(body);
+    if (request === null || request.session === null) return { status: 400, body: {} };
+    const isAccepted = request.token >= this.fencingToken && request.session === this.incarnation;
+    this.fencingToken = Math.max(this.fencingToken, request.token);
+    if (isAccepted) this.execute(request.commands);
+    return { status: isAccepted ? 200 : 409, body: encodeWorkerHeartbeat(this.heartbeat()) };
+  }
+
+  private execute(commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
+      const key = `${command.job}/${command.task}#${command.attempt}`;
+      const known = this.tasks.get(key);
+      if (command.op === "forget") {
+        if (known?.status.state === "exited") this.tasks.delete(key);
+      } else if (command.op === "stop") {
+        if (known !== undefined) this.exitTask(known, "stopped");
+      } else if (known === undefined) {
+        this.startTask(key, command);
+      }
+    }
+  }
+
+  /** Once its lease is over, its tasks have ended and a new incarnation begins. */
+  private expireLease(): void {
+    if (performance.now() <= this.leaseExpiresAtMs) return;
+    this.stopAllTasks();
+    this.incarnation++;
+    this.sequence = 0;
+    this.leaseExpiresAtMs = performance.now() + this.options.leaseMs;
+  }
+
+  private async sendHeartbeats(): Promise<void> {
+    while (!this.isStopped) {
+      await sleepMs(this.options.heartbeatIntervalMs);
+      if (this.isStopped) return;
+      this.expireLease();
+      if (this.dropsOutbound) continue;
+      try {
+        await this.sendHeartbeat();
+      } catch {
+        this.nextController();
+      }
+    }
+  }
+
+  private async sendHeartbeat(): Promise<void> {
+    const sentAtMs = performance.now();
+    const bytes = encode(encodeWorkerHeartbeat(this.heartbeat()));
+    this.sentHeartbeats.push(bytes);
+    const connection = this.connections[this.controllerIndex]!;
+    const response = await connection.request("POST", PATH.report, bytes, REQUEST_TIMEOUT_MS);
+    if (this.dropsInbound) return;
+    const body = decode(response.body);
+    if (response.status === 200) this.handleAnswer(body, sentAtMs);
+    else this.followRedirect(body);
+  }
+
+  private handleAnswer(body: unknown, sentAtMs: number): void {
+    const answer = decodeCommands(body);
+    if (answer === null || answer.token < this.fencingToken) return;
+    this.fencingToken = answer.token;
+    this.leaseExpiresAtMs = sentAtMs + this.options.leaseMs;
+    this.execute(answer.commands);
+  }
+
+  private followRedirect(body: unknown): void {
+    const leader = decodeRedirect(body);
+    const index = this.options.controllers.findIndex(({ member }) => member === leader);
+    if (index >= 0) this.controllerIndex = index;
+    else this.nextController();
+  }
+
+  private nextController(): void {
+    this.controllerIndex = (this.controllerIndex + 1) % this.options.controllers.length;
+  }
+}
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -10,7 +10,8 @@
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
 import type { KeyValueItem } from "../src/wire/key-value.js";
-import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const file = new URL("../../../tests/traces/production.json", import.meta.url);
 const trace = (): KeyValueItem[] => JSON.parse(readFileSync(file, "utf8")) as KeyValueItem[];
@@ -50,7 +51,7 @@
 function takeOver(items: KeyValueItem[], state = {}): TestLeader {
   const records = new StateReplica();
   records.reset(items, 100);
-  return new TestLeader({ records, epoch: 2, state });
+  return new TestLeader({ replica: records, epoch: 2, state });
 }
 
 test("the recorded values have the shapes that are held against this version's", () => {
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -6,19 +6,14 @@
 import type { JobKind, JobSpec } from "../src/core/model.js";
 import type { StateReplica } from "../src/core/state/state-replica.js";
 import { decodeJob } from "../src/wire/schema.js";
-import {
-  jobBody,
-  jobSpec,
-  leaderWithTwoMachines,
-  MACHINE_TYPES,
-  SimulatedWorkers,
-  TestLeader,
-  taskStatus,
-} from "./support/helpers.js";
+import { jobBody, jobSpec, taskStatus } from "./support/job-builders.js";
+import { MACHINE_TYPES } from "./support/machine-types.js";
 import { CONSTRAINTS, type Constraint, placeFaults, without } from "./support/placement-checker.js";
 import { ProtocolRuleChecker } from "./support/protocol-rule-checker.js";
 import { clusterForJob } from "./support/simulated-clusters.js";
+import { SimulatedWorkers } from "./support/simulated-workers.js";
 import { Simulation } from "./support/simulation.js";
+import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
 const BINDING: Record<Constraint, Partial<JobSpec>> = {
   types: { types: ["big"], tasks: 3 },
@@ -110,7 +105,7 @@
   const job = { ...stored.value.j, oneZone: true };
   const value = { ...stored.value, j: job };
   store(old.replica, "p/j", value);
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   // What stands in one zone runs; of what stands in the other no start has arrived.
   const placed = [...h.scheduler.cluster.jobs.get("j")!.placements.values()];
@@ -132,7 +127,7 @@
   const stored = old.replica.activeJobs.get("j")!;
   const value = { ...stored.value, j: { ...stored.value.j, oneZone: true, tasks: 8 } };
   store(old.replica, "p/j", value);
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   const on = [...h.scheduler.cluster.jobs.get("j")!.placements.values()];
   for (const m of ["m1a", "m2b"]) {
@@ -243,7 +238,7 @@
     const value = Object.fromEntries(Object.entries(g.value).filter(([name]) => name !== "m1a"));
     store(old.replica, `g/${n}`, value);
   }
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   h.receiveHeartbeat("m2b", []);
   h.receiveHeartbeat("m3b", []);
@@ -391,7 +386,7 @@
   }
   // One machine's session ends; its tasks are stored as gone, and the leader ends before it has stopped the rest.
   old.receiveHeartbeat("m1a", [], { incarnation: 2 });
-  const h = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const h = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   h.epoch = 2;
   const left = [...h.scheduler.cluster.jobs.get("g")!.placements.values()];
   assert.equal(left.length, 3);
