--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -7,12 +7,12 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { decodeLedger, decodeWindow } from "../src/admission/index.js";
 import { START_BOUND_S } from "../src/core/model.js";
+import { decodeJobState, encodeJob } from "../src/wire/counterpart.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { decodeJob } from "../src/wire/schema.js";
 import { compareDecisionLogs } from "./decision-logs.js";
-import { sleepSeconds } from "./support/in-process-cluster.js";
-import { jobBody } from "./support/job-builders.js";
-import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
+import { submittedJob } from "./support/job-builders.js";
+import { MultiProcessCluster } from "./support/multi-process-cluster.js";
+import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
 
 const NODES = 3;
 const WORKERS = 8;
@@ -28,7 +28,7 @@
   readonly team: string;
   readonly class: string;
   readonly tasks: number;
-  readonly kind: "array" | "ensemble";
+  readonly kind: "array" | "gang";
   /** Its arrivals, as a ratio to the capacity. */
   readonly demand: number;
   /** CPUs that its team is guaranteed; no other class of this load is in the team. */
@@ -39,7 +39,7 @@
 export const LOADS: readonly Load[] = [
   { team: "bookings", class: "booking", tasks: 1, kind: "array", demand: 0.75, guaranteed: 10 },
   { team: "settlement", class: "night", tasks: 8, kind: "array", demand: 1, guaranteed: 8 },
-  { team: "vision", class: "photos", tasks: 16, kind: "ensemble", demand: 0.75, guaranteed: 0 },
+  { team: "vision", class: "photos", tasks: 16, kind: "gang", demand: 0.75, guaranteed: 0 },
   { team: "fraud", class: "scoring", tasks: 1, kind: "array", demand: 2.5, guaranteed: 0 },
 ];
 
@@ -142,7 +142,7 @@
     const { site } = this;
     for (let i = 0; i < NODES; i++) site.startNode(i);
     for (let i = 0; i < NODES; i++) await site.awaitHealthy(i);
-    await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
+    await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
     this.began = performance.now() / 1000;
     const before = this.changes();
     const users = LOADS.map((load) => this.submitAll(load));
@@ -152,7 +152,7 @@
     // What was accepted gets its answer; repeated submissions of it meet the known job at every node.
     for (const [n, id] of [...this.accepted.keys()].entries()) {
       if (n % 20 !== 0) continue;
-      await waitUntil(`${id} is done`, async () => {
+      await waitForProcesses(`${id} is done`, async () => {
         return (await site.queryJob(n % NODES, id)).state === "done";
       });
       const again = await site.submitJob(n % NODES, id, {});
@@ -213,17 +213,18 @@
   private async user(load: Load, id: string, n: number): Promise<void> {
     const figures = this.classes.get(load.class)!;
     figures.submitted++;
-    const body = jobBody({
-      nameId: id,
-      herd: load.class,
-      outfit: load.team,
-      gait: load.kind,
-      strides: load.tasks,
-      loaners: false,
-      rideS: TASK_S,
+    const spec = submittedJob({
+      id,
+      class: load.class,
+      team: load.team,
+      kind: load.kind,
+      tasks: load.tasks,
+      spot: false,
+      estimateS: TASK_S,
       memoryGb: 0.1,
     });
-    this.site.ruleChecker.jobSubmitted(decodeJob(body)!);
+    this.site.ruleChecker.jobSubmitted(spec);
+    const body = encodeJob(spec);
     const began = this.now();
     for (let round = n; this.now() - began < PATIENCE_S && this.now() < this.seconds; round++) {
       const waitS = await this.attempt(round % NODES, id, body);
@@ -250,8 +251,7 @@
     if (reply === null) return 1;
     this.answers.recordValue(Math.max(1, Math.round(performance.now() - sent)));
     if (reply.status === 200 || reply.status === 201) {
-      const { stance } = decode(reply.body) as { stance?: string };
-      this.site.ruleChecker.answerReceived(id, reply.status, stance);
+      this.site.ruleChecker.answerReceived(id, reply.status, decodeJobState(decode(reply.body)));
       return null;
     }
     if (reply.status !== 429 && reply.status !== 503) this.faults.push(`${id}: ${reply.status}`);
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -3,12 +3,13 @@
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
 import { compareDecisionLogs } from "./decision-logs.js";
 import type { InProcessCluster } from "./support/in-process-cluster.js";
-import { clusterTest, sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
+import { clusterTest } from "./support/in-process-cluster.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
 const ON = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 const FIGURES = { operatorIni: ON, leaseS: 6 };
 /** Sixteen CPUs run four tasks of four; as much again may wait. */
-const FLOOD = { herd: "flood", strides: 4, cpus: 4 };
+const FLOOD = { class: "flood", tasks: 4, cpus: 4 };
 
 const admissionKeys = (site: InProcessCluster): string[] =>
   [...site.stateService.changeCounts.keys()].filter((key) => key.startsWith("a/"));
@@ -60,8 +61,8 @@
     }
     // Asking, cancelling and what is wrong are never subject to admission.
     assert.equal((await site.queryJob(1, "burst-none")).status, 404);
-    assert.equal((await site.submitJob(1, "wrong", { ...FLOOD, outfit: "nobody" })).status, 422);
-    assert.equal((await site.submitJob(1, "bad", { ...FLOOD, strides: 0 })).status, 400);
+    assert.equal((await site.submitJob(1, "wrong", { ...FLOOD, team: "nobody" })).status, 422);
+    assert.equal((await site.submitJob(1, "bad", { ...FLOOD, tasks: 0 })).status, 400);
     const one = accepted[0]!.slice(2);
     await waitUntil(
       "a cancellation goes through",
@@ -70,7 +71,7 @@
     // Another class of the team comes in: its first job is within what others may use.
     await waitUntil(
       "another class is admitted",
-      async () => (await site.submitJob(2, "other", { herd: "web", strides: 1 })).status <= 201,
+      async () => (await site.submitJob(2, "other", { class: "web", tasks: 1 })).status <= 201,
     );
     await sleepSeconds(1.5);
     assert.ok(compareDecisionLogs(site.admissionDecisions) > 5);
@@ -154,7 +155,7 @@
       await waitUntil(
         `${id} is accepted`,
         async () =>
-          (await site.submitJob(n % 3, id, { herd: "web", strides: 1, cpus: 0.25 })).status <= 201,
+          (await site.submitJob(n % 3, id, { class: "web", tasks: 1, cpus: 0.25 })).status <= 201,
       );
     }
     assert.ok(lost > 0);
@@ -181,7 +182,7 @@
     });
     await waitUntil(
       "another class is admitted",
-      async () => (await site.submitJob(2, "web", { herd: "web", strides: 1 })).status <= 201,
+      async () => (await site.submitJob(2, "web", { class: "web", tasks: 1 })).status <= 201,
     );
   },
 );
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,9 +1,9 @@
 /** Real processes on loopback: the leader is killed or stands still while tasks run. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { sleepSeconds } from "./support/in-process-cluster.js";
 import { jobSpec } from "./support/job-builders.js";
-import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
+import { MultiProcessCluster } from "./support/multi-process-cluster.js";
+import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
 
 test("killing the leader loses no job and runs nothing twice", { timeout: 120_000 }, async () => {
   const site = await MultiProcessCluster.open({ taskMs: () => 1500 });
@@ -12,20 +12,20 @@
     const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
     for (const [i, id] of ids.entries()) {
       // 200 if the answer to a first try was late and it was asked again.
-      assert.ok((await site.submitJob(i % 3, id, { strides: 8 })).status <= 201);
+      assert.ok((await site.submitJob(i % 3, id, { tasks: 8 })).status <= 201);
     }
-    await waitUntil("tasks run", () => site.ruleChecker.startCount >= 8);
+    await waitForProcesses("tasks run", () => site.ruleChecker.startCount >= 8);
     const killed = site.leaderIndex();
     site.signalNode(killed, "SIGKILL");
     const leader = await site.awaitOtherLeader(killed);
     for (const id of ids) {
-      await waitUntil(
+      await waitForProcesses(
         `${id} is done`,
         async () => (await site.queryJob(leader, id)).state === "done",
       );
     }
     assert.ok(site.ruleChecker.startCount >= 48);
-    const again = await site.submitJob(leader, ids[0]!, { strides: 1 });
+    const again = await site.submitJob(leader, ids[0]!, { tasks: 1 });
     assert.deepEqual(again, { status: 200, state: "done" });
     site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
     assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
@@ -35,7 +35,7 @@
     site.startNode(killed);
     await site.awaitHealthy(killed);
     const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
-    for (const id of held) await site.submitJob(1, id, { strides: 8 });
+    for (const id of held) await site.submitJob(1, id, { tasks: 8 });
     const still = site.leaderIndex();
     const others = [0, 1, 2].filter((i) => i !== still);
     site.signalNode(still, "SIGSTOP");
@@ -44,7 +44,7 @@
     const epoch = (site.stateService.entries.get("epoch")!.value as { n: number }).n;
     site.signalNode(still, "SIGCONT");
     for (const id of held) {
-      await waitUntil(`${id} is done`, async () => {
+      await waitForProcesses(`${id} is done`, async () => {
         return (await site.queryJob(others[0]!, id)).state === "done";
       });
     }
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -8,8 +8,8 @@
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeWorkerHeartbeat, encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
-import { sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
 import { taskStatus } from "./support/job-builders.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
 const REPORT: WorkerHeartbeat = {
   machine: "m-1",
--- a/tests/joined-faults.test.ts
+++ b/tests/joined-faults.test.ts
@@ -3,12 +3,10 @@
  * The order of events is set by the tests; only what follows from it is waited for.
  */
 import assert from "node:assert/strict";
-import {
-  clusterTest,
-  type InProcessCluster,
-  sleepSeconds,
-  waitUntil,
-} from "./support/in-process-cluster.js";
+import { encodeJob } from "../src/wire/counterpart.js";
+import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
+import { clusterJob } from "./support/job-builders.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
 /** Whoever is told that a job is cancelled finds nothing of it on any machine, then and later. */
 async function toldOnlyWhenGone(
@@ -38,8 +36,8 @@
     `1: cancelled elsewhere while the leader alone is refused, then an outage (cancel_s ${cancelS}, lease_s 3)`,
     { cancelS },
     async (site) => {
-      await site.submitAndAwaitRunning("gang", { gait: "ensemble" });
-      await site.submitAndAwaitRunning("list", { strides: 6 });
+      await site.submitAndAwaitRunning("gang", { kind: "gang" });
+      await site.submitAndAwaitRunning("list", { tasks: 6 });
       const leader = site.leaderIndex();
       const others = [0, 1, 2].filter((i) => i !== leader);
       site.nodes[leader]!.stateProxy.isRefusing = true;
@@ -227,13 +225,21 @@
     await waitUntil("it is done", async () => (await site.queryJob(0, "job")).state === "done");
     for (const i of [0, 1, 2]) {
       const known = { status: 200, state: "done", retryAfter: undefined };
-      assert.deepEqual(await site.submitJob(i, "job", { strides: "many" }), known);
+      assert.deepEqual(
+        await site.submitBody(i, { ...encodeJob(clusterJob("job")), strides: "many" }),
+        known,
+      );
       assert.deepEqual(await site.submitJob(i, "job", { cpus: 1000 }), known);
       assert.deepEqual(await site.cancelJob(i, "job"), known);
       assert.equal((await site.submitJob(i, "wide", { cpus: 1000 })).status, 422);
       for (const field of ["outfit", "strides", "cpus", "tack", "rank"]) {
         assert.equal(
-          (await site.submitJob(i, `lacks-${field}`, { [field]: undefined })).status,
+          (
+            await site.submitBody(i, {
+              ...encodeJob(clusterJob(`lacks-${field}`)),
+              [field]: undefined,
+            })
+          ).status,
           400,
         );
       }
@@ -250,8 +256,11 @@
   async (site) => {
     for (const i of [0, 1, 2]) {
       assert.equal((await site.submitJob(i, "wide", { cpus: 1000 })).status, 503);
-      assert.equal((await site.submitJob(i, "lacks", { rank: undefined })).status, 400);
-      assert.equal((await site.submitJob(i, "stranger", { outfit: "nobody" })).status, 422);
+      assert.equal(
+        (await site.submitBody(i, { ...encodeJob(clusterJob("lacks")), rank: undefined })).status,
+        400,
+      );
+      assert.equal((await site.submitJob(i, "stranger", { team: "nobody" })).status, 422);
     }
     assert.deepEqual(
       [...site.stateService.entries.keys()].filter((k) => /^p/.test(k)),
@@ -280,7 +289,7 @@
   async (site) => {
     const ids = Array.from({ length: 40 }, (_, n) => `one-${n}`);
     for (const [n, id] of ids.entries()) {
-      assert.ok((await site.submitJob(n % 3, id, { strides: 1 })).status <= 201);
+      assert.ok((await site.submitJob(n % 3, id, { tasks: 1 })).status <= 201);
       if (n % 4 === 0) await site.cancelJob((n + 1) % 3, id);
       await sleepSeconds(0.05);
     }
@@ -308,7 +317,7 @@
   "9: workers reach no controller while direct commands reach them: work moves, none twice",
   { taskS: 6 },
   async (site) => {
-    await site.submitAndAwaitRunning("job", { strides: 8 });
+    await site.submitAndAwaitRunning("job", { tasks: 8 });
     const [m] = [...site.machinesOf("job")];
     const w = site.cloud.workers.get(m!)!;
     w.dropsOutbound = true;
@@ -326,7 +335,7 @@
   "10: a report from before reaches every node just as a new leader begins",
   { taskS: 3 },
   async (site) => {
-    await site.submitAndAwaitRunning("job", { strides: 8 });
+    await site.submitAndAwaitRunning("job", { tasks: 8 });
     const workers = [...site.cloud.workers.values()];
     await waitUntil("all have reported", () => workers.every((w) => w.sentHeartbeats.length > 3));
     const old = workers.flatMap((w) => w.sentHeartbeats.slice(-2));
@@ -351,7 +360,7 @@
   { taskS: 0.3 },
   async (site) => {
     const of = (i: number, id: string, follows: unknown, change = {}) =>
-      site.submitJob(i, id, { follows, strides: 2, ...change });
+      site.submitBody(i, { ...encodeJob(clusterJob(id, { tasks: 2, ...change })), follows });
     assert.equal((await of(0, "b", ["a"])).status, 422, "never accepted");
     assert.equal((await of(0, "b", ["b"])).status, 422, "itself");
     assert.equal((await of(0, "b", "a")).status, 400);
@@ -406,7 +415,7 @@
     ] as const) {
       await waitUntil(
         `${id} is taken`,
-        async () => (await site.submitJob(1, id, { follows: after })).status <= 201,
+        async () => (await site.submitJob(1, id, { after })).status <= 201,
       );
     }
     const leader = site.leaderIndex();
@@ -426,7 +435,7 @@
       for (const id of all) assert.equal((await site.queryJob(i, id)).state, "cancelled", id);
     }
     assert.equal(
-      (await site.submitJob(other, "e", { follows: ["d"] })).status,
+      (await site.submitJob(other, "e", { after: ["d"] })).status,
       201,
       "accepted all the same",
     );
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -8,9 +8,9 @@
   MultiProcessCluster,
   type MultiProcessClusterOptions,
   PROGRAM,
-  waitUntil,
 } from "./support/multi-process-cluster.js";
 import { buildProductionVersion, isProductionCommitAvailable } from "./support/production-build.js";
+import { waitForProcesses } from "./support/waiting.js";
 
 const NODES = [0, 1, 2];
 /** An array of so many tasks stands in parts, whichever version cut it. */
@@ -40,7 +40,10 @@
   try {
     for (const i of NODES) site.startNode(i, production);
     for (const i of NODES) await site.awaitHealthy(i);
-    await waitUntil("a process of the version in production leads", () => site.leaderIndex() >= 0);
+    await waitForProcesses(
+      "a process of the version in production leads",
+      () => site.leaderIndex() >= 0,
+    );
     await scenario(site, production);
     assert.deepEqual(site.ruleChecker.violations, []);
   } finally {
@@ -54,17 +57,17 @@
 /** Jobs of all kinds, one of them in parts, that run for long or are done soon. */
 async function submitAll(site: MultiProcessCluster, node: number, name: string): Promise<string[]> {
   const ended = [`array-${name}`, `gang-${name}`, `large-${name}`];
-  const service = { gait: "service", strides: 2, rideS: 0, apart: true };
+  const service = { kind: "service" as const, tasks: 2, estimateS: 0, spread: true };
   await site.submitJob(node, `long-service-${name}`, service);
-  await site.submitJob(node, `long-gang-${name}`, { gait: "ensemble", strides: 2, together: true });
-  await site.submitJob(node, ended[0]!, { strides: 3, paddock: "b" });
-  await site.submitJob(node, ended[1]!, { gait: "ensemble", strides: 2 });
-  await site.submitJob(node, ended[2]!, { ...TINY, strides: LARGE });
+  await site.submitJob(node, `long-gang-${name}`, { kind: "gang", tasks: 2, oneZone: true });
+  await site.submitJob(node, ended[0]!, { tasks: 3, zone: "b" });
+  await site.submitJob(node, ended[1]!, { kind: "gang", tasks: 2 });
+  await site.submitJob(node, ended[2]!, { ...TINY, tasks: LARGE });
   return ended;
 }
 
 const running = (site: MultiProcessCluster, id: string, tasks: number) =>
-  waitUntil(`${id} runs`, () => site.ruleChecker.runningTaskCount(id) === tasks);
+  waitForProcesses(`${id} runs`, () => site.ruleChecker.runningTaskCount(id) === tasks);
 
 /** Cancels a job whose machines hear nothing for a moment: nobody may be told before its tasks are gone. */
 async function cancelUnheard(site: MultiProcessCluster, node: number, id: string): Promise<void> {
@@ -110,8 +113,8 @@
       site.replaceNode(leader, PROGRAM);
       await site.awaitHealthy(leader);
       await site.submitJob(leader, "long-head");
-      await site.submitJob(one, "after-head", { follows: ["long-head"] });
-      await site.submitJob(other, "after-done", { follows: ["array-first", "large-third"] });
+      await site.submitJob(one, "after-head", { after: ["long-head"] });
+      await site.submitJob(other, "after-done", { after: ["array-first", "large-third"] });
       await site.awaitJobState("after-done", "done");
       assert.equal((await site.cancelJob(one, "long-head")).state, "cancelled");
       await site.awaitJobState("after-head", "cancelled");
@@ -135,14 +138,14 @@
         site.replaceNode(i, PROGRAM);
         await site.awaitHealthy(i);
       }
-      await waitUntil("a new process leads", () => site.leaderIndex() >= 0);
+      await waitForProcesses("a new process leads", () => site.leaderIndex() >= 0);
       ended.push(...(await submitAll(site, site.leaderIndex(), "during")));
       await running(site, "long-service-during", 2);
       for (const i of NODES) {
         site.replaceNode(i, old);
         await site.awaitHealthy(i);
       }
-      await waitUntil("an old process leads", () => site.leaderIndex() >= 0);
+      await waitForProcesses("an old process leads", () => site.leaderIndex() >= 0);
       ended.push(...(await submitAll(site, 1, "behind")));
       for (const id of ended) await site.awaitJobState(id, "done");
       for (const name of ["before", "during", "behind"]) {
@@ -164,7 +167,7 @@
       for (let round = 0; round < 3; round++) {
         for (const i of NODES) site.replaceNode(i, (i + round) % 2 === 0 ? PROGRAM : old);
         for (const i of NODES) await site.awaitHealthy(i);
-        await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
+        await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
         ended.push(...(await submitAll(site, round, `round-${round}`)));
         const gang = `long-gang-round-${round}`;
         assert.equal((await site.cancelJob(site.leaderIndex(), gang)).state, "cancelled");
@@ -183,7 +186,7 @@
     mixed(
       t,
       async (site, old) => {
-        const flood = { herd: "flood", strides: 4, cpus: 4 };
+        const flood = { class: "flood", tasks: 4, cpus: 4 };
         const taken: string[] = [];
         const submitAt = async (node: number, name: string): Promise<number> => {
           const answer = await site.submitJobOnce(node, name, flood);
@@ -204,24 +207,24 @@
         await site.awaitOtherLeader(leader);
         await site.awaitHealthy(leader);
         let n = 0;
-        await waitUntil("a new process refuses", async () => {
+        await waitForProcesses("a new process refuses", async () => {
           return (await submitAt(site.leaderIndex(), `new-${n++}`)) === 429;
         });
-        await waitUntil("the old one takes it", async () => {
+        await waitForProcesses("the old one takes it", async () => {
           return (await submitAt(leader, `beside-${n++}`)) <= 201;
         });
         // An old one leads again: the window that is left binds nobody.
         const term = site.epoch();
         site.replaceNode(one, old);
         site.replaceNode(other, old);
-        await waitUntil(
+        await waitForProcesses(
           "an old process leads",
           () => site.epoch() > term && site.leaderIndex() >= 0,
         );
         const fresh = followers(site)[0]!;
         site.replaceNode(fresh, PROGRAM);
         await site.awaitHealthy(fresh);
-        await waitUntil("all is admitted", async () => {
+        await waitForProcesses("all is admitted", async () => {
           return (await submitAt(fresh, `late-${n++}`)) <= 201;
         });
         for (const id of taken) await site.awaitJobState(id, "done");
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -2,59 +2,46 @@
 import assert from "node:assert/strict";
 import { connect } from "node:net";
 import { test } from "node:test";
-import { pino } from "pino";
-import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
 import { formatResiduals, ownDependencies } from "../src/core/jobs/pipeline.js";
 import type { WorkerHeartbeat } from "../src/core/model.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
-import { Controller } from "../src/node/controller.js";
 import { encodePeerHeartbeat } from "../src/peers/codec.js";
+import { decodeRedirect } from "../src/wire/counterpart.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { decodeSettings } from "../src/wire/settings.js";
+import { PATH } from "../src/wire/names.js";
+import { encodeCommands, encodeRedirect } from "../src/wire/schema.js";
 import { encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
 import { CloudStandIn } from "./support/cloud-stand-in.js";
-import { freePorts } from "./support/in-process-cluster.js";
+import {
+  controllerSettingsText,
+  createController,
+  FAST_STATE_SERVICE,
+  startController,
+} from "./support/controllers.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
-import { settingsText } from "./support/node-settings.js";
+import { freeAddress, freeAddresses } from "./support/ports.js";
 import { StateServiceStandIn } from "./support/state-service-stand-in.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
-const sleep = (s: number): Promise<void> => new Promise((r) => setTimeout(r, s * 1000));
+const MAX_CONNECTIONS = 8;
+const REQUEST_TIMEOUT_MS = 2000;
+/** Each look is a request to the node. */
+const LOOKS = { timeoutS: 15, intervalS: 0.1 };
 
-async function freePort(): Promise<number> {
-  const [port] = await freePorts(1);
-  return port!;
-}
-
-async function until(what: string, f: () => Promise<boolean>): Promise<void> {
-  for (let i = 0; i < 150; i++) {
-    if (await f()) return;
-    await sleep(0.1);
-  }
-  assert.fail(`never: ${what}`);
-}
-
-/** A node against stand-ins, and a way to report to it. */
+/** A node against stand-ins, and a way to send heartbeats to it. */
 async function nodeWith(state: StateServiceStandIn, cloudAddress: string, leaseS: number) {
-  const base = JSON.parse(settingsText()) as { settings: object };
-  const address = `127.0.0.1:${await freePort()}`;
-  const mesh = await freePort();
-  const read = decodeSettings(
-    JSON.stringify({
-      ...base,
-      serve_on: address,
-      mesh_addr: `127.0.0.1:${mesh}`,
-      siblings: [{ member: "n9", location: "b", addr: `127.0.0.1:${await freePort()}` }],
-      services: { cloud: cloudAddress, state: state.address },
-      settings: {
-        ...base.settings,
-        workers: { report_s: 3, lease_s: leaseS, gang_wait_s: 10, gang_peer_s: 3, cancel_s: 10 },
-        state: { rps: 1000, write_rps: 500, value_kb: 8, txn_ops: 32 },
-      },
-    }),
-  );
-  if (!("settings" in read)) throw new Error(read.faults.join("; "));
-  const node = new Controller(read.settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
-  const peer = new HttpConnectionPool(address, 8);
+  const [address, peerAddress, otherAddress] = (await freeAddresses(3)) as [string, string, string];
+  const settings = controllerSettingsText({
+    node: { member: "n0", zone: "a", address, peerAddress },
+    peers: [{ member: "n9", zone: "b", address: "", peerAddress: otherAddress }],
+    services: { cloud: cloudAddress, state: state.address },
+    shared: {
+      workers: { report_s: 3, lease_s: leaseS, gang_wait_s: 10, gang_peer_s: 3, cancel_s: 10 },
+      state: FAST_STATE_SERVICE,
+    },
+  });
+  const node = createController(settings);
+  const peer = new HttpConnectionPool(address, MAX_CONNECTIONS);
   let seq = 1;
   const report = async (name: string, change: Partial<WorkerHeartbeat> = {}) => {
     const r: WorkerHeartbeat = {
@@ -70,13 +57,16 @@
       tasks: [taskStatus(name, 0, 1)],
       ...change,
     };
-    const reply = await peer.request("POST", "/checkin", encode(encodeWorkerHeartbeat(r)), 2000);
-    const body = decode(reply.body) as { rein?: number; calls?: unknown[]; groom?: string };
-    return { status: reply.status, body };
+    const reply = await peer.request(
+      "POST",
+      PATH.report,
+      encode(encodeWorkerHeartbeat(r)),
+      REQUEST_TIMEOUT_MS,
+    );
+    return { status: reply.status, body: decode(reply.body) };
   };
-  await node.start();
-  for (let i = 0; i < 100 && !node.isHealthy(); i++) await sleep(0.05);
-  return { node, peer, report, mesh };
+  await startController(node);
+  return { node, peer, report, peerAddress };
 }
 
 test("cut off with its workers it keeps replicas alive without commands, and refuses users at once", {
@@ -103,13 +93,17 @@
   const { node, peer, report } = await nodeWith(state, cloud.address, 2);
   try {
     // In contact: workers are sent to the leader, whatever they run.
-    assert.deepEqual(await report("web"), { status: 421, body: { groom: "n9" } });
+    assert.deepEqual(await report("web"), { status: 421, body: encodeRedirect("n9") });
     // Contact for longer than a lease of 2 s. A gap in it, two seconds here, is noticed by and by.
-    await sleep(5);
+    await sleepSeconds(5);
     const stopped = performance.now();
     state.stop();
-    await until("it answers by itself", async () => (await report("web")).status === 200);
-    assert.deepEqual(await report("web"), { status: 200, body: { rein: 7, calls: [] } });
+    await waitUntil(
+      "it answers by itself",
+      async () => (await report("web")).status === 200,
+      LOOKS,
+    );
+    assert.deepEqual(await report("web"), { status: 200, body: encodeCommands(7, null, []) });
     assert.equal((await report("web", { fencingToken: 6 })).status, 200);
     assert.equal(
       (await report("web", { fencingToken: 8 })).status,
@@ -125,7 +119,11 @@
     assert.equal(asked.status, 503);
     assert.equal(asked.headers.get("retry-after"), "1");
     assert.ok(performance.now() - began < 1000, "refused at once");
-    await until("keep_ratio leases are over", async () => (await report("web")).status === 421);
+    await waitUntil(
+      "keep_ratio leases are over",
+      async () => (await report("web")).status === 421,
+      LOOKS,
+    );
     assert.ok(performance.now() - stopped > 10_000, "but not before");
   } finally {
     peer.close();
@@ -143,13 +141,17 @@
   state.entries.set("epoch", { value: { n: 7 }, modRevision: 1, lease: null });
   state.entries.set("x/gone", { value: { at: 0, told: true }, modRevision: 1, lease: null });
   // Without machine types the node cannot take the term itself.
-  const nobody = `127.0.0.1:${await freePort()}`;
+  const nobody = await freeAddress();
   const { node, peer, report } = await nodeWith(state, nobody, 30);
   try {
-    assert.deepEqual(await report("list"), { status: 200, body: { rein: 7, calls: [] } });
+    assert.deepEqual(await report("list"), { status: 200, body: encodeCommands(7, null, []) });
     assert.equal((await report("list", { fencingToken: 8 })).status, 421, "there is a later term");
     assert.equal((await report("gone")).status, 421, "cancelled, must be gone");
-    await until("a third of a lease is over", async () => (await report("list")).status === 421);
+    await waitUntil(
+      "a third of a lease is over",
+      async () => (await report("list")).status === 421,
+      LOOKS,
+    );
   } finally {
     peer.close();
     await node.stop();
@@ -166,7 +168,7 @@
   const lead = { member: "n9", epoch: 7, lease: 1, at: Date.now() };
   state.entries.set("lead", { value: lead, modRevision: 1, lease: null });
   state.entries.set("x/gone", { value: { at: 0, told: true }, modRevision: 1, lease: null });
-  const nobody = `127.0.0.1:${await freePort()}`;
+  const nobody = await freeAddress();
   const { node, peer, report } = await nodeWith(state, nobody, 6);
   try {
     const hundred = async () => {
@@ -179,12 +181,16 @@
     const sentOn = all.filter((r) => r.status === 421);
     assert.ok(sentOn.length >= 1 && sentOn.length <= 95, `${sentOn.length} sent on`);
     assert.equal(answered.length + sentOn.length, 100);
-    for (const r of answered) assert.deepEqual(r.body, { rein: 7, calls: [] });
-    for (const r of sentOn) assert.equal(r.body.groom, "n9");
+    for (const r of answered) assert.deepEqual(r.body, encodeCommands(7, null, []));
+    for (const r of sentOn) assert.equal(decodeRedirect(r.body), "n9");
     assert.equal((await report("list", { fencingToken: 8 })).status, 421, "there is a later term");
     assert.equal((await report("gone")).status, 421, "cancelled, must be gone");
     // The leader counts leases as over from its own start plus the grace: no answer comes after that.
-    await until("two thirds of a lease are over", async () => Date.now() - lead.at > 4000);
+    await waitUntil(
+      "two thirds of a lease are over",
+      async () => Date.now() - lead.at > 4000,
+      LOOKS,
+    );
     const late = await hundred();
     assert.equal(late.filter((r) => r.status === 200).length, 0);
   } finally {
@@ -198,8 +204,8 @@
   const state = new StateServiceStandIn();
   const cloud = new CloudStandIn();
   await Promise.all([state.start(), cloud.start()]);
-  const { node, peer, mesh } = await nodeWith(state, cloud.address, 10);
-  await until("holds the term", async () => state.entries.has("lead"));
+  const { node, peer, peerAddress } = await nodeWith(state, cloud.address, 10);
+  await waitUntil("holds the term", async () => state.entries.has("lead"), LOOKS);
   assert.equal(node.isHealthy(), true, "alone it serves users");
   const beat = encodePeerHeartbeat({
     reachesStateService: true,
@@ -207,19 +213,19 @@
     epoch: 1,
     zoneIndex: 1,
   });
-  const others = [1, 2, 3].map(() => connect(mesh, "127.0.0.1"));
+  const others = [1, 2, 3].map(() => connect(Number(peerAddress.split(":")[1]), "127.0.0.1"));
   const beats = setInterval(() => {
     for (const o of others) if (!o.destroyed) o.write(beat);
   }, 100);
-  await until("leaves users to the others", async () => !node.isHealthy());
+  await waitUntil("leaves users to the others", async () => !node.isHealthy(), LOOKS);
   // Whoever comes all the same is answered.
   const r = await peer.request("GET", "/api/jobs/nobody", null, 2000);
   assert.deepEqual([r.status, r.headers.get("connection")], [404, "close"]);
   others[0]!.destroy();
-  await sleep(2);
+  await sleepSeconds(2);
   assert.equal(node.isHealthy(), false, "two are enough to go on so");
   others[1]!.destroy();
-  await until("one is not enough", async () => node.isHealthy());
+  await waitUntil("one is not enough", async () => node.isHealthy(), LOOKS);
   clearInterval(beats);
   others[2]!.destroy();
   await node.stop();
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -29,7 +29,7 @@
 
 test("a submission is taken or refused by its fields", () => {
   assert.equal(decodeJob(decode(encode(jobBody())))?.kind, "array");
-  assert.equal(decodeJob(decode(encode(jobBody({ breeds: undefined }))))?.types, null);
+  assert.equal(decodeJob(decode(encode({ ...jobBody(), breeds: undefined })))?.types, null);
   const bad: Record<string, unknown>[] = [
     { nameId: 7 },
     { nameId: "" },
@@ -50,7 +50,11 @@
     { breeds: "g8" },
   ];
   for (const change of bad) {
-    assert.equal(decodeJob(decode(encode(jobBody(change)))), null, JSON.stringify(change));
+    assert.equal(
+      decodeJob(decode(encode({ ...jobBody(), ...change }))),
+      null,
+      JSON.stringify(change),
+    );
   }
   assert.equal(decodeJob([]), null);
   assert.equal(decodeJob(undefined), null);
--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -4,25 +4,18 @@
  * that it needs is cancelled).
  */
 import assert from "node:assert/strict";
-import {
-  clusterTest,
-  type InProcessCluster,
-  sleepSeconds,
-  waitUntil,
-} from "./support/in-process-cluster.js";
+import { encodeJob } from "../src/wire/counterpart.js";
+import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
+import { clusterJob } from "./support/job-builders.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
 const stance = async (site: InProcessCluster, node: number, id: string) =>
   (await site.queryJob(node, id)).state;
 
-const submitAfter = (
-  site: InProcessCluster,
-  node: number,
-  id: string,
-  follows: readonly string[],
-) =>
+const submitAfter = (site: InProcessCluster, node: number, id: string, after: readonly string[]) =>
   waitUntil(
     `${id} is taken`,
-    async () => (await site.submitJob(node, id, { follows })).status <= 201,
+    async () => (await site.submitJob(node, id, { after })).status <= 201,
   );
 
 /** A cancellation is asked for again until it is confirmed; nothing of the job may be left by then. */
@@ -81,12 +74,12 @@
       await sleepSeconds(0.12 * round);
       // Its write is carried out, and nobody hears so; the user asks another node.
       door.fateOf = (t) => (JSON.stringify(t).includes(follower) ? "answer lost" : "answered");
-      const lost = site.submitJob(1, follower, { follows: [first] }).catch(() => null);
+      const lost = site.submitJob(1, follower, { after: [first] }).catch(() => null);
       await waitUntil("the write is carried out", () =>
         site.stateService.entries.has(`p/${follower}`),
       );
       door.fateOf = () => "answered";
-      const again = await site.submitJob(2, follower, { follows: [first] });
+      const again = await site.submitJob(2, follower, { after: [first] });
       assert.equal(again.status, 200, "known");
       await waitUntil("it is done", async () => (await stance(site, 0, follower)) === "done");
       await lost;
@@ -105,11 +98,11 @@
     await site.submitAndAwaitRunning("first");
     const door = site.nodes[1]!.stateProxy;
     door.fateOf = (t) => (JSON.stringify(t).includes("follower") ? "answer lost" : "answered");
-    const lost = site.submitJob(1, "follower", { follows: ["first"] }).catch(() => null);
+    const lost = site.submitJob(1, "follower", { after: ["first"] }).catch(() => null);
     await cancelled(site, 0, "first");
     door.fateOf = () => "answered";
     await waitUntil("it is taken", async () => {
-      return (await site.submitJob(2, "follower", { follows: ["first"] })).status <= 201;
+      return (await site.submitJob(2, "follower", { after: ["first"] })).status <= 201;
     });
     for (const i of [0, 1, 2]) assert.equal(await stance(site, i, "follower"), "cancelled");
     await lost;
@@ -129,14 +122,17 @@
     await site.submitAndAwaitRunning("first");
     for (const n of site.nodes) n.stateProxy.isRefusing = true;
     const began = performance.now();
-    const refused = await site.submitJob(1, "follower", { follows: ["nobody"] });
+    const refused = await site.submitJob(1, "follower", { after: ["nobody"] });
     assert.equal(refused.status, 503, "never a guessed 422");
     assert.ok(refused.retryAfter !== undefined, "told when to come back");
     assert.ok(performance.now() - began < 2500, "not held back");
     for (const n of site.nodes) n.stateProxy.reopen();
     await waitUntil("a read tells that it never was", async () => {
-      return (await site.submitJob(1, "follower", { follows: ["nobody"] })).status === 422;
+      return (await site.submitJob(1, "follower", { after: ["nobody"] })).status === 422;
     });
-    assert.equal((await site.submitJob(1, "bad", { follows: [["first"]] })).status, 400);
+    assert.equal(
+      (await site.submitBody(1, { ...encodeJob(clusterJob("bad")), follows: [["first"]] })).status,
+      400,
+    );
   },
 );
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -7,9 +7,9 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { Command } from "commander";
-import { sleepSeconds } from "./support/in-process-cluster.js";
-import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
+import { MultiProcessCluster } from "./support/multi-process-cluster.js";
 import type { ProcessProfile } from "./support/profile-hook.js";
+import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
 
 /** The program in many files, so that each sample names its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
@@ -121,7 +121,7 @@
     const jobsASecond = (machines * CPUS_PER_MACHINE) / TASKS_PER_JOB / taskSeconds;
     while (!this.stopped) {
       const id = `run-${this.next++}`;
-      const change = { strides: TASKS_PER_JOB, rideS: taskSeconds, memoryGb: 0.1, outfit: "maps" };
+      const change = { tasks: TASKS_PER_JOB, estimateS: taskSeconds, memoryGb: 0.1 };
       void this.site
         .submitJobOnce(this.next % NODE_COUNT, id, change)
         .then(({ status }) => status === 201 && this.submitted.push(id));
@@ -161,7 +161,7 @@
   try {
     for (let i = 0; i < NODE_COUNT; i++) site.startNode(i, options.program);
     for (let i = 0; i < NODE_COUNT; i++) await site.awaitHealthy(i);
-    await waitUntil("somebody leads", () => site.leaderIndex() >= 0);
+    await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
     const users = new SimulatedUsers(site, options);
     users.start();
     if (!options.fromStart) await sleepSeconds(options.warmUp);
@@ -171,7 +171,7 @@
     await sleepSeconds(options.seconds);
     const reports = (heartbeatCount(site) - reportsBefore) / options.seconds;
     for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
-    await waitUntil("profiles are written", () => files.every(existsSync));
+    await waitForProcesses("profiles are written", () => files.every(existsSync));
     await sleepSeconds(1);
     users.stop();
     const kept = site.leaderIndex() === leader ? "one leader" : "the leader changed: of no use";
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -56,7 +56,7 @@
   const post = (url: string, body: unknown) =>
     app.inject({ method: "POST", url, headers, payload: encode(body) });
   const submissions = await Promise.all(
-    Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ nameId: `run-${i}` }))),
+    Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ id: `run-${i}` }))),
   );
   assert.deepEqual([...new Set(submissions.map((r) => r.statusCode))], [201]);
   assert.equal(stored, 8);
@@ -74,7 +74,7 @@
   for (const s of [1, 2, 3]) assert.ok(after.filter((x) => x === s).length > 100, `${s} s`);
   // A leader that leaves users to others still answers, and closes the connection with it.
   leaves = true;
-  const last = await post("/api/jobs", jobBody({ nameId: "run-9" }));
+  const last = await post("/api/jobs", jobBody({ id: "run-9" }));
   assert.deepEqual([last.statusCode, last.headers.connection], [201, "close"]);
   await app.close();
 });
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -1,61 +1,32 @@
 /** Whole controllers in this process, against the stand-ins: what a scenario needs, and what it saw. */
 import assert from "node:assert/strict";
-import { createServer } from "node:net";
 import { test } from "node:test";
 import { type Logger, pino } from "pino";
-import { decodeOperatorSettings } from "../../src/config/operator.js";
+import type { JobSpec } from "../../src/core/model.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
-import { Controller } from "../../src/node/controller.js";
+import type { Controller } from "../../src/node/controller.js";
+import { decodeJobState, encodeJob } from "../../src/wire/counterpart.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
-import { decodeSettings } from "../../src/wire/settings.js";
 import { CloudStandIn } from "./cloud-stand-in.js";
-import { jobBody } from "./job-builders.js";
-import { settingsText } from "./node-settings.js";
+import {
+  type ControllerNode,
+  controllerSettingsText,
+  createController,
+  FAST_STATE_SERVICE,
+  startController,
+} from "./controllers.js";
+import { clusterJob } from "./job-builders.js";
+import { freeAddresses } from "./ports.js";
 import type { StateServiceProxy } from "./state-service-proxy.js";
 import { StateServiceStandIn } from "./state-service-stand-in.js";
+import { waitUntil } from "./waiting.js";
 import { WorkerStandIn } from "./worker-stand-in.js";
 
-export const sleepSeconds = (s: number): Promise<void> =>
-  new Promise((r) => setTimeout(r, s * 1000));
-
-/** Below the range from which the system takes ports for outgoing connections. */
-const FIRST_PORT = 10_000;
-const LAST_PORT = 32_000;
-/** Test processes that run at the same time begin in different blocks. */
-const PORTS_PER_PROCESS = 200;
-let nextPort = FIRST_PORT + ((process.pid * PORTS_PER_PROCESS) % (LAST_PORT - FIRST_PORT));
-
-async function isPortFree(port: number): Promise<boolean> {
-  const server = createServer();
-  const free = await new Promise<boolean>((resolve) => {
-    server.once("error", () => resolve(false));
-    server.listen(port, "127.0.0.1", () => resolve(true));
-  });
-  if (free) await new Promise((r) => server.close(r));
-  return free;
-}
-
-/**
- * Ports for servers that are started later. (Ports that the system had chosen were taken by other tests' outgoing
- * connections before the server listened.)
- */
-export async function freePorts(n: number): Promise<number[]> {
-  const ports: number[] = [];
-  while (ports.length < n) {
-    const port = nextPort++;
-    if (nextPort >= LAST_PORT) nextPort = FIRST_PORT;
-    if (await isPortFree(port)) ports.push(port);
-  }
-  return ports;
-}
-
-export async function waitUntil(what: string, f: () => Promise<boolean> | boolean): Promise<void> {
-  for (let i = 0; i < 1000; i++) {
-    if (await f()) return;
-    await sleepSeconds(0.02);
-  }
-  assert.fail(`never: ${what}`);
-}
+const MAX_CONNECTIONS = 16;
+const REQUEST_TIMEOUT_MS = 5000;
+const TEST_TIMEOUT_MS = 120_000;
+/** Stand-ins' heartbeats come a little more often than the settings say. */
+const HEARTBEAT_INTERVAL_RATIO = 0.6;
 
 export interface InProcessClusterOptions {
   readonly nodes: number;
@@ -65,7 +36,7 @@
   readonly cancelS: number;
   /** How long every task runs. */
   readonly taskS: number;
-  /** The cloud does not tell the machine types. */
+  /** The cloud refuses to tell the machine types. */
   readonly isCatalogUnavailable: boolean;
   /** The operators' settings (INI). */
   readonly operatorIni: string;
@@ -87,15 +58,20 @@
   readonly address: string;
   readonly stateProxy: StateServiceProxy;
   readonly connection: HttpConnectionPool;
+  /** Text of its settings. */
+  readonly settings: string;
+  /** Null while it is stopped. */
   controller: Controller | null;
 }
 
+/** A node's answer to a request about a job. */
 export interface JobAnswer {
   readonly status: number;
   readonly state: string | undefined;
   readonly retryAfter: string | undefined;
 }
 
+/** Controllers, their services and workers, from `open` to `close`. */
 export class InProcessCluster {
   readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
@@ -105,123 +81,29 @@
   readonly startedTasks: string[] = [];
   /** Tasks that started while they were on another machine. */
   readonly duplicateStarts: string[] = [];
-  private settingsTexts: string[] = [];
   /** What each node logged of admission, in order. */
   readonly admissionDecisions: Record<string, unknown>[][] = [];
 
   private constructor(readonly options: InProcessClusterOptions) {}
 
   static async open(change: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
-    const site = new InProcessCluster({ ...DEFAULT_OPTIONS, ...change });
+    const cluster = new InProcessCluster({ ...DEFAULT_OPTIONS, ...change });
     try {
-      await site.startAll();
+      await cluster.startAll();
     } catch (error) {
       // What has started would keep the test process alive for good.
-      await site.close();
+      await cluster.close();
       throw error;
     }
-    return site;
+    return cluster;
   }
 
-  private async startAll(): Promise<void> {
-    const f = this.options;
-    await Promise.all([this.stateService.start(), this.cloud.start()]);
-    const ports = await freePorts(2 * f.nodes);
-    const members = ports.slice(0, f.nodes).map((p, i) => ({
-      member: `n${i}`,
-      address: `127.0.0.1:${p}`,
-      mesh: `127.0.0.1:${ports[f.nodes + i]}`,
-      zone: i % 2 === 0 ? "a" : "b",
-    }));
-    for (const m of members) {
-      const door = await this.stateService.openProxy();
-      const base = JSON.parse(settingsText()) as { settings: object };
-      const siblings = members
-        .filter((x) => x !== m)
-        .map((x) => ({ member: x.member, location: x.zone, addr: x.mesh }));
-      this.settingsTexts.push(
-        JSON.stringify({
-          ...base,
-          member: m.member,
-          location: m.zone,
-          serve_on: m.address,
-          mesh_addr: m.mesh,
-          siblings,
-          services: { cloud: this.cloud.address, state: door.address },
-          settings: {
-            ...base.settings,
-            nodes: f.nodes,
-            workers: {
-              report_s: f.heartbeatIntervalS,
-              lease_s: f.leaseS,
-              gang_wait_s: 10,
-              gang_peer_s: 3,
-              cancel_s: f.cancelS,
-            },
-            state: { rps: 1000, write_rps: 500, value_kb: 8, txn_ops: 32 },
-          },
-        }),
-      );
-      const peer = new HttpConnectionPool(m.address, 16);
-      this.nodes.push({
-        name: m.member,
-        address: m.address,
-        stateProxy: door,
-        connection: peer,
-        controller: null,
-      });
-    }
-    const addresses = members.map((m) => ({ member: m.member, address: m.address }));
-    for (let i = 0; i < f.workers; i++) {
-      const w = new WorkerStandIn({
-        name: `m-${i}`,
-        zone: i % 2 === 0 ? "a" : "b",
-        controllers: addresses,
-        taskMs: () => 1000 * f.taskS,
-        heartbeatIntervalMs: 600 * f.heartbeatIntervalS,
-        leaseMs: 1000 * f.leaseS,
-        onTaskChange: (task, machine, running) => this.watch(task, machine, running),
-      });
-      await w.start();
-      this.cloud.workers.set(w.name, w);
-    }
-    this.cloud.isCatalogUnavailable = f.isCatalogUnavailable;
-    for (let i = 0; i < f.nodes; i++) await this.startNode(i);
-    if (!f.isCatalogUnavailable) await waitUntil("somebody leads", () => this.leaderIndex() >= 0);
-  }
-
-  private watch(task: string, machine: string, running: boolean): void {
-    const where = this.machinesByTask.get(task) ?? new Set();
-    this.machinesByTask.set(task, where);
-    if (!running) where.delete(machine);
-    else {
-      this.startedTasks.push(task);
-      where.add(machine);
-      if (where.size > 1) this.duplicateStarts.push(`${task} on ${[...where].join(" and ")}`);
-    }
-  }
-
-  async startNode(i: number, operatorText: string = this.options.operatorIni): Promise<void> {
-    const read = decodeSettings(this.settingsTexts[i]!);
-    if (!("settings" in read)) throw new Error(read.faults.join("; "));
-    const { operator, faults } = decodeOperatorSettings(operatorText);
-    if (operator === null) throw new Error(faults.join("; "));
-    const node = new Controller(read.settings, operator, this.loggerFor(i));
-    this.nodes[i]!.controller = node;
-    await node.start();
-    await waitUntil(`n${i} is healthy`, () => node.isHealthy());
-  }
-
-  private loggerFor(i: number): Logger {
-    const level = process.env.SITE_LOG;
-    if (level !== undefined) return pino({ level }).child({ node: i });
-    const decisions: Record<string, unknown>[] = [];
-    this.admissionDecisions[i] = decisions;
-    const write = (text: string): void => {
-      const { level: _, time: __, msg, ...line } = JSON.parse(text) as Record<string, unknown>;
-      if (msg === "admission decision") decisions.push(line);
-    };
-    return pino({ level: "debug", base: null }, { write });
+  /** `operatorIni`: the operators' settings, if they changed since the cluster was opened. */
+  async startNode(i: number, operatorIni: string = this.options.operatorIni): Promise<void> {
+    const node = this.nodes[i]!;
+    const controller = createController(node.settings, operatorIni, this.loggerFor(i));
+    node.controller = controller;
+    await startController(controller);
   }
 
   /** It ends without a word, as a killed process does: what it sent before may still be under way. */
@@ -232,74 +114,169 @@
 
   /** By the state service; -1: nobody. */
   leaderIndex(): number {
-    const lead = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
-    return lead === undefined ? -1 : this.nodes.findIndex((n) => n.name === lead.member);
+    const leader = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
+    if (leader === undefined) return -1;
+    return this.nodes.findIndex(({ name }) => name === leader.member);
   }
 
   /** Machines on which any task of the job is, by what the machines themselves say. */
   machinesOf(job: string): Set<string> {
-    const out = new Set<string>();
+    const machines = new Set<string>();
     for (const [task, where] of this.machinesByTask) {
-      if (task.startsWith(`${job}/`)) for (const m of where) out.add(m);
+      if (task.startsWith(`${job}/`)) for (const machine of where) machines.add(machine);
     }
-    return out;
+    return machines;
   }
 
   async request(i: number, method: string, path: string, body?: unknown): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
-    const r = await this.nodes[i]!.connection.request(method, path, bytes, 5000);
-    const said = decode(r.body) as { stance?: string } | null;
-    return { status: r.status, state: said?.stance, retryAfter: r.headers.get("retry-after") };
+    const { connection } = this.nodes[i]!;
+    const response = await connection.request(method, path, bytes, REQUEST_TIMEOUT_MS);
+    return {
+      status: response.status,
+      state: decodeJobState(decode(response.body)),
+      retryAfter: response.headers.get("retry-after"),
+    };
+  }
+
+  submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
+    return this.submitBody(i, encodeJob(clusterJob(id, change)));
   }
-  submitJob(i: number, id: string, change: Record<string, unknown> = {}): Promise<JobAnswer> {
-    const body = jobBody({ nameId: id, outfit: "maps", loaners: false, ...change });
+
+  /** A submission as it is on the wire, which may be none. */
+  submitBody(i: number, body: Record<string, unknown>): Promise<JobAnswer> {
     return this.request(i, "POST", "/api/jobs", body);
   }
+
   queryJob(i: number, id: string): Promise<JobAnswer> {
     return this.request(i, "GET", `/api/jobs/${id}`);
   }
+
   cancelJob(i: number, id: string): Promise<JobAnswer> {
     return this.request(i, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
-  /** A job that runs with all its tasks. */
-  async submitAndAwaitRunning(id: string, change: Record<string, unknown> = {}): Promise<void> {
-    await waitUntil(
-      `${id} is taken`,
-      async () => (await this.submitJob(0, id, change)).status <= 201,
-    );
-    const tasks = Number(change.strides ?? 4);
-    await waitUntil(`${id} runs`, () => {
-      let n = 0;
-      for (const [t, where] of this.machinesByTask)
-        if (t.startsWith(`${id}/`) && where.size > 0) n++;
-      return n === tasks;
-    });
+  /** Returns once the job runs with all its tasks. */
+  async submitAndAwaitRunning(id: string, change: Partial<JobSpec> = {}): Promise<void> {
+    const isAccepted = async () => (await this.submitJob(0, id, change)).status <= 201;
+    await waitUntil(`${id} is accepted`, isAccepted);
+    const { tasks } = clusterJob(id, change);
+    await waitUntil(`${id} runs`, () => this.runningTaskCount(id) === tasks);
   }
 
   async close(): Promise<void> {
-    for (const n of this.nodes) {
-      n.connection.close();
-      await n.controller?.stop();
+    for (const { connection, controller } of this.nodes) {
+      connection.close();
+      await controller?.stop();
     }
     this.cloud.stop();
     this.stateService.stop();
   }
+
+  private async startAll(): Promise<void> {
+    const { nodes, isCatalogUnavailable } = this.options;
+    await Promise.all([this.stateService.start(), this.cloud.start()]);
+    const addresses = await freeAddresses(2 * nodes);
+    const members = addresses.slice(0, nodes).map((address, i) => ({
+      member: `n${i}`,
+      address,
+      peerAddress: addresses[nodes + i]!,
+      zone: zoneOf(i),
+    }));
+    for (const member of members) await this.addNode(member, members);
+    await this.startWorkers(members);
+    this.cloud.isCatalogUnavailable = isCatalogUnavailable;
+    for (let i = 0; i < nodes; i++) await this.startNode(i);
+    if (isCatalogUnavailable) return;
+    await waitUntil("somebody leads", () => this.leaderIndex() >= 0);
+  }
+
+  private async addNode(node: ControllerNode, members: readonly ControllerNode[]): Promise<void> {
+    const { options } = this;
+    const stateProxy = await this.stateService.openProxy();
+    const settings = controllerSettingsText({
+      node,
+      peers: members.filter((other) => other !== node),
+      services: { cloud: this.cloud.address, state: stateProxy.address },
+      shared: {
+        nodes: options.nodes,
+        workers: {
+          report_s: options.heartbeatIntervalS,
+          lease_s: options.leaseS,
+          gang_wait_s: 10,
+          gang_peer_s: 3,
+          cancel_s: options.cancelS,
+        },
+        state: FAST_STATE_SERVICE,
+      },
+    });
+    const connection = new HttpConnectionPool(node.address, MAX_CONNECTIONS);
+    const { member: name, address } = node;
+    this.nodes.push({ name, address, stateProxy, connection, settings, controller: null });
+  }
+
+  private async startWorkers(controllers: readonly ControllerNode[]): Promise<void> {
+    const { workers, taskS, heartbeatIntervalS, leaseS } = this.options;
+    for (let i = 0; i < workers; i++) {
+      const worker = new WorkerStandIn({
+        name: `m-${i}`,
+        zone: zoneOf(i),
+        controllers,
+        taskMs: () => 1000 * taskS,
+        heartbeatIntervalMs: 1000 * HEARTBEAT_INTERVAL_RATIO * heartbeatIntervalS,
+        leaseMs: 1000 * leaseS,
+        onTaskChange: (task, machine, isRunning) => this.recordTask(task, machine, isRunning),
+      });
+      await worker.start();
+      this.cloud.workers.set(worker.name, worker);
+    }
+  }
+
+  private recordTask(task: string, machine: string, isRunning: boolean): void {
+    const machines = this.machinesByTask.get(task) ?? new Set();
+    this.machinesByTask.set(task, machines);
+    if (!isRunning) {
+      machines.delete(machine);
+      return;
+    }
+    this.startedTasks.push(task);
+    machines.add(machine);
+    if (machines.size > 1) this.duplicateStarts.push(`${task} on ${[...machines].join(" and ")}`);
+  }
+
+  private runningTaskCount(job: string): number {
+    let count = 0;
+    for (const [task, machines] of this.machinesByTask) {
+      if (task.startsWith(`${job}/`) && machines.size > 0) count++;
+    }
+    return count;
+  }
+
+  private loggerFor(i: number): Logger {
+    const level = process.env.SITE_LOG;
+    if (level !== undefined) return pino({ level }).child({ node: i });
+    const decisions: Record<string, unknown>[] = [];
+    this.admissionDecisions[i] = decisions;
+    const write = (text: string): void => {
+      const { level: _, time: __, msg, ...line } = JSON.parse(text) as Record<string, unknown>;
+      if (msg === "admission decision") decisions.push(line);
+    };
+    return pino({ level: "debug", base: null }, { write });
+  }
 }
 
+const zoneOf = (i: number): string => (i % 2 === 0 ? "a" : "b");
+
 /** A test of whole controllers: whatever happens in it, no task may be on two machines. */
 export function clusterTest(
   name: string,
-  figures: Partial<InProcessClusterOptions>,
-  body: (site: InProcessCluster) => Promise<void>,
+  options: Partial<InProcessClusterOptions>,
+  body: (cluster: InProcessCluster) => Promise<void>,
 ): void {
-  test(name, { timeout: 120_000 }, async () => {
-    const site = await InProcessCluster.open(figures);
-    try {
-      await body(site);
-      assert.deepEqual(site.duplicateStarts, [], "ran_twice");
-    } finally {
-      await site.close();
-    }
+  test(name, { timeout: TEST_TIMEOUT_MS }, async (t) => {
+    const cluster = await InProcessCluster.open(options);
+    t.after(() => cluster.close());
+    await body(cluster);
+    assert.deepEqual(cluster.duplicateStarts, [], "ran_twice");
   });
 }
--- a/tests/support/job-builders.ts
+++ b/tests/support/job-builders.ts
@@ -31,11 +31,13 @@
 export const submittedJob = (change: Partial<JobSpec> = {}): JobSpec =>
   jobSpec("run-1", { class: "train", tasks: 4, memoryGb: 2, image: "img-1", ...change });
 
-/** The body of its submission; `change` replaces fields as they are on the wire. */
-export const jobBody = (change: Record<string, unknown> = {}): Record<string, unknown> => ({
-  ...encodeJob(submittedJob()),
-  ...change,
-});
+/** A job that users of a whole cluster submit: their team may use all that is free, but no spot machines. */
+export const clusterJob = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
+  submittedJob({ id, team: "maps", spot: false, ...change });
+
+/** The body of a submission. */
+export const jobBody = (change: Partial<JobSpec> = {}): Record<string, unknown> =>
+  encodeJob(submittedJob(change));
 
 /** A task's status in a heartbeat: running, unless said otherwise. */
 export const taskStatus = (
--- /dev/null
+++ b/tests/support/ports.ts
@@ -0,0 +1,39 @@
+/** Ports of loopback for servers that are started later. */
+import { createServer } from "node:net";
+
+/** Below the range from which the system takes ports for outgoing connections. */
+const FIRST_PORT = 10_000;
+const LAST_PORT = 32_000;
+/** Test processes that run at the same time begin in different blocks. */
+const PORTS_PER_PROCESS = 200;
+let nextPort = FIRST_PORT + ((process.pid * PORTS_PER_PROCESS) % (LAST_PORT - FIRST_PORT));
+
+async function isPortFree(port: number): Promise<boolean> {
+  const server = createServer();
+  const isFree = await new Promise<boolean>((resolve) => {
+    server.once("error", () => resolve(false));
+    server.listen(port, "127.0.0.1", () => resolve(true));
+  });
+  if (isFree) await new Promise((resolve) => server.close(resolve));
+  return isFree;
+}
+
+/**
+ * Addresses, host and port, that nobody listens on. (Ports that the system had chosen were taken by other tests'
+ * outgoing connections before the server listened.)
+ */
+export async function freeAddresses(count: number): Promise<string[]> {
+  const addresses: string[] = [];
+  while (addresses.length < count) {
+    const port = nextPort++;
+    if (nextPort >= LAST_PORT) nextPort = FIRST_PORT;
+    if (await isPortFree(port)) addresses.push(`127.0.0.1:${port}`);
+  }
+  return addresses;
+}
+
+/** One such address. */
+export async function freeAddress(): Promise<string> {
+  const [address] = await freeAddresses(1);
+  return address!;
+}
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -6,7 +6,8 @@
   InMemorySpanExporter,
   SimpleSpanProcessor,
 } from "@opentelemetry/sdk-trace-base";
-import { clusterTest, waitUntil } from "./support/in-process-cluster.js";
+import { clusterTest } from "./support/in-process-cluster.js";
+import { waitUntil } from "./support/waiting.js";
 
 const exporter = new InMemorySpanExporter();
 trace.setGlobalTracerProvider(
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -408,7 +408,7 @@
 });
 
 test("constraints arrive as they were sent", () => {
-  const of = (change: Record<string, unknown>) => decodeJob(jobBody(change));
+  const of = (change: Record<string, unknown>) => decodeJob({ ...jobBody(), ...change });
   const { breeds: _, paddock: __, ...bare } = jobBody();
   assert.deepEqual([decodeJob(bare)?.types, decodeJob(bare)?.zone], [null, null]);
   assert.deepEqual(of({ breeds: [] })?.types, []);
