--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -3,7 +3,7 @@
  * window and on the ledger of each team that is charged, so it is carried out only if the verdicts still hold.
  */
 import type { JobSpec } from "../core/model.js";
-import type { Change, Precondition } from "../wire/key-value.js";
+import type { Change, Precondition } from "../core/state/key-value.js";
 import { ADMISSION_KEY, encodeLedger } from "./codec.js";
 import { charge, decide } from "./decision.js";
 import type { TeamLedger } from "./model.js";
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -3,8 +3,8 @@
  * order. All controllers that have read up to a revision hold the same state and have logged the same decisions.
  */
 import type { JobSpec } from "../core/model.js";
+import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
 import { KEY, type StoredJob, type Versioned } from "../core/state/state-replica.js";
-import type { ChangeEvent, KeyValueItem } from "../wire/key-value.js";
 import { decodeLedger, decodeRejections, decodeWindow, parseAdmissionKey } from "./codec.js";
 import { decide, isLimiting } from "./decision.js";
 import {
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -6,10 +6,10 @@
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
 import type { JobSpec } from "../core/model.js";
 import type { TokenBucket } from "../core/overload/token-bucket.js";
+import type { Change, Precondition } from "../core/state/key-value.js";
 import { KEY, type StoredCancellation, type StoredJob } from "../core/state/state-replica.js";
 import type { KeyValueClient } from "../state/key-value-client.js";
 import { sleepSeconds } from "../time/sleep.js";
-import type { Change, Precondition } from "../wire/key-value.js";
 import { FifoQueue, type PendingQueue } from "./pending-queue.js";
 
 /** `known`: some key was there already, so a read tells. `unavailable`: nothing is certain. */
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -7,7 +7,7 @@
  *   lead     who holds the term       epoch   the count of terms, also the workers' token
  *   types    the machine types, for a start while the cloud is down
  */
-import type { ChangeEvent, KeyValueItem } from "../../wire/key-value.js";
+
 import {
   eventName,
   isEventExcluded,
@@ -16,6 +16,7 @@
 } from "../jobs/pipeline.js";
 import { TaskRanges } from "../jobs/task-ranges.js";
 import type { JobSpec, JobView, MachineType } from "../model.js";
+import type { ChangeEvent, KeyValueItem } from "./key-value.js";
 
 export const KEY = {
   activeJob: (id: string) => `p/${id}`,
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -1,11 +1,11 @@
 /** What goes into the next transaction of the leader, and in which order. */
 
-import type { Change, Precondition } from "../../wire/key-value.js";
 import type { Cluster } from "../cluster.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { isGuaranteed } from "../planning/precedence.js";
 import type { JobShard } from "./job-shards.js";
 import { encodeJob, encodeJobShard } from "./job-values.js";
+import type { Change, Precondition } from "./key-value.js";
 import type { MachineRecordShard, MachineRecordShards } from "./machine-record-shards.js";
 import { KEY, type StoredFinal } from "./state-replica.js";
 
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -1,19 +1,17 @@
 /** The state service, through its protocol. Tells apart what was not done from what may have been. */
+
+import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import {
   HttpConnectionPool,
   type HttpResponse,
   RequestError,
 } from "../net/http-connection-pool.js";
 import {
-  type Change,
-  type ChangeEvent,
   decodeLease,
   decodeRange,
   decodeTransactionResult,
   decodeWatchResponse,
   encodeTransaction,
-  type KeyValueItem,
-  type Precondition,
 } from "../wire/key-value.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
--- a/src/state/state-watcher.ts
+++ b/src/state/state-watcher.ts
@@ -4,9 +4,10 @@
  * Nothing may be answered from the copy alone: another node may have promised more a moment ago.
  * So whoever wants to answer waits for a read that began after it asked; all who wait share one.
  */
+
+import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
 import type { ReplicaChange, StateReplica } from "../core/state/state-replica.js";
 import { sleepSeconds } from "../time/sleep.js";
-import type { ChangeEvent, KeyValueItem } from "../wire/key-value.js";
 import type { KeyValueClient } from "./key-value-client.js";
 
 /** Told of everything that was read, in its order, before anybody acts on it. */
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -1,33 +1,6 @@
 /** Messages of the state service. */
 import * as z from "zod";
-
-export type StoredValue = unknown;
-
-export interface Precondition {
-  readonly key: string;
-  readonly modRevision: number;
-}
-export type Change =
-  | {
-      readonly op: "put";
-      readonly key: string;
-      readonly value: StoredValue;
-      readonly lease?: number;
-    }
-  | { readonly op: "delete"; readonly key: string };
-
-export interface KeyValueItem {
-  readonly key: string;
-  readonly value: StoredValue;
-  readonly modRevision: number;
-}
-/** A change seen by following: a null value means that the key was removed. */
-export interface ChangeEvent {
-  readonly key: string;
-  readonly value: StoredValue | null;
-  readonly removed: boolean;
-  readonly modRevision: number;
-}
+import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 
 export const encodeTransaction = (
   conditions: readonly Precondition[],
--- a/tests/admission-model.ts
+++ b/tests/admission-model.ts
@@ -21,8 +21,8 @@
   resourcesOf,
 } from "../src/admission/index.js";
 import type { JobSpec } from "../src/core/model.js";
+import type { Change, Precondition } from "../src/core/state/key-value.js";
 import { KEY, type StoredJob } from "../src/core/state/state-replica.js";
-import type { Change, Precondition } from "../src/wire/key-value.js";
 import { compareDecisionLogs } from "./decision-logs.js";
 import { SimulatedKeyValueStore } from "./support/simulated-key-value-store.js";
 
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -8,7 +8,7 @@
 import assert from "node:assert/strict";
 import { readFileSync, writeFileSync } from "node:fs";
 import { test } from "node:test";
-import type { KeyValueItem } from "../src/wire/key-value.js";
+import type { KeyValueItem } from "../src/core/state/key-value.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { exchanges } from "./support/golden-exchanges.js";
 import { READ } from "./support/golden-messages.js";
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -3,11 +3,11 @@
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { pino } from "pino";
+import type { Change } from "../src/core/state/key-value.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { Leadership } from "../src/node/leadership.js";
 import type { KeyValueClient } from "../src/state/key-value-client.js";
 import type { StateWatcher } from "../src/state/state-watcher.js";
-import type { Change } from "../src/wire/key-value.js";
 
 const TTL_S = 4;
 
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -20,18 +20,14 @@
 import { CloudClient } from "../../src/cloud/client.js";
 import type { MachineType } from "../../src/core/model.js";
 import { TokenBucket } from "../../src/core/overload/token-bucket.js";
+import type { Change, KeyValueItem, Precondition } from "../../src/core/state/key-value.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
 import { Leadership } from "../../src/node/leadership.js";
 import { MachineTypeCatalog } from "../../src/node/machine-type-catalog.js";
 import { KeyValueClient, type TransactionResult } from "../../src/state/key-value-client.js";
 import { StateWatcher } from "../../src/state/state-watcher.js";
-import {
-  type Change,
-  encodeTransaction,
-  type KeyValueItem,
-  type Precondition,
-} from "../../src/wire/key-value.js";
+import { encodeTransaction } from "../../src/wire/key-value.js";
 import { encode } from "../../src/wire/msgpack.js";
 import { decodeCatalog, decodeJob } from "../../src/wire/schema.js";
 import { decodeSettings } from "../../src/wire/settings.js";
--- a/tests/support/simulated-key-value-store.ts
+++ b/tests/support/simulated-key-value-store.ts
@@ -1,6 +1,12 @@
 /** The state service of the simulation: conditional transactions and what changed since a revision. */
+
+import type {
+  Change,
+  ChangeEvent,
+  KeyValueItem,
+  Precondition,
+} from "../../src/core/state/key-value.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
-import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../../src/wire/key-value.js";
 
 export class SimulatedKeyValueStore {
   private readonly entries = new Map<string, { value: unknown; modRevision: number }>();
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -10,9 +10,9 @@
 import { hasExtendableLease } from "../../src/core/leader-context.js";
 import type { JobSpec, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
 import { Scheduler } from "../../src/core/scheduler.js";
+import type { Change, Precondition } from "../../src/core/state/key-value.js";
 import { KEY, StateReplica, type StoredJob } from "../../src/core/state/state-replica.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
-import type { Change, Precondition } from "../../src/wire/key-value.js";
 import { jobSpec, taskStatus } from "./helpers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 import { clusterForSeed, type SimulatedCluster } from "./simulated-clusters.js";
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -7,9 +7,9 @@
 import { test } from "node:test";
 import { z } from "zod";
 import type { JobSpec } from "../src/core/model.js";
+import type { KeyValueItem } from "../src/core/state/key-value.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
-import type { KeyValueItem } from "../src/wire/key-value.js";
 import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
 
 const file = new URL("../../../tests/traces/production.json", import.meta.url);
