--- a/src/config/ini-values.ts
+++ b/src/config/ini-values.ts
@@ -1,6 +1,7 @@
-/** Values of an INI file, which its parser leaves as texts or booleans. */
+/** Schemas for values of an INI file, which its parser leaves as texts or booleans. */
 import * as z from "zod";
 
+/** `true` or `false`. */
 export const iniBoolean = z
   .union([z.boolean(), z.enum(["true", "false"])])
   .transform((value) => value === true || value === "true");
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,6 +1,6 @@
-/** The settings file that the platform hands over. Fields we do not know are ignored. */
+/** The settings file that the platform hands over. Fields that this version does not know are ignored. */
 import * as z from "zod";
-import type { ClusterSettings } from "../core/model.js";
+import type { ClusterSettings, Objective, Team } from "../core/model.js";
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "not an address host:port");
 const amount = z.number().nonnegative();
@@ -49,7 +49,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: z.number().int().positive(),
-      // What holds from some moment on that nobody announces.
+      // Limits that hold from some moment on, which nobody announces.
       next: z
         .object({
           rps: positive.nullish(),
@@ -65,15 +65,21 @@
   }),
 });
 
+/** Another controller of the cluster. */
 export interface PeerNode {
   readonly member: string;
   readonly zone: string;
+  /** Where it listens for peer heartbeats. */
   readonly address: string;
 }
+
+/** The settings of one controller. All addresses have the form `host:port`. */
 export interface NodeSettings {
   readonly member: string;
   readonly zone: string;
+  /** Where users and workers reach this controller. */
   readonly listenAddress: string;
+  /** Where this controller listens for peer heartbeats. */
   readonly peerAddress: string;
   readonly peers: readonly PeerNode[];
   readonly cloudAddress: string;
@@ -81,62 +87,85 @@
   readonly cluster: ClusterSettings;
 }
 
-/** Either the settings or one line a fault, each naming its field. */
-export function decodeSettings(text: string): { settings: NodeSettings } | { faults: string[] } {
+/** `invalid`: one line for each fault, beginning with the path of its field. */
+export type DecodedSettings =
+  | { readonly kind: "ok"; readonly settings: NodeSettings }
+  | { readonly kind: "invalid"; readonly faults: readonly string[] };
+
+/** Decodes the text of the settings file. */
+export function decodeSettings(text: string): DecodedSettings {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
-  } catch (e) {
-    return { faults: [`(file): not JSON: ${(e as Error).message}`] };
+  } catch (error) {
+    return { kind: "invalid", faults: [`(file): not JSON: ${(error as Error).message}`] };
   }
-  const r = settingsSchema.safeParse(raw);
-  if (!r.success) {
-    return { faults: r.error.issues.map((i) => `${i.path.join(".") || "(file)"}: ${i.message}`) };
-  }
-  const s = r.data;
-  const c = s.settings;
-  return {
-    settings: {
-      member: s.member,
-      zone: s.location,
-      listenAddress: s.serve_on,
-      peerAddress: s.mesh_addr,
-      peers: s.siblings.map((x) => ({ member: x.member, zone: x.location, address: x.addr })),
-      cloudAddress: s.services.cloud,
-      stateServiceAddress: s.services.state,
-      cluster: {
-        nodes: c.nodes,
-        zones: c.zones,
-        teams: c.teams.map((t) => ({
-          name: t.name,
-          cpus: t.cpus,
-          cpusMax: t.cpus_max,
-          gpus: t.gpus,
-          gpusMax: t.gpus_max,
-        })),
-        objectives: c.objectives.map((o) => ({
-          kind: o.kind,
-          class: o.class ?? null,
-          withinS: o.within_s ?? null,
-          share: o.share,
-        })),
-        heartbeatIntervalS: c.workers.report_s,
-        leaseS: c.workers.lease_s,
-        gangWaitS: c.workers.gang_wait_s,
-        gangPeerS: c.workers.gang_peer_s,
-        cancelS: c.workers.cancel_s,
-        // The smaller of both from the start: nothing need be noticed when the limits change.
-        stateRps: Math.min(c.state.rps, c.state.next?.rps ?? Infinity),
-        stateWriteRps: Math.min(c.state.write_rps, c.state.next?.write_rps ?? Infinity),
-        valueKb: Math.min(c.state.value_kb, c.state.next?.value_kb ?? Infinity),
-        txnOps: Math.min(c.state.txn_ops, c.state.next?.txn_ops ?? Infinity),
-        cloudRps: c.cloud.rps,
-        listLagS: c.cloud.list_lag_s,
-        cpuShare: c.resources.cpu_share,
-        memoryMb: c.resources.mem_mb,
-        sockets: c.resources.sockets,
-        clockOffMs: c.clock_off_ms,
-      },
-    },
-  };
+  const parsed = settingsSchema.safeParse(raw);
+  if (parsed.success) return { kind: "ok", settings: toNodeSettings(parsed.data) };
+  const faults = parsed.error.issues.map(
+    (issue) => `${issue.path.join(".") || "(file)"}: ${issue.message}`,
+  );
+  return { kind: "invalid", faults };
 }
+
+type WireSettings = z.infer<typeof settingsSchema>;
+type WireCluster = WireSettings["settings"];
+
+const toNodeSettings = (file: WireSettings): NodeSettings => ({
+  member: file.member,
+  zone: file.location,
+  listenAddress: file.serve_on,
+  peerAddress: file.mesh_addr,
+  peers: file.siblings.map(toPeerNode),
+  cloudAddress: file.services.cloud,
+  stateServiceAddress: file.services.state,
+  cluster: toClusterSettings(file.settings),
+});
+
+const toPeerNode = (sibling: WireSettings["siblings"][number]): PeerNode => ({
+  member: sibling.member,
+  zone: sibling.location,
+  address: sibling.addr,
+});
+
+const toClusterSettings = (cluster: WireCluster): ClusterSettings => ({
+  nodes: cluster.nodes,
+  zones: cluster.zones,
+  teams: cluster.teams.map(toTeam),
+  objectives: cluster.objectives.map(toObjective),
+  heartbeatIntervalS: cluster.workers.report_s,
+  leaseS: cluster.workers.lease_s,
+  gangWaitS: cluster.workers.gang_wait_s,
+  gangPeerS: cluster.workers.gang_peer_s,
+  cancelS: cluster.workers.cancel_s,
+  ...stateLimits(cluster.state),
+  cloudRps: cluster.cloud.rps,
+  listLagS: cluster.cloud.list_lag_s,
+  cpuShare: cluster.resources.cpu_share,
+  memoryMb: cluster.resources.mem_mb,
+  sockets: cluster.resources.sockets,
+  clockOffMs: cluster.clock_off_ms,
+});
+
+const toTeam = (team: WireCluster["teams"][number]): Team => ({
+  name: team.name,
+  cpus: team.cpus,
+  cpusMax: team.cpus_max,
+  gpus: team.gpus,
+  gpusMax: team.gpus_max,
+});
+
+const toObjective = (objective: WireCluster["objectives"][number]): Objective => ({
+  kind: objective.kind,
+  class: objective.class ?? null,
+  withinS: objective.within_s ?? null,
+  share: objective.share,
+});
+
+/** The smaller of the present and the next limits from the start: so nothing need be noticed when they change. */
+const stateLimits = ({ next, ...present }: WireCluster["state"]) => ({
+  stateRps: Math.min(present.rps, next?.rps ?? Infinity),
+  stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
+  valueKb: Math.min(present.value_kb, next?.value_kb ?? Infinity),
+  txnOps: Math.min(present.txn_ops, next?.txn_ops ?? Infinity),
+});
