--- /dev/null
+++ b/src/net/response-reader.ts
@@ -0,0 +1,72 @@
+/** Reads HTTP/1.1 responses from the bytes of a connection. */
+import { MalformedResponseError } from "./errors.js";
+
+export interface HttpResponse {
+  readonly status: number;
+  /** By their names in lower case. */
+  readonly headers: ReadonlyMap<string, string>;
+  readonly body: Buffer;
+}
+
+const HEADER_END = Buffer.from("\r\n\r\n");
+const CRLF_BYTES = 2;
+
+/** Collects one response at a time, and keeps the bytes that follow it. */
+export class ResponseReader {
+  private pending: Buffer = Buffer.alloc(0);
+
+  /** The response if it is complete with this chunk, or null. Throws a `MalformedResponseError`. */
+  feed(chunk: Buffer): HttpResponse | null {
+    this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
+    const headerEnd = this.pending.indexOf(HEADER_END);
+    if (headerEnd < 0) return null;
+    const lines = this.pending.toString("latin1", 0, headerEnd).split("\r\n");
+    const status = Number(lines[0]!.split(" ")[1]);
+    if (!Number.isInteger(status)) throw new MalformedResponseError("not an HTTP response");
+    const headers = parseHeaders(lines);
+    const bodyStart = headerEnd + HEADER_END.length;
+    if ((headers.get("transfer-encoding") ?? "").toLowerCase().includes("chunked")) {
+      return this.readChunkedBody(status, headers, bodyStart);
+    }
+    const bodyEnd = bodyStart + Number(headers.get("content-length") ?? "0");
+    if (this.pending.length < bodyEnd) return null;
+    const body = this.pending.subarray(bodyStart, bodyEnd);
+    this.pending = this.pending.subarray(bodyEnd);
+    return { status, headers, body };
+  }
+
+  private readChunkedBody(
+    status: number,
+    headers: ReadonlyMap<string, string>,
+    bodyStart: number,
+  ): HttpResponse | null {
+    const chunks: Buffer[] = [];
+    let sizeAt = bodyStart;
+    for (;;) {
+      const sizeEnd = this.pending.indexOf("\r\n", sizeAt);
+      if (sizeEnd < 0) return null;
+      const size = Number.parseInt(this.pending.toString("latin1", sizeAt, sizeEnd), 16);
+      if (!Number.isInteger(size) || size < 0) throw new MalformedResponseError("bad chunk");
+      const chunkStart = sizeEnd + CRLF_BYTES;
+      const chunkEnd = chunkStart + size;
+      const next = chunkEnd + CRLF_BYTES;
+      if (this.pending.length < next) return null;
+      if (size === 0) {
+        this.pending = this.pending.subarray(next);
+        return { status, headers, body: Buffer.concat(chunks) };
+      }
+      chunks.push(this.pending.subarray(chunkStart, chunkEnd));
+      sizeAt = next;
+    }
+  }
+}
+
+/** Of the lines of a response's head; the first is its status line. */
+function parseHeaders(lines: readonly string[]): Map<string, string> {
+  const headers = new Map<string, string>();
+  for (const line of lines.slice(1)) {
+    const colon = line.indexOf(":");
+    if (colon > 0) headers.set(line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim());
+  }
+  return headers;
+}
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -195,18 +195,18 @@
   private createPeerMesh(): PeerMesh {
     const { settings } = this;
     const c = settings.cluster;
-    return new PeerMesh(
-      settings.peerAddress,
-      settings.peers.map((x) => x.address),
-      steadyNowS,
-      c.heartbeatIntervalS / 8,
-      () => ({
+    return new PeerMesh({
+      listenAddress: settings.peerAddress,
+      peerAddresses: settings.peers.map((peer) => peer.address),
+      now: steadyNowS,
+      heartbeatIntervalS: c.heartbeatIntervalS / 8,
+      currentHeartbeat: () => ({
         reachesStateService: this.reachesState(),
         holdsLeadership: this.leadership.current !== null,
         epoch: this.replica.epoch.value.n,
         zoneIndex: Math.max(0, c.zones.indexOf(settings.zone)),
       }),
-    );
+    });
   }
 
   private createHttpServer(answerMs: number): FastifyInstance {
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -1,14 +1,16 @@
 /**
- * What controllers tell one another, as bytes:
+ * Peer heartbeats, which controllers send one another, as bytes:
  *
- *   0      magic 0x50          1      kind (1: beat)
- *   2..3   length of the rest  4      flags (1: reaches the state service, 2: holds the term)
+ *   0      magic 0x50          1      kind (1: heartbeat)
+ *   2..3   length of the rest  4      flags (1: reaches the state service, 2: holds leadership)
  *   5..12  epoch it knows      13     its zone, by its place in the settings
  */
 export interface PeerHeartbeat {
   readonly reachesStateService: boolean;
   readonly holdsLeadership: boolean;
+  /** The largest epoch that the sender knows of. */
   readonly epoch: number;
+  /** Index of the sender's zone in the settings. */
   readonly zoneIndex: number;
 }
 
@@ -17,39 +19,61 @@
 const HEADER_BYTES = 4;
 const HEARTBEAT_PAYLOAD_BYTES = 10;
 
-export function encodePeerHeartbeat(b: PeerHeartbeat): Buffer {
-  const out = Buffer.alloc(HEADER_BYTES + HEARTBEAT_PAYLOAD_BYTES);
-  out.writeUInt8(MAGIC_BYTE, 0);
-  out.writeUInt8(HEARTBEAT_KIND, 1);
-  out.writeUInt16BE(HEARTBEAT_PAYLOAD_BYTES, 2);
-  out.writeUInt8((b.reachesStateService ? 1 : 0) | (b.holdsLeadership ? 2 : 0), 4);
-  out.writeBigUInt64BE(BigInt(b.epoch), 5);
-  out.writeUInt8(b.zoneIndex, 13);
-  return out;
+const FLAG_REACHES_STATE_SERVICE = 1;
+const FLAG_HOLDS_LEADERSHIP = 2;
+
+const OFFSET = { magic: 0, kind: 1, length: 2, flags: 4, epoch: 5, zone: 13 } as const;
+
+/** The bytes were not sent by a controller. */
+export class ForeignPeerMessageError extends Error {
+  constructor() {
+    super("not a message of ours");
+    this.name = "ForeignPeerMessageError";
+  }
 }
 
-/** Takes whole messages off the front of a stream; kinds it does not know are passed over. */
+export function encodePeerHeartbeat(heartbeat: PeerHeartbeat): Buffer {
+  const flags =
+    (heartbeat.reachesStateService ? FLAG_REACHES_STATE_SERVICE : 0) |
+    (heartbeat.holdsLeadership ? FLAG_HOLDS_LEADERSHIP : 0);
+  const bytes = Buffer.alloc(HEADER_BYTES + HEARTBEAT_PAYLOAD_BYTES);
+  bytes.writeUInt8(MAGIC_BYTE, OFFSET.magic);
+  bytes.writeUInt8(HEARTBEAT_KIND, OFFSET.kind);
+  bytes.writeUInt16BE(HEARTBEAT_PAYLOAD_BYTES, OFFSET.length);
+  bytes.writeUInt8(flags, OFFSET.flags);
+  bytes.writeBigUInt64BE(BigInt(heartbeat.epoch), OFFSET.epoch);
+  bytes.writeUInt8(heartbeat.zoneIndex, OFFSET.zone);
+  return bytes;
+}
+
+/** Takes whole messages from the front of a stream; kinds that it does not know are skipped. */
 export class PeerHeartbeatReader {
   private pending: Buffer = Buffer.alloc(0);
 
+  /** The heartbeats that are complete with this chunk. Throws a `ForeignPeerMessageError`. */
   feed(chunk: Buffer): PeerHeartbeat[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
-    const out: PeerHeartbeat[] = [];
+    const heartbeats: PeerHeartbeat[] = [];
     while (this.pending.length >= HEADER_BYTES) {
-      if (this.pending.readUInt8(0) !== MAGIC_BYTE) throw new Error("not a message of ours");
-      const length = this.pending.readUInt16BE(2);
-      if (this.pending.length < HEADER_BYTES + length) break;
-      if (this.pending.readUInt8(1) === HEARTBEAT_KIND && length >= HEARTBEAT_PAYLOAD_BYTES) {
-        const flags = this.pending.readUInt8(4);
-        out.push({
-          reachesStateService: (flags & 1) !== 0,
-          holdsLeadership: (flags & 2) !== 0,
-          epoch: Number(this.pending.readBigUInt64BE(5)),
-          zoneIndex: this.pending.readUInt8(13),
-        });
+      if (this.pending.readUInt8(OFFSET.magic) !== MAGIC_BYTE) throw new ForeignPeerMessageError();
+      const payloadBytes = this.pending.readUInt16BE(OFFSET.length);
+      if (this.pending.length < HEADER_BYTES + payloadBytes) break;
+      const kind = this.pending.readUInt8(OFFSET.kind);
+      if (kind === HEARTBEAT_KIND && payloadBytes >= HEARTBEAT_PAYLOAD_BYTES) {
+        heartbeats.push(decodePeerHeartbeat(this.pending));
       }
-      this.pending = this.pending.subarray(HEADER_BYTES + length);
+      this.pending = this.pending.subarray(HEADER_BYTES + payloadBytes);
     }
-    return out;
+    return heartbeats;
   }
 }
+
+function decodePeerHeartbeat(message: Buffer): PeerHeartbeat {
+  const flags = message.readUInt8(OFFSET.flags);
+  return {
+    reachesStateService: (flags & FLAG_REACHES_STATE_SERVICE) !== 0,
+    holdsLeadership: (flags & FLAG_HOLDS_LEADERSHIP) !== 0,
+    epoch: Number(message.readBigUInt64BE(OFFSET.epoch)),
+    zoneIndex: message.readUInt8(OFFSET.zone),
+  };
+}
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -1,8 +1,9 @@
 /**
- * Direct commands to workers. Connections are kept to those lately spoken to, within a part of the
- * sockets that this node may have: every worker holds one of its own to us besides.
+ * Direct requests to workers: commands and probes.
+ *
+ * Connections are kept to the workers that were used most recently, within a share of this node's sockets: every worker
+ * holds a connection of its own to the leader besides.
  */
-
 import type { CommandOutcome } from "../core/effects.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../core/model.js";
 import { HttpConnectionPool, RequestError } from "../net/http-connection-pool.js";
@@ -11,7 +12,10 @@
 import { PATH } from "../wire/names.js";
 import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
 
+const MAX_CONNECTIONS_PER_WORKER = 2;
+
 export class WorkerClient {
+  /** In the order in which they were last used. */
   private readonly pools = new Map<string, HttpConnectionPool>();
 
   constructor(
@@ -19,62 +23,71 @@
     private maxConnections: number,
   ) {}
 
-  /** So many connections are kept from now on; those not used for longest go first. */
-  setMaxConnections(n: number): void {
-    this.maxConnections = n;
-    this.closeLeastRecentlyUsed();
-  }
-
-  private closeLeastRecentlyUsed(): void {
-    while (this.pools.size > this.maxConnections) {
-      const [oldest, peer] = this.pools.entries().next().value!;
-      peer.close();
-      this.pools.delete(oldest);
-    }
-  }
-
-  private poolFor(address: string): HttpConnectionPool {
-    let p = this.pools.get(address);
-    // The map is kept in order of use.
-    if (p !== undefined) this.pools.delete(address);
-    p ??= new HttpConnectionPool(address, 2);
-    this.pools.set(address, p);
+  /** Changes how many workers connections are kept to; the least recently used are closed first. */
+  setMaxConnections(maxConnections: number): void {
+    this.maxConnections = maxConnections;
     this.closeLeastRecentlyUsed();
-    return p;
   }
 
+  /** Sends commands that the worker executes only under this fencing token and incarnation. Never rejects. */
   async send(
     address: string,
-    token: number,
-    session: number,
+    fencingToken: number,
+    incarnation: number,
     commands: readonly WorkerCommand[],
   ): Promise<CommandOutcome> {
     try {
-      const body = encode(encodeCommands(token, session, commands));
-      const r = await this.poolFor(address).request("POST", PATH.commands, body, this.timeoutMs);
-      const report =
-        r.status === 200 || r.status === 409 ? decodeWorkerHeartbeat(decode(r.body)) : null;
-      if (report === null) return { kind: "lost", sent: r.status !== 400 };
-      return { kind: "answer", executed: r.status === 200, report };
-    } catch (e) {
-      return { kind: "lost", sent: e instanceof RequestError ? e.mayHaveArrived : true };
+      const body = encode(encodeCommands(fencingToken, incarnation, commands));
+      const pool = this.poolFor(address);
+      const { status, body: answer } = await pool.request(
+        "POST",
+        PATH.commands,
+        body,
+        this.timeoutMs,
+      );
+      const isAnswered = status === 200 || status === 409;
+      const report = isAnswered ? decodeWorkerHeartbeat(decode(answer)) : null;
+      if (report === null) return { kind: "lost", sent: status !== 400 };
+      return { kind: "answer", executed: status === 200, report };
+    } catch (error) {
+      return { kind: "lost", sent: error instanceof RequestError ? error.mayHaveArrived : true };
     }
   }
 
+  /** The worker's present status, or null if it does not answer. Never rejects. */
   async probe(address: string): Promise<WorkerHeartbeat | null> {
     try {
-      const r = await this.poolFor(address).request("GET", PATH.probe, null, this.timeoutMs);
-      return r.status === 200 ? decodeWorkerHeartbeat(decode(r.body)) : null;
+      const pool = this.poolFor(address);
+      const response = await pool.request("GET", PATH.probe, null, this.timeoutMs);
+      return response.status === 200 ? decodeWorkerHeartbeat(decode(response.body)) : null;
     } catch {
       return null;
     }
   }
 
-  /** Drops connections to machines that are no more. */
+  /** Closes the connections to machines that were terminated. */
   closeAllExcept(addresses: ReadonlySet<string>): void {
-    for (const [address, peer] of this.pools) {
+    for (const [address, pool] of this.pools) {
       if (addresses.has(address)) continue;
-      peer.close();
+      pool.close();
+      this.pools.delete(address);
+    }
+  }
+
+  private poolFor(address: string): HttpConnectionPool {
+    let pool = this.pools.get(address);
+    // Deleted and set again, it is the most recently used.
+    if (pool !== undefined) this.pools.delete(address);
+    pool ??= new HttpConnectionPool(address, MAX_CONNECTIONS_PER_WORKER);
+    this.pools.set(address, pool);
+    this.closeLeastRecentlyUsed();
+    return pool;
+  }
+
+  private closeLeastRecentlyUsed(): void {
+    while (this.pools.size > this.maxConnections) {
+      const [address, pool] = this.pools.entries().next().value!;
+      pool.close();
       this.pools.delete(address);
     }
   }
