--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -20,6 +20,7 @@
   readonly retryAfterS: number | null;
 }
 
+/** What a `HeartbeatHandler` refuses by and tells. */
 export interface HeartbeatHandlerOptions {
   /** Seconds after which a refused worker may come back. */
   readonly retryAfterS: number;
--- a/src/api/outcomes.ts
+++ b/src/api/outcomes.ts
@@ -54,8 +54,15 @@
   | { readonly kind: "redirect"; readonly leader: string | null }
   | { readonly kind: "unavailable" };
 
+// Outcomes without further values, each made once.
+
+/** Stored. */
 export const OK = { kind: "ok" } as const;
+/** The job is known. */
 export const KNOWN = { kind: "known" } as const;
+/** Nothing is certain. */
 export const UNAVAILABLE = { kind: "unavailable" } as const;
+/** The job can never be stored. */
 export const NEVER = { kind: "never" } as const;
+/** The submission gate refused. */
 export const REFUSED = { kind: "refused" } as const;
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -56,6 +56,7 @@
 
 const toBuffer = (body: unknown): Buffer => (Buffer.isBuffer(body) ? body : Buffer.alloc(0));
 
+/** Registers all routes on a server. */
 export class Routes {
   /** Requests that were refused for being too many: each is told to come back in its turn. */
   private refusedAsBusy = 0;
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -12,6 +12,7 @@
  */
 const MAX_ATTEMPTS = 4;
 
+/** Takes submissions of users. */
 export class SubmissionService {
   constructor(
     private readonly replica: StateReplica,
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -65,6 +65,7 @@
 
 const keyDoesNotExist = (key: string): Precondition => ({ key, modRevision: 0 });
 
+/** The queue of submissions and cancellations, and the loop that writes them. */
 export class SubmissionWriter {
   private readonly gate: SubmissionGate;
   private readonly queue: PendingQueue<PendingWrite>;
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -1,10 +1,10 @@
 /**
- * Connections over which workers report, in front of the HTTP server on the same port.
+ * Connections over which workers send heartbeats, in front of the HTTP server on the same port.
  *
- * Reports are most of what a leader does. Node's HTTP server takes twice the processor time of a report on objects and
- * streams around each request (docs/processor-and-memory.md), so connections whose first request is a report are
- * read here, with http-parser-js; every other one, and one that turns to other requests, goes to the HTTP server.
- * They are read by `data` events: an async iterator takes as much again as it saves.
+ * Heartbeats are most of what a leader handles. Node's HTTP server takes twice the processor time of a heartbeat for
+ * objects and streams around each request (docs/processor-and-memory.md), so connections whose first request is a
+ * heartbeat are read here, with http-parser-js; every other one, and one on which other requests follow, goes to the
+ * HTTP server. They are read by `data` events: an async iterator takes as much again as it saves.
  */
 import { STATUS_CODES } from "node:http";
 import type { Socket } from "node:net";
@@ -12,15 +12,16 @@
 import { PATH } from "../wire/names.js";
 import type { HeartbeatReply } from "./heartbeats.js";
 
-/** How a connection begins over which a worker reports. */
+/** How a connection begins over which a worker sends heartbeats. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATH.heartbeat} HTTP/1.1\r\n`);
-/** Answers that a peer may leave unread, in bytes, before its connection is ended. */
+/** Replies that a worker may leave unread, in bytes, before its connection is closed. */
 const MAX_UNREAD_BYTES = 64 * 1024;
 
+/** What becomes of requests, and the limits of a connection. */
 export interface WorkerConnectionsOptions {
-  /** The reply to the body of a report. */
+  /** The reply to the body of a heartbeat. */
   readonly onHeartbeat: (body: Buffer) => HeartbeatReply;
-  /** Takes a connection with requests that are no reports. */
+  /** Takes a connection with requests that are no heartbeats. */
   readonly onOtherRequests: (socket: Socket) => void;
   /** Largest body, in bytes. */
   readonly maxBodyBytes: number;
@@ -39,6 +40,7 @@
   );
 }
 
+/** All connections over which workers send heartbeats. */
 export class WorkerConnections {
   private readonly openSockets = new Set<Socket>();
   /** The text of the last reply that kept its connection: most are the same one. */
@@ -46,7 +48,7 @@
 
   constructor(readonly options: WorkerConnectionsOptions) {}
 
-  /** Looks at what a new connection begins with. */
+  /** Takes a new connection, and decides by its first bytes who reads it. */
   accept(socket: Socket): void {
     this.openSockets.add(socket);
     socket.on("error", ignore);
@@ -54,38 +56,42 @@
     socket.on("end", endWithPeer);
     socket.once("close", () => this.openSockets.delete(socket));
     socket.once("data", (first: Buffer) => {
-      const begins = first.subarray(0, HEARTBEAT_REQUEST_LINE.length);
-      if (begins.equals(HEARTBEAT_REQUEST_LINE)) new WorkerConnection(this, socket).onData(first);
-      else this.passToHttpServer(socket, first);
+      const requestLine = first.subarray(0, HEARTBEAT_REQUEST_LINE.length);
+      if (requestLine.equals(HEARTBEAT_REQUEST_LINE)) {
+        new WorkerConnection(this, socket).onData(first);
+      } else {
+        this.passToHttpServer(socket, first);
+      }
     });
   }
 
-  /** Ends all of them. */
+  /** Closes all of them. */
   close(): void {
     for (const socket of this.openSockets) socket.destroy();
   }
 
-  /** Gives a connection to the HTTP server, with what was read of it. */
-  passToHttpServer(socket: Socket, read: Buffer): void {
+  /** Passes a connection to the HTTP server, with the bytes that were read of it and not answered. */
+  passToHttpServer(socket: Socket, unanswered: Buffer): void {
     this.openSockets.delete(socket);
     socket.pause();
     socket.removeAllListeners("timeout");
     socket.removeListener("end", endWithPeer);
     socket.setTimeout(0);
-    socket.unshift(read);
+    socket.unshift(unanswered);
     this.options.onOtherRequests(socket);
-    // What was read is passed on only once the server listens.
+    // The bytes are passed on only once the server listens to the socket.
     socket.resume();
   }
 
-  /** Sends a reply; `keep`: more reports may follow. */
-  send(socket: Socket, reply: HeartbeatReply, keep: boolean): void {
-    if (!keep || reply.retryAfterS !== null || reply.status === 400) {
+  /** Sends a reply; `keepsAlive`: more heartbeats may follow. */
+  send(socket: Socket, reply: HeartbeatReply, keepsAlive: boolean): void {
+    if (!keepsAlive || reply.retryAfterS !== null || reply.status === 400) {
       socket.end(responseText(reply, true), "latin1");
       return;
     }
-    if (this.lastResponse?.reply !== reply)
+    if (this.lastResponse?.reply !== reply) {
       this.lastResponse = { reply, text: responseText(reply, false) };
+    }
     socket.write(this.lastResponse.text, "latin1");
     if (socket.writableLength > MAX_UNREAD_BYTES) socket.destroy();
   }
@@ -93,12 +99,12 @@
 
 const ignore = (): void => {};
 
-/** The HTTP server leaves a socket open when its peer ends; a worker that was sent on would hold one until it idles out. */
+/** The HTTP server leaves a socket open when its peer ends; a redirected worker would hold one until it idles out. */
 function endWithPeer(this: Socket): void {
   this.end();
 }
 
-/** One connection, a request at a time. */
+/** One connection, a request at a time. Heartbeats on it are answered in their order. */
 class WorkerConnection {
   private readonly parser: HTTPParserJS = new HTTPParser(HTTPParser.REQUEST);
   /** What was read since the last request was complete. */
@@ -106,7 +112,7 @@
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
   private keepsAlive = true;
-  /** A request came that is no report. */
+  /** A request was received that is no heartbeat. */
   private isForeign = false;
 
   constructor(
@@ -115,9 +121,10 @@
   ) {
     this.parser[HTTPParser.kOnHeadersComplete] = (info) => {
       this.keepsAlive = info.shouldKeepAlive;
-      const isReport = HTTPParser.methods[info.method!] === "POST" && info.url === PATH.heartbeat;
-      const waitsForGoAhead = info.headers.some((h) => h.toLowerCase() === "expect");
-      if (!isReport || waitsForGoAhead) this.isForeign = true;
+      const isHeartbeat =
+        HTTPParser.methods[info.method!] === "POST" && info.url === PATH.heartbeat;
+      const expectsContinue = info.headers.some((text) => text.toLowerCase() === "expect");
+      if (!isHeartbeat || expectsContinue) this.isForeign = true;
     };
     this.parser[HTTPParser.kOnBody] = (chunk, offset, length) => {
       this.bodyBytes += length;
@@ -133,13 +140,12 @@
   readonly onData = (chunk: Buffer): void => {
     this.unansweredChunks.push(chunk);
     const parsed = this.parser.execute(chunk);
-    if (this.isForeign) this.handOver();
-    else if (parsed instanceof Error || this.bodyBytes > this.connections.options.maxBodyBytes)
-      this.refuse();
+    if (this.isForeign) this.passToHttpServer();
+    else if (parsed instanceof Error || this.isTooLarge()) this.refuse();
   };
 
   private completeRequest(): void {
-    if (this.isForeign || this.bodyBytes > this.connections.options.maxBodyBytes) return;
+    if (this.isForeign || this.isTooLarge()) return;
     const body =
       this.bodyChunks.length === 1 ? this.bodyChunks[0]! : Buffer.concat(this.bodyChunks);
     this.unansweredChunks = [];
@@ -148,7 +154,11 @@
     this.connections.send(this.socket, this.connections.options.onHeartbeat(body), this.keepsAlive);
   }
 
-  private handOver(): void {
+  private isTooLarge(): boolean {
+    return this.bodyBytes > this.connections.options.maxBodyBytes;
+  }
+
+  private passToHttpServer(): void {
     this.socket.removeListener("data", this.onData);
     this.connections.passToHttpServer(this.socket, Buffer.concat(this.unansweredChunks));
   }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -18,6 +18,7 @@
 /** How a request to provision machines ended; `trouble`: the cloud did not answer as it should. */
 export type ScaleOutOutcome = { readonly machines: string[] } | "no capacity" | "trouble";
 
+/** No method rejects when the cloud does not answer. */
 export class CloudClient {
   private readonly connections: HttpConnectionPool;
 
--- a/src/net/http-connection-pool.ts
+++ b/src/net/http-connection-pool.ts
@@ -17,6 +17,7 @@
   isWritten: boolean;
 }
 
+/** The connections to one address. */
 export class HttpConnectionPool {
   private idleConnections: HttpConnection[] = [];
   private openCount = 0;
--- a/src/net/response-reader.ts
+++ b/src/net/response-reader.ts
@@ -1,6 +1,7 @@
 /** Reads HTTP/1.1 responses from the bytes of a connection. */
 import { MalformedResponseError } from "./errors.js";
 
+/** A complete response. */
 export interface HttpResponse {
   readonly status: number;
   /** By their names in lower case. */
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -32,6 +32,7 @@
   }
 }
 
+/** The bytes of one message. */
 export function encodePeerHeartbeat(heartbeat: PeerHeartbeat): Buffer {
   const flags =
     (heartbeat.reachesStateService ? FLAG_REACHES_STATE_SERVICE : 0) |
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -31,6 +31,7 @@
   socket: Socket | null;
 }
 
+/** Sends this controller's heartbeat to its peers, and knows from theirs who is in contact. */
 export class PeerMesh {
   private server: Server | null = null;
   private readonly links: readonly PeerLink[];
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -97,6 +97,7 @@
   readonly count: number;
 }
 
+/** The body of a request to provision machines. */
 export const encodeScaleOut = ({ name, type, zone, spot, count }: ScaleOutRequest) => ({
   hire: name,
   breed: type,
--- a/src/wire/commands.ts
+++ b/src/wire/commands.ts
@@ -22,6 +22,7 @@
   return command.op === "stop" ? { ...encoded, easeS: command.graceS } : encoded;
 }
 
+/** The body of an answer or a request with commands; `incarnation` null: whichever receives it. */
 export const encodeCommands = (
   fencingToken: number,
   incarnation: number | null,
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -11,6 +11,7 @@
   /^[\x21-\x7e]+$/.test(id) &&
   !/[/?#%&]/.test(id);
 
+/** A valid job id. */
 export const jobIdSchema = z.string().refine(isValidJobId);
 
 /** Text of at least one and at most `maxBytes` bytes in UTF-8. */
@@ -40,6 +41,7 @@
 /** The fields of a message before they are checked. */
 type Fields = Readonly<Record<string, unknown>>;
 
+/** May this value be read field by field? */
 export const isFields = (value: unknown): value is Fields =>
   typeof value === "object" && value !== null;
 
--- a/src/wire/msgpack.ts
+++ b/src/wire/msgpack.ts
@@ -3,6 +3,7 @@
 
 const packr = new Packr({ useRecords: false, int64AsType: "number", encodeUndefinedAsNil: true });
 
+/** The bytes of one value. */
 export const encode = (value: unknown): Buffer => packr.pack(value);
 
 /** Throws on bytes that are no MessagePack. */
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -1,8 +1,13 @@
-/** The one place that knows what this deployment calls things on the wire. */
+/**
+ * What this deployment calls values and paths on the wire; the names of fields stand in the codecs beside this module.
+ * Outside of `wire/` only the field's terms are used.
+ *
+ * Each `WIRE_...` maps a term to its name on the wire, each `..._FROM_WIRE` a name to its term.
+ */
 import type { ExitCause, JobKind, Priority, TaskState } from "../core/model.js";
 
-const invert = <V extends string>(m: Record<V, string>): Record<string, V> =>
-  Object.fromEntries(Object.entries(m).map(([k, v]) => [v as string, k as V]));
+const invert = <Term extends string>(names: Record<Term, string>): Record<string, Term> =>
+  Object.fromEntries(Object.entries(names).map(([term, name]) => [name as string, term as Term]));
 
 export const WIRE_KIND: Record<JobKind, string> = {
   array: "array",
@@ -43,6 +48,7 @@
 export const WIRE_COMMAND = { start: "run", stop: "halt", forget: "forget" } as const;
 export const COMMAND_FROM_WIRE = invert(WIRE_COMMAND);
 
+/** Paths of all services, and the last segments of some. */
 export const PATH = {
   jobs: "/api/jobs",
   cancel: "withdraw",
--- a/src/wire/task-name.ts
+++ b/src/wire/task-name.ts
@@ -1,10 +1,12 @@
-/** The name of a task on the wire: `JOB/NUMBER`, where the job's id may itself hold no slash. */
+/** The name of a task on the wire: `JOB/NUMBER`, A job's id holds no slash. */
 
+/** One task of a job. */
 export interface TaskName {
   readonly job: string;
   readonly task: number;
 }
 
+/** The inverse of `parseTaskName`. */
 export const formatTaskName = ({ job, task }: TaskName): string => `${job}/${task}`;
 
 /** Null for a text that names no task. */
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -14,6 +14,7 @@
 
 const MAX_CONNECTIONS_PER_WORKER = 2;
 
+/** Connections to workers, by address. */
 export class WorkerClient {
   /** In the order in which they were last used. */
   private readonly pools = new Map<string, HttpConnectionPool>();
