--- a/src/cli.ts
+++ b/src/cli.ts
@@ -3,7 +3,6 @@
 import { Command, InvalidArgumentError } from "commander";
 import { pino } from "pino";
 import { AdmissionReplica, admissionStatus, formatStatus } from "./admission/index.js";
-import { formatEffectiveConfiguration } from "./config/effective-configuration.js";
 import { decodeOperatorSettings, type OperatorSettings } from "./config/operator.js";
 import { Controller } from "./node/controller.js";
 import { KeyValueClient } from "./state/key-value-client.js";
@@ -30,7 +29,7 @@
 function loadConfiguration(flags: Flags): {
   settings: NodeSettings;
   operator: OperatorSettings;
-  unknown: readonly string[];
+  unknown: string[];
 } {
   if (flags.config === undefined) exitWithErrors(["--config: missing"]);
   const read = decodeSettings(readFileSync(flags.config, "utf8"));
@@ -70,7 +69,7 @@
   .action((_: unknown, command: Command) => {
     const { settings, operator, unknown } = loadConfiguration(command.optsWithGlobals<Flags>());
     for (const key of unknown) process.stderr.write(`${key}: unknown, ignored\n`);
-    process.stdout.write(`${formatEffectiveConfiguration(settings, operator)}\n`);
+    process.stdout.write(`${JSON.stringify({ settings, operator }, null, 2)}\n`);
   });
 
 /** Longest wait for an answer of the state service. */
