--- a/src/index.ts
+++ b/src/index.ts
@@ -1,11 +1,14 @@
-/** What programs that embed peatsaddle may rely on. */
+/**
+ * The interface for programs that embed peatsaddle: a controller with the settings that it takes, the types of the core,
+ * and the algebra of job dependencies. Admission control by itself is exported as `peatsaddle/admission`.
+ */
 export * from "./algebra/expression.js";
 export {
-  DEFAULT_OPERATOR_SETTINGS as DEFAULT_OPERATOR,
-  decodeOperatorSettings as decodeOperator,
-  type OperatorSettings as Operator,
+  DEFAULT_OPERATOR_SETTINGS,
+  decodeOperatorSettings,
+  type OperatorSettings,
 } from "./config/operator.js";
 export * from "./core/jobs/pipeline.js";
 export * from "./core/model.js";
 export { Controller } from "./node/controller.js";
-export { decodeSettings, type NodeSettings as Settings } from "./wire/settings.js";
+export { decodeSettings, type NodeSettings } from "./wire/settings.js";
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The program. */
+/** Entry point from the modules; the deployed program starts from its bundle (`peatsaddle.cts`). */
 import { runProgram } from "./cli.js";
 
 await runProgram();
--- a/src/peatsaddle.cts
+++ b/src/peatsaddle.cts
@@ -1,7 +1,10 @@
 #!/usr/bin/env node
-/** The program, from its bundle; from the modules where there is none. */
+/** Entry point of the deployed program: runs the bundle, or the modules if no bundle was built. */
 import { loadBundle } from "./bundle/bundle.cjs";
 
 const program = loadBundle();
-if (program !== null) void program.runProgram();
-else void import("./main.js");
+if (program !== null) {
+  void program.runProgram();
+} else {
+  void import("./main.js");
+}
