--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,11 +1,13 @@
-/** Real processes on loopback: the leader is killed or stands still while tasks run. */
+/** Real processes on loopback: the leader is killed, or stopped and continued, while tasks run. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { jobSpec } from "./support/helpers.js";
 import { sleepSeconds } from "./support/in-process-cluster.js";
 import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
 
-test("killing the leader loses no job and runs nothing twice", { timeout: 120_000 }, async () => {
+test("no job is lost and no task runs twice when the leader is killed or paused, or all processes restart", {
+  timeout: 120_000,
+}, async () => {
   const site = await MultiProcessCluster.open({ taskMs: () => 1500 });
   try {
     for (let i = 0; i < 3; i++) site.startNode(i);
@@ -30,19 +32,19 @@
     site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
     assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
 
-    // A leader stands still while its clocks run, and another takes the term. What it had in its buffers
-    // when it wakes (due timers, reports, answers) must start nothing.
+    // A leader is paused while its clocks run, and another acquires leadership. What is in its buffers when it
+    // continues (due timers, heartbeats, answers) must start nothing.
     site.startNode(killed);
     await site.awaitHealthy(killed);
     const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
     for (const id of held) await site.submitJob(1, id, { strides: 8 });
-    const still = site.leaderIndex();
-    const others = [0, 1, 2].filter((i) => i !== still);
-    site.signalNode(still, "SIGSTOP");
-    await site.awaitOtherLeader(still);
+    const paused = site.leaderIndex();
+    const others = [0, 1, 2].filter((i) => i !== paused);
+    site.signalNode(paused, "SIGSTOP");
+    await site.awaitOtherLeader(paused);
     await sleepSeconds(1.5);
     const epoch = (site.stateService.entries.get("epoch")!.value as { n: number }).n;
-    site.signalNode(still, "SIGCONT");
+    site.signalNode(paused, "SIGCONT");
     for (const id of held) {
       await waitUntil(`${id} is done`, async () => {
         return (await site.queryJob(others[0]!, id)).state === "done";
@@ -50,8 +52,8 @@
     }
     assert.ok((site.stateService.entries.get("epoch")!.value as { n: number }).n >= epoch);
 
-    // Everything restarts in the middle of an election, each process back at once, with its former
-    // self's requests still under way: once it is over, every node answers about every job.
+    // All processes restart in the middle of an election, each at once, while requests of its predecessor are still
+    // under way: after the election every node answers about every job.
     const late = Array.from({ length: 4 }, (_, i) => `late-${i}`);
     for (const id of late) await site.submitJob(0, id);
     for (let round = 0; round < 2; round++) {
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -13,7 +13,7 @@
 import { buildProductionVersion, isProductionCommitAvailable } from "./support/production-build.js";
 
 const NODES = [0, 1, 2];
-/** An array of so many tasks stands in parts, whichever version cut it. */
+/** An array of so many tasks is stored in shards, whichever version made them. */
 const LARGE = 700;
 const TINY = { cpus: 0.02, memoryGb: 0.02 };
 
@@ -51,7 +51,7 @@
 const followers = (site: MultiProcessCluster): number[] =>
   NODES.filter((i) => i !== site.leaderIndex());
 
-/** Jobs of all kinds, one of them in parts, that run for long or are done soon. */
+/** Jobs of all kinds, one of them in shards, that run for long or are done soon. */
 async function submitAll(site: MultiProcessCluster, node: number, name: string): Promise<string[]> {
   const ended = [`array-${name}`, `gang-${name}`, `large-${name}`];
   const service = { gait: "service", strides: 2, rideS: 0, apart: true };
@@ -66,16 +66,20 @@
 const running = (site: MultiProcessCluster, id: string, tasks: number) =>
   waitUntil(`${id} runs`, () => site.ruleChecker.runningTaskCount(id) === tasks);
 
-/** Cancels a job whose machines hear nothing for a moment: nobody may be told before its tasks are gone. */
-async function cancelUnheard(site: MultiProcessCluster, node: number, id: string): Promise<void> {
+/** Cancels a job whose machines are unreachable for a moment: nobody may be told before its tasks have stopped. */
+async function cancelUnreachable(
+  site: MultiProcessCluster,
+  node: number,
+  id: string,
+): Promise<void> {
   await running(site, id, 2);
-  const unheard = site.dropInboundTraffic(id, 1.2);
+  const unreachable = site.dropInboundTraffic(id, 1.2);
   assert.equal((await site.cancelJob(node, id)).state, "cancelled");
-  await unheard;
+  await unreachable;
 }
 
 test(
-  "an old leader with new followers, then a new leader with an old follower",
+  "all rules hold under a production leader with new followers, and under a new leader with a production follower",
   {
     timeout: 180_000,
   },
@@ -92,7 +96,7 @@
       ended.push(...(await submitAll(site, one, "second")));
       await running(site, "long-service-second", 2);
       // A cancellation that a new process confirms while an old one leads.
-      await cancelUnheard(site, other, "long-gang-first");
+      await cancelUnreachable(site, other, "long-gang-first");
       await site.awaitJobState("long-gang-first", "cancelled");
 
       // The leader is replaced while all of that is under way, and is back at once, as it was.
@@ -102,7 +106,7 @@
       ended.push(...(await submitAll(site, leader, "third")));
       await running(site, "long-service-third", 2);
       // A cancellation that an old process confirms while a new one leads.
-      await cancelUnheard(site, leader, "long-service-first");
+      await cancelUnreachable(site, leader, "long-service-first");
       await site.awaitJobState("long-service-first", "cancelled");
       for (const id of ended) await site.awaitJobState(id, "done");
 
@@ -124,7 +128,7 @@
 );
 
 test(
-  "the upgrade is taken back before any job names another, with work under way",
+  "the upgrade may be rolled back while work is under way, before any job depends on another",
   {
     timeout: 180_000,
   },
@@ -154,7 +158,7 @@
 );
 
 test(
-  "every process ends in the middle of the change, old and new are back within a second",
+  "all rules hold when every process is replaced at once, old and new ones mixed",
   {
     timeout: 180_000,
   },
@@ -177,7 +181,7 @@
 const ADMISSION_ON = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 
 test(
-  "admission control on some nodes, while others and at times the leader are of the version in production",
+  "admission control works on new nodes while others, and at times the leader, run the version in production",
   { timeout: 180_000 },
   (t) =>
     mixed(
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -1,18 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { decodeOperatorSettings } from "../src/config/operator.js";
 import { TaskRanges } from "../src/core/jobs/task-ranges.js";
 import { LeadershipTerm } from "../src/core/leadership/term.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { TokenBucket } from "../src/core/overload/token-bucket.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { WriteBudget } from "../src/core/state/write-budget.js";
-import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
-import { decodeJob } from "../src/wire/jobs.js";
-import { decodeWatchResponse } from "../src/wire/key-value.js";
-import { decode, encode } from "../src/wire/msgpack.js";
-import { decodeSettings } from "../src/wire/settings.js";
-import { jobBody, settingsText } from "./support/helpers.js";
 
 test("ranges join, split and keep their count", () => {
   const r = TaskRanges.parse("0-3,7");
@@ -26,40 +19,6 @@
   assert.equal(many.toString(), "0-99999");
 });
 
-test("a submission is taken or refused by its fields", () => {
-  assert.equal(decodeJob(decode(encode(jobBody())))?.kind, "array");
-  assert.equal(decodeJob(decode(encode(jobBody({ breeds: undefined }))))?.types, null);
-  const bad: Record<string, unknown>[] = [
-    { nameId: 7 },
-    { nameId: "" },
-    { nameId: "x".repeat(200) },
-    { nameId: "a b" },
-    { gait: "toString" },
-    { rank: "urgent" },
-    { strides: 0 },
-    { strides: 1.5 },
-    { strides: 100_001 },
-    { cpus: -1 },
-    { cpus: "4" },
-    { memoryGb: Number.NaN },
-    { together: null },
-    { together: true, apart: true },
-    { cpus: 0, cards: 0, memoryGb: 0 },
-    { tack: undefined },
-    { breeds: "g8" },
-  ];
-  for (const change of bad) {
-    assert.equal(decodeJob(decode(encode(jobBody(change)))), null, JSON.stringify(change));
-  }
-  assert.equal(decodeJob([]), null);
-  assert.equal(decodeJob(undefined), null);
-});
-
-test("a removal carries no value (a schema that wanted one stopped all following)", () => {
-  const f = decodeWatchResponse({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
-  assert.deepEqual(f?.events, [{ key: "p/a", value: null, removed: true, modRevision: 9 }]);
-});
-
 test("the copy never goes back when an older answer arrives late", () => {
   const r = new StateReplica();
   r.reset([], 0);
@@ -118,43 +77,6 @@
   assert.equal(t.mayAct(103.6), true);
 });
 
-test("bad settings are named field by field", () => {
-  const good = decodeSettings(settingsText());
-  assert.ok("settings" in good && good.settings.cluster.leaseS === 21);
-  const bad = decodeSettings(settingsText({ serve_on: "nowhere", siblings: 3 }));
-  assert.ok("faults" in bad);
-  assert.deepEqual(bad.faults.map((f) => f.split(":")[0]).sort(), ["serve_on", "siblings"]);
-  assert.ok("faults" in decodeSettings("{"));
-  const ini = decodeOperatorSettings("[term]\ngrace_ratio = 9\nnew_key = 1\n[other]\na = 1\n");
-  assert.equal(ini.faults.length, 1);
-  assert.match(ini.faults[0]!, /^term.grace_ratio/);
-  assert.deepEqual(ini.unknown, ["other", "term.new_key"]);
-});
-
-test("beats come out whole however the stream is cut, and strangers are turned away", () => {
-  const a = encodePeerHeartbeat({
-    reachesStateService: true,
-    holdsLeadership: false,
-    epoch: 2 ** 40 + 1,
-    zoneIndex: 2,
-  });
-  const b = encodePeerHeartbeat({
-    reachesStateService: false,
-    holdsLeadership: true,
-    epoch: 0,
-    zoneIndex: 0,
-  });
-  assert.equal(a.toString("hex"), "5001000a01000001000000000102");
-  const reader = new PeerHeartbeatReader();
-  const got = [...Buffer.concat([a, b, a])].flatMap((byte) => reader.feed(Buffer.from([byte])));
-  assert.deepEqual(got, [
-    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
-    { reachesStateService: false, holdsLeadership: true, epoch: 0, zoneIndex: 0 },
-    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
-  ]);
-  assert.throws(() => new PeerHeartbeatReader().feed(Buffer.from("GET / HTTP/1.1")));
-});
-
 test("the leader writes what the others leave, and its own part after a refusal", () => {
   const share = new WriteBudget(30);
   assert.ok(share.leaderChangesPerS(0) > 25, "nobody else writes");
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -53,7 +53,7 @@
   return new TestLeader({ records, epoch: 2, state });
 }
 
-test("the recorded values have the shapes that are held against this version's", () => {
+test("the values that production stored have the shapes that this version's values are checked against", () => {
   const kinds = new Set<string>();
   for (const i of trace()) {
     kinds.add(i.key.split("/")[0]!);
@@ -62,7 +62,7 @@
   assert.deepEqual([...kinds].sort(), Object.keys(PRODUCTION).sort());
 });
 
-test("a leader of this version takes over from production, under old and new limits", () => {
+test("a leader of this version takes over production's state, under present and next limits of the state service", () => {
   for (const state of [{}, { next: { value_kb: 2, txn_ops: 8 } }]) {
     const h = takeOver(trace(), state);
     h.tick();
@@ -77,7 +77,7 @@
   }
 });
 
-test("what this version writes holds nothing that production does not know, until a job follows another", () => {
+test("this version writes only fields that production knows, until a job depends on another", () => {
   const h = takeOver(trace());
   h.epoch = 2;
   const known = specKeys(trace());
@@ -117,9 +117,9 @@
   );
 });
 
-test("beats between controllers are the bytes that production sends and reads", () => {
-  const beat = { reachesStateService: true, holdsLeadership: true, epoch: 258, zoneIndex: 1 };
+test("peer heartbeats are the bytes that production sends and reads", () => {
+  const heartbeat = { reachesStateService: true, holdsLeadership: true, epoch: 258, zoneIndex: 1 };
   const recorded = "5001000a0300000000000001" + "02" + "01";
-  assert.equal(encodePeerHeartbeat(beat).toString("hex"), recorded);
-  assert.deepEqual(new PeerHeartbeatReader().feed(Buffer.from(recorded, "hex")), [beat]);
+  assert.equal(encodePeerHeartbeat(heartbeat).toString("hex"), recorded);
+  assert.deepEqual(new PeerHeartbeatReader().feed(Buffer.from(recorded, "hex")), [heartbeat]);
 });
--- /dev/null
+++ b/tests/wire-codecs.test.ts
@@ -0,0 +1,83 @@
+/** What other programs send, as this program decodes it: jobs, changes of keys, settings and peer heartbeats. */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { decodeOperatorSettings } from "../src/config/operator.js";
+import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
+import { decodeJob } from "../src/wire/jobs.js";
+import { decodeWatchResponse } from "../src/wire/key-value.js";
+import { decode, encode } from "../src/wire/msgpack.js";
+import { decodeSettings } from "../src/wire/settings.js";
+import { jobBody, settingsText } from "./support/helpers.js";
+
+test("a submitted job is decoded, or rejected as malformed by any of its fields", () => {
+  assert.equal(decodeJob(decode(encode(jobBody())))?.kind, "array");
+  assert.equal(decodeJob(decode(encode(jobBody({ breeds: undefined }))))?.types, null);
+  const bad: Record<string, unknown>[] = [
+    { nameId: 7 },
+    { nameId: "" },
+    { nameId: "x".repeat(200) },
+    { nameId: "a b" },
+    { gait: "toString" },
+    { rank: "urgent" },
+    { strides: 0 },
+    { strides: 1.5 },
+    { strides: 100_001 },
+    { cpus: -1 },
+    { cpus: "4" },
+    { memoryGb: Number.NaN },
+    { together: null },
+    { together: true, apart: true },
+    { cpus: 0, cards: 0, memoryGb: 0 },
+    { tack: undefined },
+    { breeds: "g8" },
+  ];
+  for (const change of bad) {
+    assert.equal(decodeJob(decode(encode(jobBody(change)))), null, JSON.stringify(change));
+  }
+  assert.equal(decodeJob([]), null);
+  assert.equal(decodeJob(undefined), null);
+});
+
+test("a removed key is decoded without a value (a schema that required one stopped every watcher)", () => {
+  const batch = decodeWatchResponse({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
+  assert.deepEqual(batch?.events, [{ key: "p/a", value: null, removed: true, modRevision: 9 }]);
+});
+
+test("faulty settings are reported with one line that names each field", () => {
+  const good = decodeSettings(settingsText());
+  assert.ok("settings" in good && good.settings.cluster.leaseS === 21);
+  const bad = decodeSettings(settingsText({ serve_on: "nowhere", siblings: 3 }));
+  assert.ok("faults" in bad);
+  assert.deepEqual(bad.faults.map((fault) => fault.split(":")[0]).sort(), ["serve_on", "siblings"]);
+  assert.ok("faults" in decodeSettings("{"));
+  const ini = decodeOperatorSettings("[term]\ngrace_ratio = 9\nnew_key = 1\n[other]\na = 1\n");
+  assert.equal(ini.faults.length, 1);
+  assert.match(ini.faults[0]!, /^term.grace_ratio/);
+  assert.deepEqual(ini.unknown, ["other", "term.new_key"]);
+});
+
+test("peer heartbeats are read whole however the stream is split, and foreign bytes are an error", () => {
+  const first = encodePeerHeartbeat({
+    reachesStateService: true,
+    holdsLeadership: false,
+    epoch: 2 ** 40 + 1,
+    zoneIndex: 2,
+  });
+  const second = encodePeerHeartbeat({
+    reachesStateService: false,
+    holdsLeadership: true,
+    epoch: 0,
+    zoneIndex: 0,
+  });
+  assert.equal(first.toString("hex"), "5001000a01000001000000000102");
+  const reader = new PeerHeartbeatReader();
+  const received = [...Buffer.concat([first, second, first])].flatMap((byte) =>
+    reader.feed(Buffer.from([byte])),
+  );
+  assert.deepEqual(received, [
+    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
+    { reachesStateService: false, holdsLeadership: true, epoch: 0, zoneIndex: 0 },
+    { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
+  ]);
+  assert.throws(() => new PeerHeartbeatReader().feed(Buffer.from("GET / HTTP/1.1")));
+});
