--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -1,66 +1,100 @@
-/** Books tasks on machines that were chosen for them. */
+/** Assigns tasks to the machines that were chosen for them. */
 
 import { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
+import type { Machine } from "../machines/machine.js";
 import type { JobShard } from "../state/job-shards.js";
 import type { Candidate } from "./candidates.js";
 import type { PlanningContext } from "./context.js";
 
+/**
+ * Places `tasks` on the candidates in their order, as many as these take. Returns how many were placed; each of them
+ * counts against its team and machine at once, and is to be persisted with the job.
+ */
 export function assignTasks(
   job: ActiveJob,
-  tasks: number[],
-  on: Candidate[],
-  ctx: PlanningContext,
+  tasks: readonly number[],
+  candidates: readonly Candidate[],
+  context: PlanningContext,
 ): number {
-  const together = job.mainShard.attempt;
-  /** Versions of the job that hold these placements, by the part they stand in. */
-  const versions = new Map<JobShard, number>();
-  let next = 0;
-  for (const c of on) {
-    let n = Math.min(c.freeSlots, tasks.length - next);
-    // Each booking changes what the job's other tasks leave of the zones.
-    for (; n > 0 && job.zones.capacityIn(c.machine.zone) > 0; n--) {
-      const task = tasks[next]!;
-      const part = job.shardOf(task);
-      if (next === 0 && (part === job.mainShard || job.spec.kind === "gang")) {
-        job.mainShard.attempt++;
-        job.markChanged();
-        versions.set(job.mainShard, job.version);
-      }
-      if (!versions.has(part)) {
-        job.markChanged(task);
-        versions.set(part, job.version);
-      }
-      const attempt = job.attemptFor(task, together);
-      const version = versions.get(part)!;
-      const { incarnation: session } = c.machine;
-      const p = new Placement(job, task, attempt, c.machine, session, version, ctx.now);
-      next++;
-      ctx.cluster.addPlacement(p);
-      if (!c.machine.images.has(job.spec.image)) {
-        c.machine.images.set(job.spec.image, { at: ctx.now, gb: job.spec.imageGb, ready: false });
-      }
-      ctx.logTask("place", () => ({
-        task: `${job.spec.id}/${p.task}`,
-        attempt,
-        machine: c.machine.name,
-        type: c.machine.type.name,
-        zone: c.machine.zone,
-        class: job.spec.class,
-        waitedS: Math.round((ctx.wallMs - job.objectivesCountFromMs) / 100) / 10,
-        imageS: Math.round(c.costS * 10) / 10,
-      }));
+  const versions = new AssignmentVersions(job);
+  let placed = 0;
+  for (const candidate of candidates) {
+    const { machine } = candidate;
+    let slots = Math.min(candidate.freeSlots, tasks.length - placed);
+    // Each placement changes what the job's constraints allow in the zones.
+    for (; slots > 0 && job.zones.capacityIn(machine.zone) > 0; slots--) {
+      const placement = versions.createPlacement(tasks[placed]!, machine, context.now);
+      placed++;
+      context.cluster.addPlacement(placement);
+      noteImagePull(job, machine, context);
+      logPlacement(placement, candidate, context);
     }
-    if (next >= tasks.length) break;
+    if (placed >= tasks.length) break;
   }
-  return next;
+  return placed;
 }
 
-export function takeFirst(pending: Iterable<number>, limit: number): number[] {
-  const out: number[] = [];
-  for (const t of pending) {
-    if (out.length >= limit) break;
-    out.push(t);
+/** Attempt numbers and versions of placements that are made together: each shard changes its version once. */
+class AssignmentVersions {
+  private readonly commonAttempt: number;
+  /** Versions of the job that contain these placements, by the shard they belong to. */
+  private readonly versions = new Map<JobShard, number>();
+  private isFirst = true;
+
+  constructor(private readonly job: ActiveJob) {
+    this.commonAttempt = job.mainShard.attempt;
+  }
+
+  createPlacement(task: number, machine: Machine, now: number): Placement {
+    const { job } = this;
+    const shard = job.shardOf(task);
+    if (this.isFirst && (shard === job.mainShard || job.spec.kind === "gang")) {
+      job.mainShard.attempt++;
+      job.markChanged();
+      this.versions.set(job.mainShard, job.version);
+    }
+    this.isFirst = false;
+    let version = this.versions.get(shard);
+    if (version === undefined) {
+      job.markChanged(task);
+      version = job.version;
+      this.versions.set(shard, version);
+    }
+    const attempt = job.attemptFor(task, this.commonAttempt);
+    return new Placement(job, task, attempt, machine, machine.incarnation, version, now);
+  }
+}
+
+/** From now on the machine counts as one that pulls the job's image, unless it holds or pulls it already. */
+function noteImagePull({ spec }: ActiveJob, { images }: Machine, context: PlanningContext): void {
+  if (images.has(spec.image)) return;
+  images.set(spec.image, { at: context.now, gb: spec.imageGb, ready: false });
+}
+
+function logPlacement(
+  { job, task, attempt, machine }: Placement,
+  { costS }: Candidate,
+  context: PlanningContext,
+): void {
+  context.logTask("place", () => ({
+    task: `${job.spec.id}/${task}`,
+    attempt,
+    machine: machine.name,
+    type: machine.type.name,
+    zone: machine.zone,
+    class: job.spec.class,
+    waitedS: Math.round((context.wallMs - job.objectivesCountFromMs) / 100) / 10,
+    imageS: Math.round(costS * 10) / 10,
+  }));
+}
+
+/** The first items, at most `limit`. */
+export function takeFirst(items: Iterable<number>, limit: number): number[] {
+  const taken: number[] = [];
+  for (const item of items) {
+    if (taken.length >= limit) break;
+    taken.push(item);
   }
-  return out;
+  return taken;
 }
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -1,80 +1,103 @@
-/** Machines with room for a task of a job, the best first. */
+/** Machines with free capacity for a task of a job, the best first. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model.js";
-import type { PlanningContext } from "./context.js";
-import { imagePullS, isCapacityOpenTo } from "./eligibility.js";
-import { blocksGpuJob, type GpuReservation } from "./gpu-reservation.js";
+import type { GpuReservation, PlanningContext } from "./context.js";
+import { freeSlotsOn, imagePullS, isCapacityOpenTo } from "./eligibility.js";
+import { blocksGpuJob } from "./gpu-reservation.js";
 
-/** Lower is better; in seconds of waiting, more or less. */
-function placementCostS(m: Machine, spec: JobSpec, reserve: GpuReservation): number {
-  let s = imagePullS(m, spec);
-  // Work without GPUs should leave GPUs usable: what blocks one costs as much as a boot.
-  if (blocksGpuJob(m, spec, reserve)) s += m.type.bootS * 2;
-  if (spec.kind === "service") {
-    // Replicas apart from one another, so that a machine's end takes few.
-    for (const p of m.placements.values()) if (p.job.spec.kind === "service") s += 0.2;
-  } else {
-    // Others where little is left, and off the machines that replicas need.
-    s += 0.5 * (m.freeCpus / Math.max(m.type.cpus, 1));
-    // What cannot save loses all when a spot machine is taken: it leaves those to what can. (Of the jobs
-    // that ended late, half had a task on one that was taken.)
-    if (m.spot) s += spec.checkpointS > 0 ? -1 : 1;
-  }
-  return s;
-}
+/** Boot times that it costs to block a GPU job: GPUs should stay usable. */
+const GPU_BLOCKING_COST_BOOTS = 2;
+
+/** Cost in seconds of each service replica on the machine: replicas are spread, so that a lost machine ends few. */
+const REPLICA_SPREAD_COST_S = 0.2;
+
+/** Cost in seconds of a machine with all CPUs free: other tasks are bin packed, and leave these to replicas. */
+const BIN_PACKING_COST_S = 0.5;
 
+/**
+ * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work to an interruption, and
+ * gain for one with checkpoints. (Of the jobs that ended late, half had a task on a machine that was interrupted.)
+ */
+const SPOT_COST_S = 1;
+
+/** Heartbeat intervals after which a waiting job accepts any machine. */
+const PICKY_HEARTBEAT_INTERVALS = 2;
+
+/** A machine that takes tasks of a job now. */
 export interface Candidate {
   readonly machine: Machine;
+  /** How many tasks of the job fit. */
   readonly freeSlots: number;
+  /** Cost of placing a task there: about the seconds until it runs, with penalties; lower is better. */
   readonly costS: number;
 }
 
-/** It has waited so long that any place will do. */
-export const acceptsAnyMachine = (job: ActiveJob, ctx: PlanningContext): boolean =>
-  job.waitingSince !== null && ctx.now - job.waitingSince > 2 * ctx.settings.heartbeatIntervalS;
+/** Has the job waited so long that any machine will do? */
+export const acceptsAnyMachine = (job: ActiveJob, context: PlanningContext): boolean =>
+  job.waitingSince !== null &&
+  context.now - job.waitingSince > PICKY_HEARTBEAT_INTERVALS * context.settings.heartbeatIntervalS;
 
-export function findCandidates(
+/** The machines with free capacity for the job, sorted by cost and then by name. */
+export function findCandidates(job: ActiveJob, context: PlanningContext): Candidate[] {
+  const { spec } = job;
+  const { gpuReservation } = context;
+  const candidates: Candidate[] = [];
+  for (const machine of context.snapshot.withFreeCapacity) {
+    const freeSlots = freeSlotsOn(spec, machine);
+    if (freeSlots === 0 || !isCapacityOpenTo(machine, job)) continue;
+    if (!isMachineAllowed(spec, machine) || job.zones.capacityIn(machine.zone) === 0) continue;
+    if (job.failures.avoids(machine.name, context.now)) continue;
+    if (isReplicaTooEarlyForGpus(job, machine, context)) continue;
+    const slots = Math.min(freeSlots, slotsBesideGpuJobs(spec, machine, gpuReservation));
+    if (slots <= 0) continue;
+    const costS = placementCostS(machine, spec, gpuReservation);
+    candidates.push({ machine, freeSlots: slots, costS });
+  }
+  return candidates.sort((a, b) => a.costS - b.costS || (a.machine.name < b.machine.name ? -1 : 1));
+}
+
+/** A replica stays for long: it blocks a GPU job only after there was time to free capacity elsewhere. */
+function isReplicaTooEarlyForGpus(
   job: ActiveJob,
-  ctx: PlanningContext,
-  reserve: GpuReservation,
-): Candidate[] {
-  const out: Candidate[] = [];
-  for (const m of ctx.snapshot.withFreeCapacity) {
-    let fits = taskSlots(job.spec, m.freeCpus, m.freeGpus, m.freeMemoryGb);
-    if (fits === 0 || !isCapacityOpenTo(m, job)) continue;
-    if (!isMachineAllowed(job.spec, m) || job.zones.capacityIn(m.zone) === 0) continue;
-    if (job.failures.avoids(m.name, ctx.now)) continue;
-    // A replica stays for long. It takes a GPU away only when there was time to make room elsewhere.
-    if (
-      fits > 0 &&
-      job.spec.kind === "service" &&
-      !acceptsAnyMachine(job, ctx) &&
-      blocksGpuJob(m, job.spec, reserve)
-    )
-      continue;
-    if (
-      fits > 0 &&
-      job.spec.gpus === 0 &&
-      job.spec.priority !== "production" &&
-      reserve.reservedMachines.has(m)
-    ) {
-      // What is left beside the GPU job that this machine is kept for.
-      for (const g of reserve.gpuJobSpecs) {
-        if (taskSlots(g, m.freeCpus, m.freeGpus, m.freeMemoryGb) < 1) continue;
-        const beside = taskSlots(
-          job.spec,
-          m.freeCpus - g.cpus,
-          Infinity,
-          m.freeMemoryGb - g.memoryGb,
-        );
-        fits = Math.min(fits, beside);
-      }
+  machine: Machine,
+  context: PlanningContext,
+): boolean {
+  return (
+    job.spec.kind === "service" &&
+    !acceptsAnyMachine(job, context) &&
+    blocksGpuJob(machine, job.spec, context.gpuReservation)
+  );
+}
+
+/** How many tasks fit beside one GPU job of any shape, where the machine is reserved for GPU jobs; else unlimited. */
+function slotsBesideGpuJobs(spec: JobSpec, machine: Machine, reservation: GpuReservation): number {
+  let slots = Infinity;
+  if (spec.gpus > 0 || spec.priority === "production") return slots;
+  if (!reservation.reservedMachines.has(machine)) return slots;
+  for (const gpuJob of reservation.gpuJobSpecs) {
+    if (freeSlotsOn(gpuJob, machine) < 1) continue;
+    const cpusBeside = machine.freeCpus - gpuJob.cpus;
+    const memoryGbBeside = machine.freeMemoryGb - gpuJob.memoryGb;
+    slots = Math.min(slots, taskSlots(spec, cpusBeside, Infinity, memoryGbBeside));
+  }
+  return slots;
+}
+
+function placementCostS(machine: Machine, spec: JobSpec, reservation: GpuReservation): number {
+  let costS = imagePullS(machine, spec);
+  if (blocksGpuJob(machine, spec, reservation)) {
+    costS += machine.type.bootS * GPU_BLOCKING_COST_BOOTS;
+  }
+  if (spec.kind === "service") {
+    for (const { job } of machine.placements.values()) {
+      if (job.spec.kind === "service") costS += REPLICA_SPREAD_COST_S;
     }
-    if (fits > 0)
-      out.push({ machine: m, freeSlots: fits, costS: placementCostS(m, job.spec, reserve) });
+    return costS;
   }
-  return out.sort((a, b) => a.costS - b.costS || (a.machine.name < b.machine.name ? -1 : 1));
+  costS += BIN_PACKING_COST_S * (machine.freeCpus / Math.max(machine.type.cpus, 1));
+  if (machine.spot) costS += spec.checkpointS > 0 ? -SPOT_COST_S : SPOT_COST_S;
+  return costS;
 }
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -1,87 +1,55 @@
 /**
- * What one planning pass works on: the leader's view of the cluster, the settings, the time, and a snapshot
- * of the machines that is taken once a pass.
+ * What one scheduling cycle works on: types only. Nothing is imported here at run time, so that every planning
+ * module may depend on it without a circle of imports.
  */
 
 import type { Cluster } from "../cluster.js";
 import type { Machine } from "../machines/machine.js";
-import { AMOUNT_TOLERANCE, type ClusterSettings } from "../model.js";
+import type { ClusterSettings, JobSpec } from "../model.js";
 import type { TokenBucket } from "../overload/token-bucket.js";
-import { acceptsNewWork } from "./eligibility.js";
 
+/** Input of one scheduling cycle, the same for all of its steps. */
 export interface PlanningContext {
+  /** The leader's view of machines and jobs; placements of this cycle are added to it. */
   readonly cluster: Cluster;
   readonly settings: ClusterSettings;
+  /** Steady clock at the beginning of the cycle, in seconds. */
   readonly now: number;
-  /** Time of day in milliseconds, for deadlines. */
+  /** Time of day at the beginning of the cycle, in milliseconds since 1970: for deadlines and objectives. */
   readonly wallMs: number;
-  /** Largest value that a pipeline may grow to while tasks are still being placed. */
+  /** Bytes that the stored value of a job may grow to while its tasks are still being placed. */
   readonly maxValueBytes: number;
   readonly snapshot: MachineSnapshot;
-  /** How many tasks of large arrays may be placed. */
+  /** Ids of the jobs within their team's guarantee. */
+  readonly guaranteedJobs: ReadonlySet<string>;
+  readonly gpuReservation: GpuReservation;
+  /** Tasks of sharded jobs that may still be placed. */
   readonly bulkBudget: TokenBucket;
-  /** A line on a single task. */
+  /** Logs a line on a single task; the fields are computed only where such lines are written. */
   readonly logTask: (message: string, fields: () => Record<string, unknown>) => void;
 }
 
 /**
- * What one pass looks up again and again, found once: with many hundred machines and jobs a look
- * at every machine for every job is more than a node can do.
+ * The machines as the cycle begins. Computed once for all jobs: with many hundred machines and jobs, one pass over
+ * the machines for every job costs more than a controller can spend.
  */
 export interface MachineSnapshot {
-  /** Machines that take work now, by type. */
+  /** Machines that accept new work, by the name of their type. */
   readonly usableByType: ReadonlyMap<string, readonly Machine[]>;
-  /** Those with anything free as the pass begins. */
+  /** Usable machines with free CPU and memory. */
   readonly withFreeCapacity: readonly Machine[];
-  /** Every kind of machine there is: type, zone and whether it is a spot machine. */
+  /** One machine of each kind, which is its type, its zone and whether it is a spot machine. */
   readonly oneOfEachKind: readonly Machine[];
-  /** Open machines that hold an image. */
+  /** Of `withFreeCapacity`, those that hold an image, by image. */
   readonly withImage: ReadonlyMap<string, readonly Machine[]>;
-  /** How many usable GPU machines, free or not, hold an image. */
+  /** Number of usable GPU machines, with free capacity or not, that hold an image, by image. */
   readonly gpuMachinesWithImage: ReadonlyMap<string, number>;
 }
 
-export function takeMachineSnapshot(
-  cluster: Cluster,
-  settings: ClusterSettings,
-  now: number,
-): MachineSnapshot {
-  const usableNow = new Map<string, Machine[]>();
-  const open: Machine[] = [];
-  const kinds = new Map<string, Machine>();
-  const holding = new Map<string, Machine[]>();
-  const onGpus = new Map<string, number>();
-  for (const m of cluster.machines.values()) {
-    const kind = `${m.type.name} ${m.zone} ${m.spot}`;
-    if (!kinds.has(kind)) kinds.set(kind, m);
-    if (!acceptsNewWork(m, null, settings, now)) continue;
-    const ofType = usableNow.get(m.type.name);
-    if (ofType === undefined) usableNow.set(m.type.name, [m]);
-    else ofType.push(m);
-    m.weakestPrecedence = -1;
-    for (const p of m.placements.values()) {
-      if (p.stop === null && p.job.precedence > m.weakestPrecedence)
-        m.weakestPrecedence = p.job.precedence;
-    }
-    if (m.type.gpus > 0) {
-      for (const [image, i] of m.images) {
-        if (i.ready) onGpus.set(image, (onGpus.get(image) ?? 0) + 1);
-      }
-    }
-    if (m.freeCpus < AMOUNT_TOLERANCE || m.freeMemoryGb < AMOUNT_TOLERANCE) continue;
-    open.push(m);
-    for (const [image, i] of m.images) {
-      if (!i.ready) continue;
-      const list = holding.get(image);
-      if (list === undefined) holding.set(image, [m]);
-      else list.push(m);
-    }
-  }
-  return {
-    usableByType: usableNow,
-    withFreeCapacity: open,
-    oneOfEachKind: [...kinds.values()],
-    withImage: holding,
-    gpuMachinesWithImage: onGpus,
-  };
+/** The capacity reservation for GPU jobs, as of the beginning of a cycle. */
+export interface GpuReservation {
+  /** One job of each known shape that uses GPUs. */
+  readonly gpuJobSpecs: readonly JobSpec[];
+  /** Free GPU machines that other work must leave usable. */
+  readonly reservedMachines: ReadonlySet<Machine>;
 }
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,63 +1,76 @@
-/** Which machines take new work now, and how long an image would take there. */
+/** Which machines accept new work, to whom their capacity is open, and how long an image pull takes there. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { ClusterSettings, JobSpec } from "../model.js";
 import type { PlanningContext } from "./context.js";
 
-/** Part of a lease after which a machine whose own reports do not arrive takes no new work. */
+/** Heartbeat intervals without any message from the worker after which a machine accepts no new work. */
+const MAX_SILENT_HEARTBEAT_INTERVALS = 1.5;
+
+/** Share of a lease after which a machine whose own heartbeats do not arrive accepts no new work. */
 const MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
-/** A machine takes new work while its reports come in time. */
+/**
+ * Does the machine accept new work now (in seconds)? With `job`: of this job; null: apart from reservations.
+ */
 export function acceptsNewWork(
-  m: Machine,
+  machine: Machine,
   job: ActiveJob | null,
   settings: ClusterSettings,
   now: number,
 ): boolean {
   return (
-    m.state === "up" &&
-    m.hasAcknowledgedToken &&
-    m.isPersisted &&
-    m.drainReason === null &&
-    m.interruptionAt === null &&
-    m.unreachableSince === null &&
-    now - m.lastMessageAt < 1.5 * settings.heartbeatIntervalS &&
-    // (Reports go to other nodes while a new leader settles, but not for so long.)
-    now - m.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
-    now >= m.backoffUntil &&
-    isCapacityOpenTo(m, job)
+    machine.state === "up" &&
+    machine.hasAcknowledgedToken &&
+    machine.isPersisted &&
+    machine.drainReason === null &&
+    machine.interruptionAt === null &&
+    machine.unreachableSince === null &&
+    now - machine.lastMessageAt < MAX_SILENT_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
+    // While a new leader settles, heartbeats go to other controllers, but not for so long.
+    now - machine.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
+    now >= machine.backoffUntil &&
+    isCapacityOpenTo(machine, job)
   );
 }
 
 /**
- * Room that is made or held for another is not open to a job; but what was made for a gang is open to a
- * gang before it in line, else two that each have half of what they need keep it from each other.
+ * Is the machine's capacity not reserved for another job? What is being freed for a gang is open to a gang earlier in
+ * the queue all the same: otherwise two gangs, each with half of what it needs, block each other.
  */
-export function isCapacityOpenTo(m: Machine, job: ActiveJob | null): boolean {
-  const r = m.reservation;
-  if (r === null || job === null || r.job === job) return true;
+export function isCapacityOpenTo(machine: Machine, job: ActiveJob | null): boolean {
+  const { reservation } = machine;
+  if (reservation === null || job === null || reservation.job === job) return true;
   return (
-    !r.held &&
-    r.job.spec.kind === "gang" &&
+    !reservation.held &&
+    reservation.job.spec.kind === "gang" &&
     job.spec.kind === "gang" &&
-    r.job.queuePosition > job.queuePosition
+    reservation.job.queuePosition > job.queuePosition
   );
 }
 
-/** Seconds until the image would be there. */
-export function imagePullS(m: Machine, spec: JobSpec): number {
-  const held = m.images.get(spec.image);
-  if (held?.ready) return 0;
-  let others = 0;
-  for (const i of m.images.values()) if (!i.ready) others += i.gb;
-  const own = spec.imageGb / m.type.fetchGbPerS;
-  return held === undefined ? own + others / m.type.fetchGbPerS : own / 2;
+/** Seconds until the job's image would be on the machine; a pull under way counts as half done. */
+export function imagePullS(machine: Machine, spec: JobSpec): number {
+  const { images, type } = machine;
+  const image = images.get(spec.image);
+  if (image?.ready) return 0;
+  let pendingPullsGb = 0;
+  for (const other of images.values()) if (!other.ready) pendingPullsGb += other.gb;
+  const ownPullS = spec.imageGb / type.fetchGbPerS;
+  return image === undefined ? ownPullS + pendingPullsGb / type.fetchGbPerS : ownPullS / 2;
 }
 
-/** Usable machines of the types of which a whole machine takes a task. */
-export function* machinesThatFit(spec: JobSpec, ctx: PlanningContext): Generator<Machine> {
-  for (const machines of ctx.snapshot.usableByType.values()) {
-    const { cpus, gpus, memoryGb } = machines[0]!.type;
-    if (taskSlots(spec, cpus, gpus, memoryGb) >= 1) yield* machines;
+/** How many tasks of this shape the whole machine takes when nothing else runs on it. */
+export const slotsOnEmptyMachine = (spec: JobSpec, { type }: Machine): number =>
+  taskSlots(spec, type.cpus, type.gpus, type.memoryGb);
+
+/** How many tasks of this shape fit beside what is placed on the machine. */
+export const freeSlotsOn = (spec: JobSpec, machine: Machine): number =>
+  taskSlots(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
+
+/** Usable machines of the types of which an empty machine takes a task of this shape. */
+export function* machinesThatFit(spec: JobSpec, context: PlanningContext): Generator<Machine> {
+  for (const machines of context.snapshot.usableByType.values()) {
+    if (slotsOnEmptyMachine(spec, machines[0]!) >= 1) yield* machines;
   }
 }
--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -1,114 +1,134 @@
-/** Free room that is held for a gang of several machines until all its tasks fit. */
+/** Free capacity that is reserved for a gang of several machines until all its tasks fit. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { type Machine, taskSlots } from "../machines/machine.js";
-import type { JobSpec } from "../model.js";
+import type { Machine } from "../machines/machine.js";
 import type { PlanningContext } from "./context.js";
-import { imagePullS, isCapacityOpenTo, machinesThatFit } from "./eligibility.js";
+import {
+  freeSlotsOn,
+  imagePullS,
+  isCapacityOpenTo,
+  machinesThatFit,
+  slotsOnEmptyMachine,
+} from "./eligibility.js";
 
-/** Part of its tasks that the zone a gang gathers in is worth more than another one. */
+/** Share of its tasks that a gang's reserved zone counts more than others, so that it rarely changes zones. */
 const RESERVED_ZONE_BONUS = 1 / 4;
 
-/** Places for tasks of a gang in one zone, or in all where any will do. */
+/** Stands for all zones together, for gangs that are not bound to one. */
+const ANY_ZONE = "";
+
+/** Capacity for tasks of a gang in one zone, or in all where any will do. */
 interface ZoneCapacity {
   freeSlots: number;
+  /** On empty machines. */
   totalSlots: number;
-  /** On machines where room is being made for the gang. */
+  /** On machines that are being freed for the gang. */
   preemptedSlots: number;
-  /** Machines with free places, or on which room is being made. */
+  /** Machines with free slots, or which are being freed. */
   readonly machines: Machine[];
 }
 
-const slotsOnEmptyMachine = (spec: JobSpec, m: Machine): number =>
-  taskSlots(spec, m.type.cpus, m.type.gpus, m.type.memoryGb);
+/**
+ * Reserves the free capacity of one zone for a gang that could not be placed, until the next cycle. Smaller jobs would
+ * take each machine as it comes free, and a gang of many would never find them free at one moment; jobs behind it in
+ * the queue get the rest. In the next cycle a gang before it does not find the capacity reserved. One gang at a time
+ * reserves in a zone: two together kept a third of it idle. `zonesTaken`: zones reserved in this cycle, added to here
+ * while the gang does not fit its zone.
+ */
+export function reserveGangCapacity(
+  job: ActiveJob,
+  context: PlanningContext,
+  zonesTaken: Set<string>,
+): void {
+  const previousZone = job.reservedZone;
+  job.reservedZone = null;
+  if (zonesTaken.has(ANY_ZONE) || zonesTaken.size >= context.settings.zones.length) return;
+  if (!mayReserveCapacity(job, context)) return;
+  const capacities = capacityByZone(job, context, zonesTaken);
+  const zone = chooseZone(capacities, job.spec.tasks, previousZone);
+  if (zone === null) return;
+  job.reservedZone = zone;
+  const missingSlots = reserveMachines(job, capacities.get(zone)!.machines, context);
+  if (missingSlots > 0) zonesTaken.add(zone);
+}
+
+function mayReserveCapacity(job: ActiveJob, context: PlanningContext): boolean {
+  const { tasks } = job.spec;
+  if (tasks < 2 || job.isSuspect || job.placementCount > 0) return false;
+  return context.cluster.quotaSlots(job.spec) >= tasks;
+}
 
-/** Zones in which no other gang gathers; "" stands for all, if the gang is not bound to one. */
-function capacityByZone(job: ActiveJob, ctx: PlanningContext, taken: ReadonlySet<string>) {
+/** Capacity for the gang in each zone that is not taken, or under `ANY_ZONE` if it is not bound to one. */
+function capacityByZone(
+  job: ActiveJob,
+  context: PlanningContext,
+  zonesTaken: ReadonlySet<string>,
+): Map<string, ZoneCapacity> {
   const { spec } = job;
-  const zones = new Map<string, ZoneCapacity>();
-  const spread = job.zones.copy();
-  for (const m of machinesThatFit(spec, ctx)) {
-    if (!isCapacityOpenTo(m, job)) continue;
-    if (!isMachineAllowed(spec, m) || job.failures.avoids(m.name, ctx.now)) continue;
-    const zone = spec.oneZone ? m.zone : "";
-    if (taken.has(zone)) continue;
-    const room = zones.get(zone) ?? {
-      freeSlots: 0,
-      totalSlots: 0,
-      preemptedSlots: 0,
-      machines: [],
-    };
-    zones.set(zone, room);
-    const whole = slotsOnEmptyMachine(spec, m);
-    const free = taskSlots(spec, m.freeCpus, m.freeGpus, m.freeMemoryGb);
-    const made = m.reservation?.job === job;
-    room.totalSlots += spec.spread ? spread.reserveIn(m.zone, whole) : whole;
-    room.freeSlots += free;
-    if (made) room.preemptedSlots += whole;
-    if (free > 0 || made) room.machines.push(m);
+  const capacities = new Map<string, ZoneCapacity>();
+  const occupancy = job.zones.copy();
+  for (const machine of machinesThatFit(spec, context)) {
+    if (!isCapacityOpenTo(machine, job)) continue;
+    if (!isMachineAllowed(spec, machine) || job.failures.avoids(machine.name, context.now))
+      continue;
+    const zone = spec.oneZone ? machine.zone : ANY_ZONE;
+    if (zonesTaken.has(zone)) continue;
+    const capacity = capacities.get(zone) ?? emptyCapacity();
+    capacities.set(zone, capacity);
+    const totalSlots = slotsOnEmptyMachine(spec, machine);
+    const freeSlots = freeSlotsOn(spec, machine);
+    const isBeingFreed = machine.reservation?.job === job;
+    capacity.totalSlots += spec.spread ? occupancy.reserveIn(machine.zone, totalSlots) : totalSlots;
+    capacity.freeSlots += freeSlots;
+    if (isBeingFreed) capacity.preemptedSlots += totalSlots;
+    if (freeSlots > 0 || isBeingFreed) capacity.machines.push(machine);
   }
-  return zones;
+  return capacities;
 }
 
-/** The zone that can hold the gang and lacks least; the one it gathers in already, unless another is far better. */
+const emptyCapacity = (): ZoneCapacity => ({
+  freeSlots: 0,
+  totalSlots: 0,
+  preemptedSlots: 0,
+  machines: [],
+});
+
+/** The zone that can take the gang and lacks the least capacity; the previous one, unless another is far better. */
 function chooseZone(
-  zones: ReadonlyMap<string, ZoneCapacity>,
+  capacities: ReadonlyMap<string, ZoneCapacity>,
   tasks: number,
-  before: string | null,
+  previousZone: string | null,
 ): string | null {
-  let zone: string | null = null;
-  let best = -1;
-  for (const [name, room] of zones) {
-    if (room.totalSlots < tasks) continue;
-    const worth =
-      room.freeSlots + room.preemptedSlots + (name === before ? RESERVED_ZONE_BONUS * tasks : 0);
-    if (worth > best) {
-      best = worth;
-      zone = name;
+  let bestZone: string | null = null;
+  let bestValue = -1;
+  for (const [zone, { freeSlots, totalSlots, preemptedSlots }] of capacities) {
+    if (totalSlots < tasks) continue;
+    const bonus = zone === previousZone ? RESERVED_ZONE_BONUS * tasks : 0;
+    const value = freeSlots + preemptedSlots + bonus;
+    if (value > bestValue) {
+      bestValue = value;
+      bestZone = zone;
     }
   }
-  return zone;
+  return bestZone;
 }
 
-function mayReserveCapacity(job: ActiveJob, ctx: PlanningContext): boolean {
-  const { tasks } = job.spec;
-  if (tasks < 2 || job.isSuspect || job.placementCount > 0) return false;
-  return ctx.cluster.quotaSlots(job.spec) >= tasks;
-}
-
-/**
- * A gang of many machines would never find them free at one moment while smaller jobs take each as
- * it comes free. So what is free in one zone is held for it, and what waits behind it in this pass takes
- * the rest. The next pass begins anew: a gang that comes first in line does not find it held. One gang
- * gathers room in a zone at a time: two between them kept a third of it idle.
- */
-export function reserveGangCapacity(
-  job: ActiveJob,
-  ctx: PlanningContext,
-  taken: Set<string>,
-): void {
+/** Reserves as many machines as the gang needs, those with the shortest image pull first. Returns slots missing. */
+function reserveMachines(job: ActiveJob, machines: Machine[], context: PlanningContext): number {
   const { spec } = job;
-  const before = job.reservedZone;
-  job.reservedZone = null;
-  if (taken.has("") || taken.size >= ctx.settings.zones.length) return;
-  if (!mayReserveCapacity(job, ctx)) return;
-  const zones = capacityByZone(job, ctx, taken);
-  const zone = chooseZone(zones, spec.tasks, before);
-  if (zone === null) return;
-  job.reservedZone = zone;
-  let need = spec.tasks;
-  const { machines } = zones.get(zone)!;
+  const until = context.now + context.settings.heartbeatIntervalS;
   machines.sort((a, b) => imagePullS(a, spec) - imagePullS(b, spec) || (a.name < b.name ? -1 : 1));
-  const occupied = job.zones.copy();
-  for (const m of machines) {
-    if (need <= 0) break;
-    const tasks = occupied.reserveIn(m.zone, slotsOnEmptyMachine(spec, m));
-    if (tasks === 0) continue;
-    need -= tasks;
-    if (m.reservation === null || m.reservation.job !== job) {
-      m.reservation = { job, until: ctx.now + ctx.settings.heartbeatIntervalS, held: true };
+  const occupancy = job.zones.copy();
+  let missingSlots = spec.tasks;
+  for (const machine of machines) {
+    if (missingSlots <= 0) break;
+    const slots = occupancy.reserveIn(machine.zone, slotsOnEmptyMachine(spec, machine));
+    if (slots === 0) continue;
+    missingSlots -= slots;
+    if (machine.reservation === null || machine.reservation.job !== job) {
+      machine.reservation = { job, until, held: true };
     }
   }
-  if (need > 0) taken.add(zone);
+  return missingSlots;
 }
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -1,58 +1,96 @@
-/** GPU machines that are kept free of other work, so that GPU jobs find them usable. */
+/** GPU machines that are reserved for GPU jobs: other work must leave them usable. */
 import type { Cluster } from "../cluster.js";
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model.js";
+import type { GpuReservation } from "./context.js";
+import { freeSlotsOn } from "./eligibility.js";
 
-/** GPU machines that other work must leave usable, and what a GPU job takes of one. */
-export interface GpuReservation {
-  readonly gpuJobSpecs: readonly JobSpec[];
-  readonly reservedMachines: ReadonlySet<Machine>;
+/** Free GPU machines that are reserved at the least. */
+const MIN_RESERVED_MACHINES = 2;
+
+/** Free machines to reserve for each machine with GPUs in use. */
+const RESERVED_PER_BUSY_MACHINE = 1 / 2;
+
+/** A free GPU machine, and the size of the images on it that GPU jobs use. */
+interface FreeGpuMachine {
+  readonly machine: Machine;
+  readonly usefulImagesGb: number;
 }
 
-/** The GPU job that could start on the machine now, and could not with this task on it. */
-export function blocksGpuJob(m: Machine, spec: JobSpec, reserve: GpuReservation): boolean {
-  if (m.type.gpus <= 0 || spec.gpus > 0) return false;
-  // Before any GPU job was seen, its size is not known: any task may be in its way. (Replicas that
-  // came first, at a cold start, kept a GPU machine from its jobs for a whole day.)
-  if (reserve.gpuJobSpecs.length === 0) return true;
-  return reserve.gpuJobSpecs.some(
-    (g) =>
-      isMachineAllowed(g, m) &&
-      taskSlots(g, m.freeCpus, m.freeGpus, m.freeMemoryGb) >
-        taskSlots(g, m.freeCpus - spec.cpus, m.freeGpus, m.freeMemoryGb - spec.memoryGb),
-  );
+/** Could fewer tasks of some GPU job start on the machine now with a task of `spec` on it? */
+export function blocksGpuJob(
+  machine: Machine,
+  spec: JobSpec,
+  reservation: GpuReservation,
+): boolean {
+  if (machine.type.gpus <= 0 || spec.gpus > 0) return false;
+  // Before any GPU job was seen, its shape is not known: any task may be in its way. (Replicas that came first, at a
+  // cold start, kept a GPU machine from its jobs for a whole day.)
+  if (reservation.gpuJobSpecs.length === 0) return true;
+  return reservation.gpuJobSpecs.some((gpuJob) => {
+    if (!isMachineAllowed(gpuJob, machine)) return false;
+    const { freeCpus, freeGpus, freeMemoryGb } = machine;
+    const slots = taskSlots(gpuJob, freeCpus, freeGpus, freeMemoryGb);
+    return slots > taskSlots(gpuJob, freeCpus - spec.cpus, freeGpus, freeMemoryGb - spec.memoryGb);
+  });
 }
 
 /**
- * Free GPU machines that are kept so: half as many as GPU work occupies, and two at least, and as
- * many as waiting GPU tasks need (arrays took each as it came free, and gangs waited for minutes
- * beside a quarter of all GPUs). Those
- * that hold the images GPU jobs use come first, because fetching takes them longer than anything.
+ * Reserves free GPU machines: half as many as GPU work occupies, two at least, and as many as there are waiting GPU
+ * tasks. (Without the last, arrays took each machine as it came free, and gangs waited for minutes beside a quarter of
+ * all GPUs.) Those that hold images of GPU jobs come first, because nothing takes longer than pulling these.
  */
-export function reserveGpuMachines(cluster: Cluster, specs: readonly JobSpec[]): GpuReservation {
+export function reserveGpuMachines(
+  cluster: Cluster,
+  gpuJobSpecs: readonly JobSpec[],
+): GpuReservation {
+  const { images, waitingTasks } = gpuDemand(cluster);
+  const free: FreeGpuMachine[] = [];
+  let busyMachines = 0;
+  for (const machine of cluster.machines.values()) {
+    if (!isUsableGpuMachine(machine)) continue;
+    if (machine.gpusUsed > 0) busyMachines++;
+    if (!takesAnyOf(gpuJobSpecs, machine)) continue;
+    free.push({ machine, usefulImagesGb: readyImagesGb(machine, images) });
+  }
+  free.sort(
+    (a, b) => b.usefulImagesGb - a.usefulImagesGb || (a.machine.name < b.machine.name ? -1 : 1),
+  );
+  const forBusy = Math.ceil(busyMachines * RESERVED_PER_BUSY_MACHINE);
+  const count = Math.max(MIN_RESERVED_MACHINES, forBusy, waitingTasks);
+  const reserved = free.slice(0, count).map(({ machine }) => machine);
+  return { gpuJobSpecs, reservedMachines: new Set(reserved) };
+}
+
+/** The images of all GPU jobs, and how many tasks of those that may run are waiting. */
+function gpuDemand(cluster: Cluster): {
+  readonly images: ReadonlySet<string>;
+  readonly waitingTasks: number;
+} {
   const images = new Set<string>();
-  let busy = 0;
-  let waiting = 0;
-  for (const j of cluster.jobs.values()) {
-    if (j.spec.gpus <= 0 || j.isBlockedOnDependencies) continue;
-    images.add(j.spec.image);
-    if (!j.isCancelled && !j.isComplete && !j.isSuspect) waiting += j.pendingCount;
+  let waitingTasks = 0;
+  for (const job of cluster.jobs.values()) {
+    if (job.spec.gpus <= 0 || job.isBlockedOnDependencies) continue;
+    images.add(job.spec.image);
+    if (!job.isCancelled && !job.isComplete && !job.isSuspect) waitingTasks += job.pendingCount;
   }
-  const free: { m: Machine; held: number }[] = [];
-  for (const m of cluster.machines.values()) {
-    if (m.type.gpus <= 0 || m.state !== "up" || m.drainReason !== null || m.interruptionAt !== null)
-      continue;
-    if (m.gpusUsed > 0) busy++;
-    const fits = specs.some(
-      (g) => isMachineAllowed(g, m) && taskSlots(g, m.freeCpus, m.freeGpus, m.freeMemoryGb) > 0,
-    );
-    if (!fits) continue;
-    let held = 0;
-    for (const [name, i] of m.images) if (i.ready && images.has(name)) held += i.gb;
-    free.push({ m, held });
+  return { images, waitingTasks };
+}
+
+const isUsableGpuMachine = (machine: Machine): boolean =>
+  machine.type.gpus > 0 &&
+  machine.state === "up" &&
+  machine.drainReason === null &&
+  machine.interruptionAt === null;
+
+const takesAnyOf = (specs: readonly JobSpec[], machine: Machine): boolean =>
+  specs.some((spec) => isMachineAllowed(spec, machine) && freeSlotsOn(spec, machine) > 0);
+
+function readyImagesGb(machine: Machine, names: ReadonlySet<string>): number {
+  let sumGb = 0;
+  for (const [name, image] of machine.images) {
+    if (image.ready && names.has(name)) sumGb += image.gb;
   }
-  free.sort((a, b) => b.held - a.held || (a.m.name < b.m.name ? -1 : 1));
-  const keep = Math.max(2, Math.ceil(busy / 2), waiting);
-  return { gpuJobSpecs: specs, reservedMachines: new Set(free.slice(0, keep).map((f) => f.m)) };
+  return sumGb;
 }
--- /dev/null
+++ b/src/core/planning/machine-snapshot.ts
@@ -0,0 +1,61 @@
+/** Takes the snapshot of the machines on which a scheduling cycle works. */
+
+import type { Cluster } from "../cluster.js";
+import type { Machine } from "../machines/machine.js";
+import { AMOUNT_TOLERANCE, type ClusterSettings } from "../model.js";
+import type { MachineSnapshot } from "./context.js";
+import { acceptsNewWork } from "./eligibility.js";
+
+/** One pass over all machines. Also refreshes `weakestPrecedence` of each usable one. `now` in seconds. */
+export function takeMachineSnapshot(
+  cluster: Cluster,
+  settings: ClusterSettings,
+  now: number,
+): MachineSnapshot {
+  const usableByType = new Map<string, Machine[]>();
+  const withFreeCapacity: Machine[] = [];
+  const kinds = new Map<string, Machine>();
+  const withImage = new Map<string, Machine[]>();
+  const gpuMachinesWithImage = new Map<string, number>();
+  for (const machine of cluster.machines.values()) {
+    const kind = `${machine.type.name} ${machine.zone} ${machine.spot}`;
+    if (!kinds.has(kind)) kinds.set(kind, machine);
+    if (!acceptsNewWork(machine, null, settings, now)) continue;
+    append(usableByType, machine.type.name, machine);
+    refreshWeakestPrecedence(machine);
+    if (machine.type.gpus > 0) countImages(machine, gpuMachinesWithImage);
+    if (machine.freeCpus < AMOUNT_TOLERANCE || machine.freeMemoryGb < AMOUNT_TOLERANCE) continue;
+    withFreeCapacity.push(machine);
+    for (const [name, image] of machine.images) {
+      if (image.ready) append(withImage, name, machine);
+    }
+  }
+  return {
+    usableByType,
+    withFreeCapacity,
+    oneOfEachKind: [...kinds.values()],
+    withImage,
+    gpuMachinesWithImage,
+  };
+}
+
+function refreshWeakestPrecedence(machine: Machine): void {
+  machine.weakestPrecedence = -1;
+  for (const { stop, job } of machine.placements.values()) {
+    if (stop === null && job.precedence > machine.weakestPrecedence) {
+      machine.weakestPrecedence = job.precedence;
+    }
+  }
+}
+
+function countImages(machine: Machine, counts: Map<string, number>): void {
+  for (const [name, image] of machine.images) {
+    if (image.ready) counts.set(name, (counts.get(name) ?? 0) + 1);
+  }
+}
+
+function append(lists: Map<string, Machine[]>, key: string, machine: Machine): void {
+  const list = lists.get(key);
+  if (list === undefined) lists.set(key, [machine]);
+  else list.push(machine);
+}
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -1,53 +1,69 @@
-/** The order in which waiting jobs are offered room. */
+/** The order in which waiting jobs are offered capacity. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { PlanningContext } from "./context.js";
 import { isProduction, precedenceBeyondGuarantee } from "./precedence.js";
 import { markStarvingJobs } from "./starvation.js";
 import { estimatedMachineSeconds, type Urgency, urgencyOf } from "./urgency.js";
 
-/** Waiting jobs, the most urgent first. */
-export function orderQueue(ctx: PlanningContext, within: ReadonlySet<string>): ActiveJob[] {
-  const waiting: ActiveJob[] = [];
-  for (const job of ctx.cluster.jobs.values()) {
-    if (job.isCancelled || job.isComplete || ctx.now < job.backoffUntil) continue;
-    // What waits for other jobs stands in no line, holds no part of anything and drives no rental.
-    if (job.isBlockedOnDependencies) continue;
-    if (job.pendingCount > 0) waiting.push(job);
-    else job.waitingSince = null;
-  }
-  const urgency = new Map<ActiveJob, Urgency>();
-  for (const j of waiting) urgency.set(j, urgencyOf(j, ctx, within));
-  const starving = markStarvingJobs(waiting, ctx);
-  const promises = ctx.settings.objectives.filter((o) => o.kind === "guarantee");
-  const promisedS = Math.max(...promises.map((o) => o.withinS ?? Infinity));
-  for (const j of waiting) {
-    const kept = promises.length === 0 || ctx.wallMs - j.objectivesCountFromMs <= 1000 * promisedS;
-    j.guaranteeStillReachable = j.spec.kind !== "gang" || kept;
-  }
-  const queueOf = (j: ActiveJob): number => {
-    // What fails wherever it goes never goes before what has not failed.
-    if (j.isSuspect) return SUSPECTED_PRECEDENCE;
-    if (starving.has(j)) return Math.min(1, j.precedence);
-    // Gangs within a guarantee go first while that can still be kept. (In a burst those that were
-    // late already went on before all others, in order of arrival, and everybody was late.)
-    return j.guaranteeStillReachable || isProduction(j.precedence)
-      ? j.precedence
-      : precedenceBeyondGuarantee(j.effectiveRank);
-  };
+/** Behind every precedence of other jobs. */
+const SUSPECTED_PRECEDENCE = 40;
+
+/** Precedence of starving jobs: right behind production. */
+const STARVING_PRECEDENCE = 1;
+
+/** The waiting jobs, the most urgent first. Sets `isStarving` and `guaranteeStillReachable` of each. */
+export function orderQueue(context: PlanningContext): ActiveJob[] {
+  const waiting = waitingJobs(context);
+  const urgencies = new Map<ActiveJob, Urgency>();
+  for (const job of waiting) urgencies.set(job, urgencyOf(job, context));
+  markStarvingJobs(waiting, context);
+  markReachableGuarantees(waiting, context);
   return waiting.sort((a, b) => {
-    const [ua, ub] = [urgency.get(a)!, urgency.get(b)!];
+    const [urgencyA, urgencyB] = [urgencies.get(a)!, urgencies.get(b)!];
     return (
-      queueOf(a) - queueOf(b) ||
-      ua.lateness - ub.lateness ||
-      (starving.has(a) && starving.has(b)
+      queuePrecedence(a) - queuePrecedence(b) ||
+      urgencyA.lateness - urgencyB.lateness ||
+      (a.isStarving && b.isStarving
         ? 0
         : estimatedMachineSeconds(a) - estimatedMachineSeconds(b)) ||
-      ua.latestStartAtMs - ub.latestStartAtMs ||
+      urgencyA.latestStartAtMs - urgencyB.latestStartAtMs ||
       a.submittedAtMs - b.submittedAtMs ||
       (a.spec.id < b.spec.id ? -1 : 1)
     );
   });
 }
 
-/** Behind every other place in line. */
-const SUSPECTED_PRECEDENCE = 40;
+function waitingJobs(context: PlanningContext): ActiveJob[] {
+  const waiting: ActiveJob[] = [];
+  for (const job of context.cluster.jobs.values()) {
+    if (job.isCancelled || job.isComplete || context.now < job.backoffUntil) continue;
+    // A job blocked on dependencies is not queued, and neither reserves capacity nor causes a scale-out.
+    if (job.isBlockedOnDependencies) continue;
+    if (job.pendingCount > 0) waiting.push(job);
+    else job.waitingSince = null;
+  }
+  return waiting;
+}
+
+/** For gangs: a start now is still in time for the longest of the objectives on guarantees. */
+function markReachableGuarantees(waiting: readonly ActiveJob[], context: PlanningContext): void {
+  const guarantees = context.settings.objectives.filter(({ kind }) => kind === "guarantee");
+  const longestS = Math.max(...guarantees.map(({ withinS }) => withinS ?? Infinity));
+  for (const job of waiting) {
+    job.guaranteeStillReachable =
+      job.spec.kind !== "gang" ||
+      guarantees.length === 0 ||
+      context.wallMs - job.objectivesCountFromMs <= 1000 * longestS;
+  }
+}
+
+function queuePrecedence(job: ActiveJob): number {
+  // A job that fails everywhere never goes before one that has not failed.
+  if (job.isSuspect) return SUSPECTED_PRECEDENCE;
+  if (job.isStarving) return Math.min(STARVING_PRECEDENCE, job.precedence);
+  // Gangs within a guarantee go first while the guarantee can still be met. (In a burst, those that were late already
+  // went on before all others, in order of arrival, and everybody was late.)
+  return job.guaranteeStillReachable || isProduction(job.precedence)
+    ? job.precedence
+    : precedenceBeyondGuarantee(job.effectiveRank);
+}
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -1,55 +1,67 @@
-/** Jobs that have waited for too long go first, so that none of any size starves. */
+/** Jobs that have waited too long go first, so that no size of a class starves. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { taskSlots } from "../machines/machine.js";
 import { START_BOUND_S } from "../model.js";
 import type { PlanningContext } from "./context.js";
-import { machinesThatFit } from "./eligibility.js";
+import { machinesThatFit, slotsOnEmptyMachine } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
 
+/** Share of the users' bound on starting after which a waiting job may be starving. */
+const STARVING_AFTER_BOUND_SHARE = 0.5;
+
+/** The cooldown in multiples of the machine time of the starving job, so that it gets two thirds of the capacity. */
+const COOLDOWN_FACTOR = 1.5;
+
+/** A cooldown's limit: a wrong estimate of the run time must not block the next starving job for long. */
+const MAX_COOLDOWN_S = START_BOUND_S / 4;
+
 /**
- * Of each class, the largest job that has waited for half of that bound without a start. It goes
- * before all but production, one of a class at a time, and after each the others come first for as long
- * as leaves it two thirds of all there is. (Without that, every job went largest first once a burst
- * had lasted for two minutes; with half, the middle one of the largest began after 289 s.)
+ * Sets `isStarving` of every waiting job. Starving is, of each class outside its cooldown, the largest job that has
+ * waited for half of the users' bound and has not started. It goes before all but production, one of a class at a
+ * time; after each, the others go first for as long as leaves it two thirds of the capacity. (Without that, every job
+ * went largest first once a burst had lasted for two minutes; with half, the middle one of the largest began after
+ * 289 s.)
  */
-export function markStarvingJobs(
-  waiting: readonly ActiveJob[],
-  ctx: PlanningContext,
-): Set<ActiveJob> {
-  const worst = new Map<string, ActiveJob[]>();
-  for (const j of waiting) {
-    if (j.isSuspect || j.doneTasks.size > 0 || j.placementCount > 0) continue;
-    if (waitedShareOfStartBound(j, ctx) < 0.5) continue;
-    if (ctx.now < (ctx.cluster.classCooldownUntil.get(j.spec.class) ?? 0)) continue;
-    const of = worst.get(j.spec.class);
-    if (of === undefined) worst.set(j.spec.class, [j]);
-    else of.push(j);
+export function markStarvingJobs(waiting: readonly ActiveJob[], context: PlanningContext): void {
+  const byClass = new Map<string, ActiveJob[]>();
+  for (const job of waiting) {
+    job.isStarving = false;
+    if (!mayBeStarving(job, context)) continue;
+    const sameClass = byClass.get(job.spec.class);
+    if (sameClass === undefined) byClass.set(job.spec.class, [job]);
+    else sameClass.push(job);
   }
-  const out = new Set<ActiveJob>();
-  for (const jobs of worst.values()) {
-    // Whoever is past the bound comes after those that still can begin within it.
-    const past = (j: ActiveJob): number => (waitedShareOfStartBound(j, ctx) >= 1 ? 1 : 0);
+  // A job past the bound comes after those that can still start within it.
+  const pastBound = (job: ActiveJob): number =>
+    waitedShareOfStartBound(job, context) >= 1 ? 1 : 0;
+  for (const jobs of byClass.values()) {
     jobs.sort(
       (a, b) =>
-        past(a) - past(b) || b.spec.tasks - a.spec.tasks || a.submittedAtMs - b.submittedAtMs,
+        pastBound(a) - pastBound(b) ||
+        b.spec.tasks - a.spec.tasks ||
+        a.submittedAtMs - b.submittedAtMs,
     );
-    out.add(jobs[0]!);
+    jobs[0]!.isStarving = true;
   }
-  for (const j of waiting) j.isStarving = out.has(j);
-  return out;
 }
 
-/** A starving job was placed: a third of the room of its class is for others. */
-export function startStarvationCooldown(job: ActiveJob, ctx: PlanningContext): void {
+function mayBeStarving(job: ActiveJob, context: PlanningContext): boolean {
+  if (job.isSuspect || job.doneTasks.size > 0 || job.placementCount > 0) return false;
+  if (waitedShareOfStartBound(job, context) < STARVING_AFTER_BOUND_SHARE) return false;
+  return context.now >= (context.cluster.classCooldownUntil.get(job.spec.class) ?? 0);
+}
+
+/** To be called when tasks of a job were placed: if it was starving, a third of its class's capacity is for others. */
+export function startStarvationCooldown(job: ActiveJob, context: PlanningContext): void {
   if (!job.isStarving) return;
   job.isStarving = false;
-  let room = 0;
-  for (const m of machinesThatFit(job.spec, ctx)) {
-    if (!isMachineAllowed(job.spec, m)) continue;
-    room += taskSlots(job.spec, m.type.cpus, m.type.gpus, m.type.memoryGb);
+  const { class: jobClass, tasks, estimateS } = job.spec;
+  let totalSlots = 0;
+  for (const machine of machinesThatFit(job.spec, context)) {
+    if (isMachineAllowed(job.spec, machine)) totalSlots += slotsOnEmptyMachine(job.spec, machine);
   }
-  const forS = (1.5 * job.spec.tasks * Math.max(1, job.spec.estimateS)) / Math.max(1, room);
-  ctx.cluster.classCooldownUntil.set(job.spec.class, ctx.now + Math.min(forS, START_BOUND_S / 4));
+  const cooldownS = (COOLDOWN_FACTOR * tasks * Math.max(1, estimateS)) / Math.max(1, totalSlots);
+  const until = context.now + Math.min(cooldownS, MAX_COOLDOWN_S);
+  context.cluster.classCooldownUntil.set(jobClass, until);
 }
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -1,76 +1,80 @@
-/** How urgent a waiting job is, by the aims that the settings state for it. */
+/** How urgent a waiting job is, by the service-level objectives that the settings state for it. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { taskSlots } from "../machines/machine.js";
-import { START_BOUND_S } from "../model.js";
+import { type JobSpec, type Objective, START_BOUND_S } from "../model.js";
 import type { PlanningContext } from "./context.js";
+import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 
-/** Part of the users' bound that a job has waited. */
-export const waitedShareOfStartBound = (j: ActiveJob, ctx: PlanningContext): number =>
-  (ctx.wallMs - j.objectivesCountFromMs) / (1000 * START_BOUND_S);
+/** Share of the users' bound on starting that a job has waited; above 1 it is past the bound. */
+export const waitedShareOfStartBound = (job: ActiveJob, context: PlanningContext): number =>
+  (context.wallMs - job.objectivesCountFromMs) / (1000 * START_BOUND_S);
 
-/** What a gang takes up: machines for how long. An aim counts a small one as much as a large one. */
-export const estimatedMachineSeconds = (j: ActiveJob): number =>
-  j.spec.kind === "gang" ? j.spec.tasks * Math.max(1, j.spec.estimateS) : 0;
+/** Machines times estimated run time of a gang; 0 for others. An objective counts small and large gangs alike. */
+export const estimatedMachineSeconds = ({ spec }: ActiveJob): number =>
+  spec.kind === "gang" ? spec.tasks * Math.max(1, spec.estimateS) : 0;
 
+/** How urgent a waiting job is. */
 export interface Urgency {
-  /** The latest time of day (ms) at which a start still meets some aim. */
+  /** The latest time of day (ms) at which a start still meets some objective; infinite if none can be met. */
   readonly latestStartAtMs: number;
-  /** 0: in time; of gangs, 1: only for an aim on its end; 2: for none any more. */
-  readonly lateness: number;
+  /** 0: in time; 1: a gang, in time only for an objective on its end; 2: too late for all, or none applies. */
+  readonly lateness: 0 | 1 | 2;
 }
 
 /**
- * Aims that the settings state for the job and that a start now still meets. What can meet none any
- * more comes last: an hour's backlog served in order of arrival makes everybody late, while those who
- * are late already lose little by waiting on.
+ * The urgency by those objectives that a start now still meets. A job that can meet none any more comes last: an
+ * hour's backlog served in order of arrival makes everybody late, while jobs that are late already lose little by
+ * waiting on.
  */
-export function urgencyOf(
-  job: ActiveJob,
-  ctx: PlanningContext,
-  within: ReadonlySet<string>,
-): Urgency {
-  const { spec } = job;
-  let best = Infinity;
-  let startAim = false;
-  const imageS = expectedImagePullS(job, ctx);
-  const consider = (afterS: number, start: boolean): void => {
-    by(job.objectivesCountFromMs + 1000 * (afterS - imageS), start);
-  };
-  const by = (at: number, start: boolean): void => {
-    if (at < ctx.wallMs) return;
-    if (start) startAim = true;
-    best = Math.min(best, at);
-  };
-  // A job of which some tasks have started has its start aim behind it.
-  const begun = job.doneTasks.size > 0 || job.placements.size > 0;
-  // Its own deadline, counted from the submission, or what those that wait for it leave of theirs.
-  if (job.effectiveDeadlineMs !== null)
-    by(job.effectiveDeadlineMs - 1000 * (spec.estimateS + imageS), false);
-  for (const o of ctx.settings.objectives) {
-    if (o.withinS === null) continue;
-    if (o.kind === "finished" && o.class === spec.class) {
-      consider(o.withinS - spec.estimateS, false);
-    } else if (begun) continue;
-    else if (o.kind === "wait" && o.class === spec.class) consider(o.withinS, true);
-    else if (o.kind === "guarantee" && within.has(spec.id)) consider(o.withinS, true);
+export function urgencyOf(job: ActiveJob, context: PlanningContext): Urgency {
+  const { spec, objectivesCountFromMs } = job;
+  const imageS = expectedImagePullS(job, context);
+  // Objectives on the start are decided once any task was placed.
+  const hasStarted = job.doneTasks.size > 0 || job.placements.size > 0;
+  let latestStartAtMs = Infinity;
+  let hasStartObjective = false;
+  if (job.effectiveDeadlineMs !== null) {
+    const startByMs = job.effectiveDeadlineMs - 1000 * (spec.estimateS + imageS);
+    if (startByMs >= context.wallMs) latestStartAtMs = startByMs;
   }
-  const late = best === Infinity ? 2 : spec.kind === "gang" && !startAim ? 1 : 0;
-  return { latestStartAtMs: best, lateness: late };
+  for (const objective of context.settings.objectives) {
+    const withinS = startWithinS(objective, spec, hasStarted, context);
+    if (withinS === null) continue;
+    const startByMs = objectivesCountFromMs + 1000 * (withinS - imageS);
+    if (startByMs < context.wallMs) continue;
+    if (objective.kind !== "finished") hasStartObjective = true;
+    latestStartAtMs = Math.min(latestStartAtMs, startByMs);
+  }
+  if (latestStartAtMs === Infinity) return { latestStartAtMs, lateness: 2 };
+  return { latestStartAtMs, lateness: spec.kind === "gang" && !hasStartObjective ? 1 : 0 };
+}
+
+/** Seconds within which the job must run to meet the objective; null: the objective does not apply to it. */
+function startWithinS(
+  { kind, class: jobClass, withinS }: Objective,
+  spec: JobSpec,
+  hasStarted: boolean,
+  context: PlanningContext,
+): number | null {
+  if (withinS === null) return null;
+  if (kind === "finished") return jobClass === spec.class ? withinS - spec.estimateS : null;
+  if (hasStarted) return null;
+  const applies =
+    (kind === "wait" && jobClass === spec.class) ||
+    (kind === "guarantee" && context.guaranteedJobs.has(spec.id));
+  return applies ? withinS : null;
 }
 
-/** Seconds that the job's image takes where it could run, or none if a machine free now holds it. */
-export function expectedImagePullS(job: ActiveJob, ctx: PlanningContext): number {
-  let rate = 0;
-  for (const m of ctx.snapshot.oneOfEachKind) {
-    if (!isMachineAllowed(job.spec, m)) continue;
-    if (taskSlots(job.spec, m.type.cpus, m.type.gpus, m.type.memoryGb) < 1) continue;
-    rate = Math.max(rate, m.type.fetchGbPerS);
+/** Seconds that pulling the job's image takes on the fastest machine it may use; 0 if a free machine holds it. */
+export function expectedImagePullS({ spec }: ActiveJob, context: PlanningContext): number {
+  let fastestGbPerS = 0;
+  for (const machine of context.snapshot.oneOfEachKind) {
+    if (!isMachineAllowed(spec, machine) || slotsOnEmptyMachine(spec, machine) < 1) continue;
+    fastestGbPerS = Math.max(fastestGbPerS, machine.type.fetchGbPerS);
   }
-  for (const m of ctx.snapshot.withImage.get(job.spec.image) ?? []) {
-    if (!isMachineAllowed(job.spec, m)) continue;
-    if (taskSlots(job.spec, m.freeCpus, m.freeGpus, m.freeMemoryGb) > 0) return 0;
+  for (const machine of context.snapshot.withImage.get(spec.image) ?? []) {
+    if (isMachineAllowed(spec, machine) && freeSlotsOn(spec, machine) > 0) return 0;
   }
-  return rate > 0 ? job.spec.imageGb / rate : 0;
+  return fastestGbPerS > 0 ? spec.imageGb / fastestGbPerS : 0;
 }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -23,7 +23,7 @@
   WorkerCommand,
   WorkerHeartbeat,
 } from "./model.js";
-import { PlanningPass } from "./planning/scheduling-cycle.js";
+import { SchedulingCycle } from "./planning/scheduling-cycle.js";
 import type { MachineRecordShard } from "./state/machine-record-shards.js";
 import { OversizedValueHandler } from "./state/oversized-values.js";
 import type { StateReplica } from "./state/state-replica.js";
@@ -43,7 +43,7 @@
   private readonly monitor: MachineMonitor;
   private readonly jobLifecycle: JobLifecycle;
   private readonly reconciler: Reconciler;
-  private readonly schedulingCycle: PlanningPass;
+  private readonly schedulingCycle: SchedulingCycle;
   private readonly oversizedValues: OversizedValueHandler;
   private isAdvancingFencingToken = false;
   private fencingTokenAdvancedAt: number;
@@ -65,7 +65,7 @@
     this.jobLifecycle = new JobLifecycle(this.context, this.dispatcher, this.machinePool);
     const { context, dispatcher: dispatch, faultAttribution: faults, machinePool: fleet } = this;
     this.reconciler = new Reconciler(context, dispatch, faults, fleet);
-    this.schedulingCycle = new PlanningPass(context, dispatch, fleet, this.monitor);
+    this.schedulingCycle = new SchedulingCycle(context, dispatch, fleet, this.monitor);
     this.oversizedValues = new OversizedValueHandler(context, fleet);
     this.fencingTokenAdvancedAt = startedAt;
   }
