--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -1,32 +1,40 @@
-/** A search over orders of events, by fixed seeds: `World` checks the rules after each. */
+/** A search over orders of events, by fixed seeds: `Simulation` checks the protocol's rules after each event. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Simulation } from "./support/simulation.js";
 
-const SEEDS = Number(process.env.SEARCH_SEEDS ?? 100);
-const FIRST = Number(process.env.SEARCH_FIRST ?? 1);
+const SEED_COUNT = Number(process.env.SEARCH_SEEDS ?? 100);
+const FIRST_SEED = Number(process.env.SEARCH_FIRST ?? 1);
 
-test(`rules hold in any order of events: ${SEEDS} seeds from ${FIRST}`, () => {
+/** Events in which messages are lost, repeated and delayed, and machines and leaders fail. */
+const FAULTY_STEPS = 700;
+
+/** Events without faults within which every job must finish. */
+const MAX_STEPS_TO_FINISH = 2500;
+
+test(`rules hold in any order of events: ${SEED_COUNT} seeds from ${FIRST_SEED}`, () => {
   let starts = 0;
   let terms = 0;
-  let told = 0;
-  for (let seed = FIRST; seed < FIRST + SEEDS; seed++) {
-    const w = new Simulation(seed);
-    for (let i = 0; i < 700 && w.violations.length === 0; i++) w.step();
-    // What is left has room and must end.
-    w.endFaults();
-    for (let i = 0; i < 2500 && w.violations.length === 0 && w.unfinishedJobs().length > 0; i++)
-      w.step();
-    const end = () => `seed ${seed}\n${w.trace.slice(-60).join("\n")}\n`;
-    assert.deepEqual(w.violations, [], end());
-    assert.deepEqual(w.unfinishedJobs(), [], `never run or done: ${end()}`);
-    starts += w.startCount;
-    terms += w.termCount;
-    told += w.reportedFinalStates.size;
+  let finalStates = 0;
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+    const simulation = new Simulation(seed);
+    const violations = () => simulation.violations.length;
+    for (let i = 0; i < FAULTY_STEPS && violations() === 0; i++) simulation.step();
+    simulation.endFaults();
+    const unfinished = () => simulation.unfinishedJobs().length;
+    for (let i = 0; i < MAX_STEPS_TO_FINISH && violations() === 0 && unfinished() > 0; i++) {
+      simulation.step();
+    }
+    const traceEnd = () => `seed ${seed}\n${simulation.trace.slice(-60).join("\n")}\n`;
+    assert.deepEqual(simulation.violations, [], traceEnd());
+    assert.deepEqual(simulation.unfinishedJobs(), [], `unfinished: ${traceEnd()}`);
+    starts += simulation.startCount;
+    terms += simulation.termCount;
+    finalStates += simulation.reportedFinalStates.size;
   }
-  // It came about: tasks started, leaders changed, users were told.
+  // The search covered what it is for: tasks started, leaders changed, and users learned of final states.
   assert.ok(
-    starts > 40 * SEEDS && terms > 2 * SEEDS && told > 10 * SEEDS,
-    `${[starts, terms, told]}`,
+    starts > 40 * SEED_COUNT && terms > 2 * SEED_COUNT && finalStates > 10 * SEED_COUNT,
+    `${starts} starts, ${terms} terms, ${finalStates} final states`,
   );
 });
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -1,4 +1,7 @@
-/** A leader with a small share of a core: what it leaves out, what it never does, and how much it looks at. Counts, not times. */
+/**
+ * A leader with a small share of a core: what it leaves out, what it never does, and how many machines it examines.
+ * Counts, not times.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Effect } from "../src/core/effects.js";
@@ -6,104 +9,103 @@
 import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
 
 const SMALL_SHARE = 0.076;
-const nameOf = (i: number): string => `m-${String(i).padStart(6, "0")}${i % 2 ? "b" : "a"}`;
+/** The names end in the zone: a or b. */
+const machineName = (index: number): string =>
+  `m-${String(index).padStart(6, "0")}${index % 2 ? "b" : "a"}`;
 
-function leaderOf(machines: number, options: { cpuShare?: number; logsTasks?: boolean } = {}) {
+function leaderWith(machines: number, options: { cpuShare?: number; logsTasks?: boolean } = {}) {
   const leader = new TestLeader(options);
-  for (let i = 0; i < machines; i++) leader.receiveHeartbeatOnly(nameOf(i), []);
+  for (let i = 0; i < machines; i++) leader.receiveHeartbeatOnly(machineName(i), []);
   leader.flushWrites();
   return leader;
 }
 
-test("a leader that is behind does not leave office for reports that it has not read yet", () => {
-  const resigned = (overloaded: boolean): boolean => {
-    const leader = leaderOf(8);
+test("an overloaded leader does not step down for heartbeats that it has not read yet", () => {
+  const stepsDown = (overloaded: boolean): boolean => {
+    const leader = leaderWith(8);
     leader.scheduler.overloaded = overloaded;
     leader.takeTrace();
-    // Time enough to hear; one of eight is heard.
-    for (let t = 0; t < 14; t++) {
-      leader.receiveHeartbeatOnly(nameOf(0), []);
+    // Time enough for heartbeats of all, but only one of eight machines sends any.
+    for (let second = 0; second < 14; second++) {
+      leader.receiveHeartbeatOnly(machineName(0), []);
       leader.tick(1);
     }
     return /resign/.test(leader.takeTrace());
   };
-  assert.equal(resigned(true), false);
-  assert.equal(resigned(false), true);
+  assert.equal(stepsDown(true), false);
+  assert.equal(stepsDown(false), true);
 });
 
-test("lines on single tasks are not even made where nobody writes them", () => {
-  const linesOf = (logsTasks: boolean): Set<string> => {
-    const leader = leaderOf(1, { logsTasks });
+test("log lines on single tasks are not even composed where they are not written", () => {
+  const messagesOf = (logsTasks: boolean): Set<string> => {
+    const leader = leaderWith(1, { logsTasks });
     const seen = new Set<string>();
-    const note = (outputs: readonly Effect[]): void => {
-      for (const o of outputs) if (o.kind === "log") seen.add(o.message);
-    };
-    const take = leader.performEffects.bind(leader);
-    leader.performEffects = (outputs: Effect[]) => {
-      note(outputs);
-      take(outputs);
+    const performEffects = leader.performEffects.bind(leader);
+    leader.performEffects = (effects: Effect[]) => {
+      for (const effect of effects) if (effect.kind === "log") seen.add(effect.message);
+      performEffects(effects);
     };
     leader.submit(jobSpec("j", {}));
     leader.answerRequest([taskStatus("j", 0, 1)]);
-    leader.receiveHeartbeat(nameOf(0), [taskStatus("j", 0, 1, "exited", "done")]);
+    leader.receiveHeartbeat(machineName(0), [taskStatus("j", 0, 1, "exited", "done")]);
     return seen;
   };
-  const quiet = linesOf(false);
-  for (const line of ["place", "running", "task ended"]) {
-    assert.equal(quiet.has(line), false, line);
-    assert.ok(linesOf(true).has(line), line);
+  const withoutTaskLines = messagesOf(false);
+  for (const message of ["place", "running", "task ended"]) {
+    assert.equal(withoutTaskLines.has(message), false, message);
+    assert.ok(messagesOf(true).has(message), message);
   }
-  assert.ok(quiet.has("all tasks done"), "lines on jobs stay");
+  assert.ok(withoutTaskLines.has("all tasks done"), "lines on jobs stay");
 });
 
-/** Machines that a pass asks for what is free on them, which every look at one does. */
-function looksOf(leader: TestLeader, work: () => void): number {
-  let looks = 0;
-  for (const m of leader.scheduler.cluster.machines.values()) {
-    const { type } = m;
-    Object.defineProperty(m, "freeCpus", {
+/** How often machines are examined during `work`: every examination reads a machine's free CPUs. */
+function countExaminations(leader: TestLeader, work: () => void): number {
+  let examinations = 0;
+  for (const machine of leader.scheduler.cluster.machines.values()) {
+    const { type } = machine;
+    Object.defineProperty(machine, "freeCpus", {
       configurable: true,
       get() {
-        looks++;
-        return type.cpus - m.cpusUsed;
+        examinations++;
+        return type.cpus - machine.cpusUsed;
       },
     });
   }
   work();
-  return looks;
+  return examinations;
 }
 
-test("large arrays of which no more may be placed now cost no look at the machines", () => {
-  const looks = (waiting: number): number => {
-    const leader = leaderOf(400, { cpuShare: SMALL_SHARE });
+test("large arrays of which no more may be placed now cause no examination of machines", () => {
+  const examinationsWith = (waiting: number): number => {
+    const leader = leaderWith(400, { cpuShare: SMALL_SHARE });
     const tasks = 5000;
     for (let i = 0; i <= waiting; i++) leader.submit(jobSpec(`j-${i}`, { team: "maps", tasks }));
     leader.tick(0.5);
-    // Long enough for another pass, which places what may be placed of the first.
-    return looksOf(leader, () => leader.tick(1.1));
+    // Long enough for another cycle, which places what may be placed of the first.
+    return countExaminations(leader, () => leader.tick(1.1));
   };
-  const [one, many] = [looks(1), looks(12)];
-  assert.ok(many < 1.5 * one + 400, `${many} looks with twelve waiting, ${one} with one`);
+  const [one, many] = [examinationsWith(1), examinationsWith(12)];
+  assert.ok(many < 1.5 * one + 400, `${many} examinations with twelve waiting, ${one} with one`);
 });
 
-test("looks at machines a report interval grow no more than in proportion to machines", () => {
-  const looks = (machines: number): number => {
-    const leader = leaderOf(machines, { cpuShare: SMALL_SHARE });
+test("examinations of machines in a heartbeat interval grow at most in proportion to the machines", () => {
+  const examinationsOf = (machines: number): number => {
+    const leader = leaderWith(machines, { cpuShare: SMALL_SHARE });
     for (let i = 0; i < 6; i++) leader.submit(jobSpec(`w-${i}`, { team: "maps", cpus: 5 }));
-    return looksOf(leader, () => {
-      for (let t = 0; t < 10; t++) {
-        for (let i = t; i < machines; i += 10) leader.receiveHeartbeatOnly(nameOf(i), []);
+    return countExaminations(leader, () => {
+      for (let step = 0; step < 10; step++) {
+        for (let i = step; i < machines; i += 10) leader.receiveHeartbeatOnly(machineName(i), []);
         leader.tick(0.3);
       }
     });
   };
-  const [small, middle, large] = [looks(720), looks(1535), looks(4000)];
+  const [small, middle, large] = [examinationsOf(720), examinationsOf(1535), examinationsOf(4000)];
   assert.ok(small > 0);
   assert.ok(middle <= (1.2 * small * 1535) / 720, `${middle} at 1,535, ${small} at 720`);
   assert.ok(large <= (1.2 * small * 4000) / 720, `${large} at 4,000, ${small} at 720`);
 });
 
-test("the load line tells processor time against the share, and what was done in it", () => {
+test("the load line states processor time, the share of a core, and the time of each activity", () => {
   let now = 10;
   let cpuS = 1;
   const load = new NodeLoad({
@@ -113,12 +115,12 @@
     cpuShare: SMALL_SHARE,
     everyS: 15,
   });
-  const report = (): string =>
+  const measureHeartbeats = (): string =>
     load.measure("reports", () => {
       now += 0.5;
       return "answered";
     });
-  assert.equal(report(), "answered");
+  assert.equal(measureHeartbeats(), "answered");
   assert.throws(() =>
     load.measure("passes", () => {
       now += 1;
