--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -31,8 +31,9 @@
 const BULK_TASKS_PER_CORE_SECOND = 400;
 
 /**
- * On a small share of a core, as many for each write that the state service takes instead. (At 7.6% of a core 30 a
- * second were placed, and 8 when overloaded, while a leader used seven tenths of its share.)
+ * Tasks of sharded jobs placed for each write that the state service takes, if that is more: it is on a small share of
+ * a core. (At 7.6% of a core 30 a second were placed, and 8 when overloaded, while a leader used seven tenths of its
+ * share.)
  */
 const BULK_TASKS_PER_STATE_WRITE = 2;
 
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -16,7 +16,7 @@
 /** Size limit of a stored value, in bytes. */
 const MAX_VALUE_BYTES = 8 * 1024;
 
-/** Direct requests in flight at the most with these settings. */
+/** Requests of one sort, probes or fencing tokens, in flight at the most: a share of the 1,500 sockets. */
 const MAX_REQUESTS_IN_FLIGHT = 1500 / 50;
 
 /** The names end in the zone: a or b. */
