--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -10,15 +10,8 @@
 /** Share of a lease after which a machine whose own heartbeats do not arrive accepts no new work. */
 const MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
-/**
- * Does the machine accept new work now (in seconds)? With `job`: of this job; null: apart from reservations.
- */
-export function acceptsNewWork(
-  machine: Machine,
-  job: ActiveJob | null,
-  settings: ClusterSettings,
-  now: number,
-): boolean {
+/** Does the machine accept new work now (in seconds), apart from reservations for certain jobs? */
+export function acceptsNewWork(machine: Machine, settings: ClusterSettings, now: number): boolean {
   return (
     machine.state === "up" &&
     machine.hasAcknowledgedToken &&
@@ -29,8 +22,7 @@
     now - machine.lastMessageAt < MAX_SILENT_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
     // While a new leader settles, heartbeats go to other controllers, but not for so long.
     now - machine.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
-    now >= machine.backoffUntil &&
-    isCapacityOpenTo(machine, job)
+    now >= machine.backoffUntil
   );
 }
 
@@ -38,9 +30,9 @@
  * Is the machine's capacity not reserved for another job? What is being freed for a gang is open to a gang earlier in
  * the queue all the same: otherwise two gangs, each with half of what it needs, block each other.
  */
-export function isCapacityOpenTo(machine: Machine, job: ActiveJob | null): boolean {
+export function isCapacityOpenTo(machine: Machine, job: ActiveJob): boolean {
   const { reservation } = machine;
-  if (reservation === null || job === null || reservation.job === job) return true;
+  if (reservation === null || reservation.job === job) return true;
   return (
     !reservation.held &&
     reservation.job.spec.kind === "gang" &&
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -20,7 +20,7 @@
   for (const machine of cluster.machines.values()) {
     const kind = `${machine.type.name} ${machine.zone} ${machine.spot}`;
     if (!kinds.has(kind)) kinds.set(kind, machine);
-    if (!acceptsNewWork(machine, null, settings, now)) continue;
+    if (!acceptsNewWork(machine, settings, now)) continue;
     append(usableByType, machine.type.name, machine);
     refreshWeakestPrecedence(machine);
     if (machine.type.gpus > 0) countImages(machine, gpuMachinesWithImage);
