--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -81,7 +81,7 @@
         }
         if (p.state === "loaded" || p.state === "planned") continue;
         // A second stop would cut a save short, unless that is meant.
-        if (p.state === "saving" && p.stop.graceS > 0) continue;
+        if (p.state === "checkpointing" && p.stop.graceS > 0) continue;
         if (now - p.stop.sentAt < this.context.settings.heartbeatIntervalS / 6) continue;
         p.stop.sentAt = now;
         out.push({ op: "stop", ...at, graceS: p.stop.graceS });
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -11,10 +11,10 @@
   | "loaded"
   | "planned"
   | "sent"
-  | "fetching"
+  | "pulling image"
   | "waiting"
   | "running"
-  | "saving";
+  | "checkpointing";
 
 export interface StopRequest {
   readonly why: string;
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -128,7 +128,7 @@
   private handleTaskProgress(p: Placement, t: TaskStatus, now: number): void {
     if (t.state === "exited" || p.state === t.state) return;
     const image = p.machine.images.get(p.job.spec.image);
-    if (t.state !== "fetching") {
+    if (t.state !== "pulling image") {
       if (image !== undefined) {
         image.ready = true;
         image.at = now;
@@ -137,7 +137,7 @@
       }
       this.evictImages(p.machine);
     }
-    if (t.state === "running" && p.state !== "saving") {
+    if (t.state === "running" && p.state !== "checkpointing") {
       p.runningSince = now;
       p.hasKnownStart = p.state !== "loaded";
       this.noteFirstStart(p);
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -53,7 +53,7 @@
   readonly zones: readonly string[];
 }
 
-export type TaskState = "fetching" | "waiting" | "running" | "saving" | "exited";
+export type TaskState = "pulling image" | "waiting" | "running" | "checkpointing" | "exited";
 export type ExitCause =
   | "done"
   | "stopped"
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -20,10 +20,10 @@
 export const PRIORITY_FROM_WIRE = invert(WIRE_PRIORITY);
 
 export const WIRE_TASK_STATE: Record<TaskState, string> = {
-  fetching: "pulling",
+  "pulling image": "pulling",
   waiting: "waiting",
   running: "running",
-  saving: "saving",
+  checkpointing: "saving",
   exited: "ended",
 };
 export const TASK_STATE_FROM_WIRE = invert(WIRE_TASK_STATE);
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -32,17 +32,17 @@
 test("low work within its team's guarantee does not stop a gang for two of its CPUs", () => {
   const h = gpuMachines(["m1a"]);
   h.submit(gpu("gang"));
-  h.answerRequest([taskStatus("gang", 0, 1, "fetching")]);
+  h.answerRequest([taskStatus("gang", 0, 1, "pulling image")]);
   h.takeTrace();
   // Team vision is guaranteed four CPUs; the gang is beyond any guarantee.
   h.submit(jobSpec("sheet", { cpus: 4, priority: "low" }));
   for (let i = 0; i < 90; i++)
-    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "fetching")], { type: "big" });
+    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.doesNotMatch(h.takeTrace(), /stop gang/);
   // Production may.
   h.submit(jobSpec("web", { cpus: 4, kind: "service", priority: "production" }));
   for (let i = 0; i < 60; i++)
-    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "fetching")], { type: "big" });
+    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.match(h.takeTrace(), /stop gang/);
 });
 
@@ -159,16 +159,16 @@
     h.scheduler.commandsAnswered(
       m,
       [],
-      { kind: "answer", executed: true, report: report(m, "fetching") },
+      { kind: "answer", executed: true, report: report(m, "pulling image") },
       h.now,
     );
   }
-  function report(m: string, state: "fetching" | "waiting") {
+  function report(m: string, state: "pulling image" | "waiting") {
     return h.makeHeartbeat(m, [taskStatus("gang", on(m), 1, state)], { type: "big" });
   }
   for (let i = 0; i < 12; i++) {
     for (const m of ["m1a", "m3a"])
-      h.performEffects(h.scheduler.handleHeartbeat(report(m, "fetching"), h.now).outputs);
+      h.performEffects(h.scheduler.handleHeartbeat(report(m, "pulling image"), h.now).outputs);
     h.receiveHeartbeat("m2a", [], { type: "big" });
     h.tick(2.5);
     assert.deepEqual(sent(), [], "neither has its image");
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -7,6 +7,7 @@
   JobSpec,
   ListedMachine,
   MachineType,
+  TaskState,
   WorkerCommand,
   WorkerHeartbeat,
 } from "../../src/core/model.js";
@@ -48,6 +49,15 @@
   ...Object.fromEntries(Object.entries(changes).map(([name, c]) => [name, { ...whole, ...c }])),
 });
 
+/** The kept examples name two states as the source did when they were made. */
+const KEPT_STATE: Record<TaskState, string> = {
+  "pulling image": "fetching",
+  waiting: "waiting",
+  running: "running",
+  checkpointing: "saving",
+  exited: "exited",
+};
+
 export const reportForm = (r: WorkerHeartbeat): unknown => ({
   machine: r.machine,
   address: r.address,
@@ -58,7 +68,14 @@
   sequence: r.sequence,
   token: r.fencingToken,
   notice: r.interruptionNoticeS,
-  tasks: r.tasks.map((t) => [t.job, t.task, t.attempt, t.state, t.cause, t.checkpointed]),
+  tasks: r.tasks.map((t) => [
+    t.job,
+    t.task,
+    t.attempt,
+    KEPT_STATE[t.state],
+    t.cause,
+    t.checkpointed,
+  ]),
 });
 
 const stride = (change: object): unknown => ({
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -299,7 +299,7 @@
     const job = this.submittedJobs.get(c.job);
     if (job === undefined) return;
     const imageAt = this.now + [0, 0, 2, 9][this.randomBelow(4)]!;
-    const fetching = taskStatus(c.job, c.task, c.attempt, "fetching");
+    const fetching = taskStatus(c.job, c.task, c.attempt, "pulling image");
     const t: SimulatedTask = {
       status: fetching,
       endsAt: Number.POSITIVE_INFINITY,
@@ -358,9 +358,9 @@
   /** The image is there: from now on the task counts as being on its machine. */
   private completeImagePulls(m: SimulatedMachine): void {
     for (const t of m.tasks.values()) {
-      if (t.status.state !== "fetching" || this.now < t.imagePulledAt) continue;
+      if (t.status.state !== "pulling image" || this.now < t.imagePulledAt) continue;
       t.status = { ...t.status, state: "running" };
-      this.checkPlacement(t, m, "has its image", (other) => other.state !== "fetching");
+      this.checkPlacement(t, m, "has its image", (other) => other.state !== "pulling image");
     }
   }
 
