--- /dev/null
+++ b/src/core/dispatch/task-reconciler.ts
@@ -0,0 +1,182 @@
+/** Compares the tasks that a worker reports with those placed on it, and takes in what became of each. */
+
+import type { ActiveJob } from "../jobs/active-job.js";
+import type { LeaderContext } from "../leader-context.js";
+import type { FaultAttribution } from "../machines/fault-attribution.js";
+import type { Machine } from "../machines/machine.js";
+import type { TaskStatus } from "../model.js";
+import { range } from "../range.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
+import { Placement, taskKey } from "./placement.js";
+
+/** Run times of a job that are kept to tell slow machines; further ones would change little. */
+const MAXIMUM_RUN_TIMES = 256;
+
+/** Brings the leader's placements in line with the tasks that a worker has. */
+export class TaskReconciler {
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly dispatcher: CommandDispatcher,
+    private readonly faultAttribution: FaultAttribution,
+  ) {}
+
+  /** Takes in all tasks of a worker that acknowledged the present fencing token. */
+  reconcileTasks(machine: Machine, tasks: readonly TaskStatus[], now: number): void {
+    const reportedKeys = new Set<string>();
+    for (const status of tasks) {
+      const key = taskKey(status.job, status.task, status.attempt);
+      reportedKeys.add(key);
+      if (status.state === "exited") {
+        this.handleTaskExit(machine, key, status, now);
+        continue;
+      }
+      const placement = machine.placements.get(key);
+      if (placement !== undefined) this.handleTaskProgress(placement, status, now);
+      else this.stopUnrecorded(machine, status, now);
+    }
+    this.handleMissingTasks(machine, reportedKeys, now);
+    for (const key of [...machine.exitedTasks.keys()]) {
+      if (!reportedKeys.has(key)) machine.exitedTasks.delete(key);
+    }
+  }
+
+  /** Placements that the worker does not have: their start is still to come, or they are lost. */
+  private handleMissingTasks(
+    machine: Machine,
+    reportedKeys: ReadonlySet<string>,
+    now: number,
+  ): void {
+    for (const placement of [...machine.placements.values()]) {
+      if (reportedKeys.has(placement.key) || placement.startsInFlight > 0) continue;
+      if (placement.incarnation !== machine.incarnation) continue;
+      switch (placement.state) {
+        case "planned":
+          break;
+        case "loaded":
+          // The worker drops starts of former leaders by now, so it never arrived.
+          placement.state = "planned";
+          break;
+        case "sent":
+          if (!machine.unansweredStarts.has(placement.key)) placement.state = "planned";
+          break;
+        default:
+          this.dispatcher.handleTaskLost(placement, "no longer on its machine", now);
+      }
+    }
+  }
+
+  private handleTaskProgress(placement: Placement, status: TaskStatus, now: number): void {
+    if (status.state === "exited" || placement.state === status.state) return;
+    if (status.state !== "pulling image") this.noteImagePulled(placement, now);
+    if (status.state === "running" && placement.state !== "checkpointing") {
+      this.noteRunning(placement, now);
+    }
+    placement.state = status.state;
+  }
+
+  private noteRunning(placement: Placement, now: number): void {
+    const { job, machine } = placement;
+    placement.runningSince = now;
+    placement.hasKnownStart = placement.state !== "loaded";
+    this.noteFirstStart(job);
+    this.context.logTask("running", () => ({
+      task: `${job.spec.id}/${placement.task}`,
+      machine: machine.name,
+      class: job.spec.class,
+      imageGb: job.spec.imageGb,
+      tookS: Math.round((now - placement.placedAt) * 10) / 10,
+    }));
+  }
+
+  private noteFirstStart(job: ActiveJob): void {
+    if (job.firstTaskStarted) return;
+    job.firstTaskStarted = true;
+    this.context.effects.push({
+      kind: "first start",
+      job: job.spec.id,
+      submittedAt: job.submittedAtMs,
+    });
+  }
+
+  private noteImagePulled({ job, machine }: Placement, now: number): void {
+    const { image, imageGb } = job.spec;
+    const known = machine.images.get(image);
+    if (known !== undefined) {
+      known.ready = true;
+      known.at = now;
+    } else {
+      machine.images.set(image, { at: now, gb: imageGb, ready: true });
+    }
+    this.evictImages(machine);
+  }
+
+  /** A worker keeps the most recently used images: what exceeds its cache counts as evicted, unless it is in use. */
+  private evictImages(machine: Machine): void {
+    const inUse = new Set([...machine.placements.values()].map(({ job }) => job.spec.image));
+    let sumGb = 0;
+    const byLastUse = [...machine.images].sort((a, b) => b[1].at - a[1].at);
+    for (const [name, image] of byLastUse) {
+      sumGb += image.gb;
+      if (sumGb > machine.type.cacheGb && !inUse.has(name)) machine.images.delete(name);
+    }
+  }
+
+  private handleTaskExit(machine: Machine, key: string, status: TaskStatus, now: number): void {
+    if (machine.exitedTasks.has(key)) return;
+    const isDone = status.cause === "done";
+    const placement = machine.placements.get(key);
+    const job = this.context.cluster.jobs.get(status.job);
+    if (placement !== undefined) {
+      if (isDone) this.noteCompletedRun(placement, now);
+      this.dispatcher.release(placement, now);
+      this.faultAttribution.handleExit(placement, status, now);
+    }
+    if (job !== undefined && isDone) this.markTaskDone(job, status.task);
+    machine.exitedTasks.set(key, {
+      job: status.job,
+      task: status.task,
+      attempt: status.attempt,
+      version: job?.version ?? 0,
+    });
+  }
+
+  private noteCompletedRun(placement: Placement, now: number): void {
+    const { job, machine } = placement;
+    machine.images.set(job.spec.image, { at: now, gb: job.spec.imageGb, ready: true });
+    if (placement.hasKnownStart && job.runTimes.length < MAXIMUM_RUN_TIMES) {
+      job.runTimes.push(now - placement.runningSince);
+    }
+  }
+
+  private markTaskDone(job: ActiveJob, task: number): void {
+    const { id, kind, tasks } = job.spec;
+    if (kind === "service" || task >= tasks) return;
+    // The tasks of a gang complete together: if one is done, all are.
+    for (const doneTask of kind === "gang" ? range(tasks) : [task]) {
+      if (!job.doneTasks.add(doneTask)) continue;
+      job.markChanged(doneTask);
+      const otherAttempt = job.placements.get(doneTask);
+      if (otherAttempt !== undefined && kind !== "gang") {
+        this.dispatcher.stop(otherAttempt, "already done", 0);
+      }
+    }
+    if (job.isComplete) this.context.log("all tasks done", { job: id, tasks });
+    this.context.cycleRequested = true;
+  }
+
+  /** A task that no placement accounts for: its resources count while it is there, and it is stopped. */
+  private stopUnrecorded(machine: Machine, status: TaskStatus, now: number): void {
+    const { job: id, task, attempt } = status;
+    this.context.log("orphaned task", { task: `${id}/${task}`, attempt, machine: machine.name });
+    const job = this.context.cluster.jobs.get(id);
+    if (job === undefined) {
+      // The job is terminal, so it is stopped outright: there is nothing to count it against.
+      this.dispatcher.orphanedTasks.push({ machine: machine.name, job: id, task, attempt });
+      return;
+    }
+    const placement = new Placement(job, task, attempt, machine, machine.incarnation, 0, now);
+    placement.state = status.state === "exited" ? "running" : status.state;
+    this.context.cluster.addPlacement(placement, true);
+    this.dispatcher.stop(placement, "no placement recorded", 0);
+  }
+}
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -6,6 +6,7 @@
 import type { Placement } from "../dispatch/placement.js";
 import { ZoneOccupancy } from "../dispatch/placement-constraints.js";
 import { type JobSpec, priorityRank } from "../model.js";
+import { range } from "../range.js";
 import { JobShard } from "../state/job-shards.js";
 import type { StoredJob, StoredShard, Versioned } from "../state/state-replica.js";
 import { FailureHistory } from "./failure-history.js";
@@ -313,7 +314,3 @@
     this.reshardedAtVersion = this.version;
   }
 }
-
-function* range(n: number): Generator<number> {
-  for (let i = 0; i < n; i++) yield i;
-}
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -91,8 +91,3 @@
     this.cycleRequested = true;
   }
 }
-
-export function runsServiceTasks(m: Machine): boolean {
-  for (const p of m.placements.values()) if (p.job.spec.kind === "service") return true;
-  return false;
-}
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -2,9 +2,10 @@
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
-import { hasExtendableLease, type LeaderContext, runsServiceTasks } from "../leader-context.js";
+import type { LeaderContext } from "../leader-context.js";
 import { CLOCK_DRIFT } from "../model.js";
 import type { Machine } from "./machine.js";
+import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
 
 /** Part of all machines that may be given up as silent in a report interval. */
 const RELEASE_SHARE = 0.05;
@@ -216,13 +217,3 @@
     return !this.hasSettled;
   }
 }
-
-function runsCancelledTask(m: Machine): boolean {
-  for (const p of m.placements.values()) if (p.job.isCancelled) return true;
-  return false;
-}
-
-function mayHaveExtendedLease(m: Machine): boolean {
-  for (const p of m.placements.values()) if (hasExtendableLease(p.job.spec.kind)) return true;
-  return false;
-}
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -12,10 +12,11 @@
 import { isNewer, Reconciler } from "./dispatch/reconciler.js";
 import type { CommandOutcome, Effect, SchedulerOptions, TransactionOutcome } from "./effects.js";
 import { JobLifecycle } from "./jobs/job-lifecycle.js";
-import { LeaderContext, runsServiceTasks } from "./leader-context.js";
+import { LeaderContext } from "./leader-context.js";
 import { FaultAttribution } from "./machines/fault-attribution.js";
 import type { Machine } from "./machines/machine.js";
 import { MachineMonitor } from "./machines/machine-monitor.js";
+import { runsServiceTasks } from "./machines/machine-predicates.js";
 import type {
   ClusterSettings,
   ListedMachine,
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -226,7 +226,7 @@
 test("a leader that meets a higher token leaves office", () => {
   const h = leaderWithTwoMachines();
   h.receiveHeartbeat("m1a", [], { fencingToken: 9 });
-  assert.match(h.takeTrace(), /resign: machine m1a has seen a higher token/);
+  assert.match(h.takeTrace(), /resign: machine m1a has seen a higher fencing token/);
 });
 
 test("preemption never goes in circles: the stopped job cannot stop its stopper", () => {
