--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -1,27 +1,43 @@
-/** Starts, stops and probes: what goes to each worker, and when. */
+/** Decides which commands and probes go to each worker, and when. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { ExitedTask, Machine } from "../machines/machine.js";
 import type { WorkerCommand } from "../model.js";
 import { TokenBucket } from "../overload/token-bucket.js";
-import type { Placement } from "./placement.js";
+import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
 
-/** Looks a second, for each core, at machines whose report is not late yet. */
+/** Probes a second, for each core, of machines whose heartbeat is not overdue yet. */
 const PROBES_PER_CORE_S = 40;
+const MAXIMUM_COMMANDS_PER_REQUEST = 400;
+/** Requests of one sort that may be in flight while the node is overloaded, and otherwise at the least. */
+const CONCURRENT_REQUESTS_OVERLOADED = 4;
+const MINIMUM_CONCURRENT_REQUESTS = 8;
+/** One in so many sockets may be used by requests of one sort. */
+const SOCKETS_PER_CONCURRENT_REQUEST = 50;
 
+/** A task that a worker runs although its job is terminal. */
+export interface OrphanedTask {
+  readonly machine: string;
+  readonly job: string;
+  readonly task: number;
+  readonly attempt: number;
+}
+
+/** Sends starts, stops and forgets to the workers, one direct request to a machine at a time. */
 export class CommandDispatcher {
-  /** Machines that something may be due to; the others are not looked at as time passes. */
+  /** Machines to which something may be due; the others are not considered as time passes. */
   readonly dueMachines = new Set<Machine>();
-  /** Machines to which a request is out that only tells them the token. */
+  /** Names of the machines to which a request is in flight that only tells them the fencing token. */
   readonly tokenRequestsInFlight = new Set<string>();
-  /** Machines that are being looked at. */
+  /** Names of the machines to which a probe is in flight. */
   readonly probesInFlight = new Set<string>();
+  /** Limits the probes of machines that are not overdue yet. */
   readonly probeBudget: TokenBucket;
-  /** Tasks of jobs that are over, to be stopped outright. */
-  orphanedTasks: { machine: string; job: string; task: number; attempt: number }[] = [];
-  /** Set by the node while it is behind: what can wait is to leave it time. */
+  /** To be stopped without time to checkpoint. */
+  orphanedTasks: OrphanedTask[] = [];
+  /** Set by the node while it lags: what can be postponed is to leave it time. */
   isOverloaded = false;
 
   constructor(private readonly context: LeaderContext) {
@@ -29,208 +45,244 @@
     this.probeBudget = new TokenBucket(rate, rate);
   }
 
-  stop(p: Placement, why: string, graceS: number): void {
-    if (p.stop !== null && p.stop.graceS <= graceS) return;
-    p.stop = { why, graceS, sentAt: Number.NEGATIVE_INFINITY };
-    this.dueMachines.add(p.machine);
+  /**
+   * Requests of one sort, probes or those that only tell the fencing token, that may be in flight at a time. (After
+   * a takeover a thousand workers were late at once; probing all of them in one moment left no time for their
+   * heartbeats, and most lost their leases.)
+   */
+  get maximumConcurrentRequests(): number {
+    if (this.isOverloaded) return CONCURRENT_REQUESTS_OVERLOADED;
+    return Math.max(
+      MINIMUM_CONCURRENT_REQUESTS,
+      this.context.settings.sockets / SOCKETS_PER_CONCURRENT_REQUEST,
+    );
+  }
+
+  /** Asks for a placement to be stopped; of several requests the one with the least time to checkpoint counts. */
+  stop(placement: Placement, why: string, graceS: number): void {
+    if (placement.stop !== null && placement.stop.graceS <= graceS) return;
+    placement.stop = { why, graceS, sentAt: Number.NEGATIVE_INFINITY };
+    this.dueMachines.add(placement.machine);
     this.context.logTask("stop", () => ({
-      task: `${p.job.spec.id}/${p.task}`,
-      attempt: p.attempt,
-      machine: p.machine.name,
+      task: `${placement.job.spec.id}/${placement.task}`,
+      attempt: placement.attempt,
+      machine: placement.machine.name,
       why,
     }));
   }
 
-  /** A gang is stopped in order: all its tasks at once, with the time to save. */
-  stopGang(p: Placement, why: string, graceS: number): void {
-    const all = p.job.spec.kind === "gang" ? [...p.job.placements.values()] : [p];
-    for (const q of all) this.stop(q, why, graceS);
+  /** Stops the task, and with the task of a gang the whole gang, with time to checkpoint. */
+  stopGang(placement: Placement, why: string, graceS: number): void {
+    const { job } = placement;
+    const stopped = job.spec.kind === "gang" ? [...job.placements.values()] : [placement];
+    for (const each of stopped) this.stop(each, why, graceS);
   }
 
-  /** A gang that lost a task starts again as a whole once all its tasks are gone. */
+  /** Stops the rest of a gang that lost a task: it starts again as a whole once all its tasks are terminated. */
   restartGang(job: ActiveJob, why: string): void {
     if (job.isComplete) return;
-    for (const p of job.placements.values()) this.stop(p, why, job.spec.saveS);
+    for (const placement of job.placements.values()) this.stop(placement, why, job.spec.saveS);
   }
 
-  release(p: Placement, now: number): void {
-    this.context.cluster.releasePlacement(p, now);
+  /** Releases the resources of an attempt that is proven to be terminated. */
+  release(placement: Placement, now: number): void {
+    this.context.cluster.releasePlacement(placement, now);
     this.context.cycleRequested = true;
   }
 
-  /** The attempt went with its machine or session. */
-  handleTaskLost(p: Placement, why: string, now: number): void {
+  /** The attempt ended with its machine or with the worker's incarnation. */
+  handleTaskLost(placement: Placement, why: string, now: number): void {
+    const { job, task, attempt, machine } = placement;
     this.context.log("task lost", {
-      task: `${p.job.spec.id}/${p.task}`,
-      attempt: p.attempt,
-      machine: p.machine.name,
+      task: `${job.spec.id}/${task}`,
+      attempt,
+      machine: machine.name,
       why,
     });
-    this.release(p, now);
-    if (p.job.spec.kind === "gang") this.restartGang(p.job, "a gang task was lost");
-  }
-
-  commandsFor(m: Machine, now: number, withStarts: boolean): WorkerCommand[] {
-    const out: WorkerCommand[] = [];
-    for (const p of [...m.placements.values()]) {
-      const at = { job: p.job.spec.id, task: p.task, attempt: p.attempt };
-      if (p.stop !== null) {
-        if (p.state === "planned" && p.startsInFlight === 0 && !m.unansweredStarts.has(p.key)) {
-          this.releaseIfNeverSent(p, now);
-          continue;
-        }
-        if (p.state === "loaded" || p.state === "planned") continue;
-        // A second stop would cut a save short, unless that is meant.
-        if (p.state === "checkpointing" && p.stop.graceS > 0) continue;
-        if (now - p.stop.sentAt < this.context.settings.heartbeatIntervalS / 6) continue;
-        p.stop.sentAt = now;
-        out.push({ op: "stop", ...at, graceS: p.stop.graceS });
-      } else if (withStarts && this.mayStart(p, m, now)) {
-        const conflict = this.findConflict(p);
-        if (conflict !== null) {
-          this.withdrawPlacement(p, conflict, now);
-          continue;
-        }
-        p.state = "sent";
-        p.sentAt = now;
-        p.startsInFlight++;
-        out.push({ op: "start", ...at });
-      }
+    this.release(placement, now);
+    if (job.spec.kind === "gang") this.restartGang(job, "a gang task was lost");
+  }
+
+  /** The commands that are due to a machine. Starts are only for direct requests, of which the outcome is known. */
+  commandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
+    const commands: WorkerCommand[] = [];
+    for (const placement of [...machine.placements.values()]) {
+      const { stop } = placement;
+      let command: WorkerCommand | null = null;
+      if (stop !== null) command = this.stopIfDue(placement, stop, now);
+      else if (withStarts) command = this.startIfDue(placement, now);
+      if (command !== null) commands.push(command);
+    }
+    this.addOrphanStops(machine, commands);
+    this.addForgets(machine, commands);
+    return commands;
+  }
+
+  /**
+   * Sends a machine what is due to it, one direct request at a time. Forgets are never urgent and go with the answer
+   * to a heartbeat, or with what is sent anyway.
+   */
+  sendDue(machine: Machine, now: number): void {
+    this.dueMachines.delete(machine);
+    if (machine.hasRequestInFlight || machine.address === "" || machine.state !== "up") return;
+    if (now < machine.nextRequestAt) {
+      this.dueMachines.add(machine);
+      return;
     }
-    for (const o of this.orphanedTasks) {
-      if (o.machine === m.name) {
-        out.push({ op: "stop", job: o.job, task: o.task, attempt: o.attempt, graceS: 0 });
-      }
+    if (!machine.hasAcknowledgedToken) {
+      this.sendFencingToken(machine);
+      return;
     }
-    this.orphanedTasks = this.orphanedTasks.filter((o) => o.machine !== m.name);
-    for (const [key, e] of m.exitedTasks) if (this.mayForget(m, key, e)) out.push(forgetCommand(e));
-    return out;
+    if (hasUnsettledPlacement(machine)) this.dueMachines.add(machine);
+    else if (this.orphanedTasks.length === 0) return;
+    const due = this.commandsFor(machine, now, true).slice(0, MAXIMUM_COMMANDS_PER_REQUEST);
+    if (due.every((command) => command.op === "forget")) return;
+    this.send(machine, machine.incarnation, due);
   }
 
-  private mayStart(p: Placement, m: Machine, now: number): boolean {
-    if (p.job.isCancelled || !p.job.isPersisted(p.task, p.version)) return false;
-    if (!m.hasAcknowledgedToken || p.incarnation !== m.incarnation) return false;
-    if (p.state === "planned") return !p.waitsForGangPeers(now);
-    // Repeating a start whose fate is unknown does no harm: it is the same attempt.
+  /** The second request follows soon, as two failures in a row tell more than one; then they are spaced. */
+  noteUnansweredRequest(machine: Machine, now: number): void {
+    const { heartbeatIntervalS } = this.context.settings;
+    machine.consecutiveFailedRequests++;
+    machine.unreachableSince ??= now;
+    machine.nextRequestAt =
+      now + heartbeatIntervalS / (machine.consecutiveFailedRequests === 1 ? 30 : 3);
+  }
+
+  /** Asks a worker for a heartbeat. */
+  probe(machine: Machine): void {
+    machine.hasRequestInFlight = true;
+    this.probesInFlight.add(machine.name);
+    this.context.effects.push({ kind: "show", machine: machine.name, address: machine.address });
+  }
+
+  private stopIfDue(placement: Placement, stop: StopRequest, now: number): WorkerCommand | null {
+    if (placement.state === "planned") {
+      this.releaseIfNeverSent(placement, now);
+      return null;
+    }
+    if (placement.state === "loaded") return null;
+    // A second stop would cut a checkpoint short, unless that is meant.
+    if (placement.state === "checkpointing" && stop.graceS > 0) return null;
+    if (now - stop.sentAt < this.context.settings.heartbeatIntervalS / 6) return null;
+    stop.sentAt = now;
+    return { op: "stop", ...attemptOf(placement), graceS: stop.graceS };
+  }
+
+  private startIfDue(placement: Placement, now: number): WorkerCommand | null {
+    if (!this.mayStart(placement, now)) return null;
+    const conflict = this.findConflict(placement);
+    if (conflict !== null) {
+      this.withdrawPlacement(placement, conflict, now);
+      return null;
+    }
+    placement.state = "sent";
+    placement.sentAt = now;
+    placement.startsInFlight++;
+    return { op: "start", ...attemptOf(placement) };
+  }
+
+  private addOrphanStops(machine: Machine, commands: WorkerCommand[]): void {
+    if (this.orphanedTasks.length === 0) return;
+    for (const { machine: name, job, task, attempt } of this.orphanedTasks) {
+      if (name === machine.name) commands.push({ op: "stop", job, task, attempt, graceS: 0 });
+    }
+    this.orphanedTasks = this.orphanedTasks.filter((orphan) => orphan.machine !== machine.name);
+  }
+
+  private addForgets(machine: Machine, commands: WorkerCommand[]): void {
+    for (const [key, exited] of machine.exitedTasks) {
+      if (!this.mayForget(machine, key, exited)) continue;
+      const { job, task, attempt } = exited;
+      commands.push({ op: "forget", job, task, attempt });
+    }
+  }
+
+  private mayStart(placement: Placement, now: number): boolean {
+    const { job, machine, state } = placement;
+    if (job.isCancelled || !job.isPersisted(placement.task, placement.version)) return false;
+    if (!machine.hasAcknowledgedToken || placement.incarnation !== machine.incarnation)
+      return false;
+    if (state === "planned") return !placement.waitsForGangPeers(now);
+    // Repeating a start whose outcome is unknown does no harm: it is the same attempt.
     return (
-      p.state === "sent" &&
-      p.startsInFlight === 0 &&
-      m.unansweredStarts.has(p.key) &&
-      now - p.sentAt > this.context.settings.heartbeatIntervalS / 2
+      state === "sent" &&
+      placement.startsInFlight === 0 &&
+      machine.unansweredStarts.has(placement.key) &&
+      now - placement.sentAt > this.context.settings.heartbeatIntervalS / 2
     );
   }
 
   /**
-   * The rules once more, with what is known at the moment of the start: since the task was placed, an unrecorded
-   * task may have turned up, a machine may have proved to be of another kind, or a leader before this one may have
-   * placed it wrongly. Returns the rule that the start would break.
+   * Checks the constraints once more, with what is known at the moment of the start: since the task was placed, an
+   * unrecorded task may have turned up, a machine may have proved to be of another kind, or a former leader may have
+   * placed it wrongly. Returns the constraint that the start would violate.
    */
-  private findConflict(p: Placement): string | null {
-    const { job, machine } = p;
+  private findConflict(placement: Placement): string | null {
+    const { job, machine } = placement;
     if (!isMachineAllowed(job.spec, machine)) return "its machine is not allowed";
     if (!job.zones.mayStartIn(machine.zone)) return "its zone is not allowed beside other tasks";
-    if (job.hasOtherAttempt(p)) return "another attempt may be running";
+    if (job.hasOtherAttempt(placement)) return "another attempt may be running";
     if (!this.context.cluster.isWithinLimit(job.spec.team)) return "its team is over its limit";
     return null;
   }
 
   /**
-   * A placement that no longer agrees with the rules. Where its start may be under way it is stopped, and counts
-   * until it is proven gone; otherwise it is released at once.
+   * Withdraws a placement that violates a constraint. Where its start may be under way it is stopped, and counts until
+   * it is proven to be terminated; otherwise it is released at once.
    */
-  private withdrawPlacement(p: Placement, why: string, now: number): void {
-    if (p.job.spec.kind === "gang") this.restartGang(p.job, why);
-    else this.stop(p, why, 0);
-    this.releaseIfNeverSent(p, now);
+  private withdrawPlacement(placement: Placement, why: string, now: number): void {
+    if (placement.job.spec.kind === "gang") this.restartGang(placement.job, why);
+    else this.stop(placement, why, 0);
+    this.releaseIfNeverSent(placement, now);
   }
 
-  private releaseIfNeverSent(p: Placement, now: number): void {
-    const m = p.machine;
-    if (p.state !== "planned" || p.startsInFlight > 0 || m.unansweredStarts.has(p.key)) return;
-    // Never sent under this token, and the worker does not know it: it is not there.
-    if (m.hasAcknowledgedToken && p.incarnation === m.incarnation) this.release(p, now);
+  private releaseIfNeverSent(placement: Placement, now: number): void {
+    const { machine } = placement;
+    if (placement.state !== "planned" || placement.startsInFlight > 0) return;
+    if (machine.unansweredStarts.has(placement.key)) return;
+    // Never sent under this fencing token, and unknown to the worker: it cannot be running.
+    if (machine.hasAcknowledgedToken && placement.incarnation === machine.incarnation) {
+      this.release(placement, now);
+    }
   }
 
   /**
-   * A forgotten attempt could be started again by a late copy of its start. So its end must be
-   * stored, and no start of it may be unanswered under the present token.
+   * A forgotten attempt could be started again by a late copy of its start. So its exit must be persisted, and no
+   * start of it may be unanswered under the present fencing token.
    */
-  private mayForget(m: Machine, key: string, e: ExitedTask): boolean {
-    if (m.unansweredStarts.has(key)) return false;
-    const job = this.context.cluster.jobs.get(e.job);
-    return job === undefined || job.isPersisted(e.task, e.version);
+  private mayForget(machine: Machine, key: string, exited: ExitedTask): boolean {
+    if (machine.unansweredStarts.has(key)) return false;
+    const job = this.context.cluster.jobs.get(exited.job);
+    return job === undefined || job.isPersisted(exited.task, exited.version);
   }
 
-  /**
-   * Sends a machine what is due to it, one direct request at a time. Forgetting is never urgent and
-   * goes with the answer to a report, or with what is sent anyway.
-   */
-  sendDue(m: Machine, now: number): void {
-    this.dueMachines.delete(m);
-    if (m.hasRequestInFlight || m.address === "" || m.state !== "up") return;
-    if (now < m.nextRequestAt) {
-      this.dueMachines.add(m);
-      return;
-    }
-    if (!m.hasAcknowledgedToken) {
-      this.dueMachines.add(m);
-      if (this.tokenRequestsInFlight.size >= this.maximumConcurrentRequests) return;
-      this.tokenRequestsInFlight.add(m.name);
-      m.hasRequestInFlight = true;
-      this.context.effects.push({
-        kind: "send",
-        machine: m.name,
-        address: m.address,
-        session: Math.max(m.incarnation, 1),
-        commands: [],
-      });
-      return;
-    }
-    for (const p of m.placements.values()) {
-      if (p.stop === null && p.state !== "planned" && p.state !== "sent") continue;
-      this.dueMachines.add(m);
-      break;
-    }
-    if (!this.dueMachines.has(m) && this.orphanedTasks.length === 0) return;
-    const commands = this.commandsFor(m, now, true).slice(0, 400);
-    if (commands.every((c) => c.op === "forget")) return;
-    m.hasRequestInFlight = true;
+  /** A request without commands, which only tells the worker the present fencing token. */
+  private sendFencingToken(machine: Machine): void {
+    this.dueMachines.add(machine);
+    if (this.tokenRequestsInFlight.size >= this.maximumConcurrentRequests) return;
+    this.tokenRequestsInFlight.add(machine.name);
+    this.send(machine, Math.max(machine.incarnation, 1), []);
+  }
+
+  private send(machine: Machine, incarnation: number, commands: readonly WorkerCommand[]): void {
+    machine.hasRequestInFlight = true;
     this.context.effects.push({
       kind: "send",
-      machine: m.name,
-      address: m.address,
-      session: m.incarnation,
+      machine: machine.name,
+      address: machine.address,
+      session: incarnation,
       commands,
     });
   }
+}
 
-  /** The second try follows soon, as two in a row tell more than one; then they are spaced. */
-  noteUnansweredRequest(m: Machine, now: number): void {
-    m.consecutiveFailedRequests++;
-    m.unreachableSince ??= now;
-    m.nextRequestAt =
-      now + this.context.settings.heartbeatIntervalS / (m.consecutiveFailedRequests === 1 ? 30 : 3);
-  }
-
-  probe(m: Machine): void {
-    m.hasRequestInFlight = true;
-    this.probesInFlight.add(m.name);
-    this.context.effects.push({ kind: "show", machine: m.name, address: m.address });
-  }
-
-  /**
-   * Requests of one sort that are out at a time, of those that only look or only tell the token.
-   * (After a takeover a thousand workers were late at once; looking at all of them in one moment
-   * left no time for their reports, and most lost their leases.)
-   */
-  get maximumConcurrentRequests(): number {
-    return this.isOverloaded ? 4 : Math.max(8, this.context.settings.sockets / 50);
+/** Whether a start or stop of some placement on the machine may have to be sent, now or later. */
+function hasUnsettledPlacement(machine: Machine): boolean {
+  for (const { stop, state } of machine.placements.values()) {
+    if (stop !== null || state === "planned" || state === "sent") return true;
   }
+  return false;
 }
 
-const forgetCommand = (e: ExitedTask): WorkerCommand => ({
-  op: "forget",
-  job: e.job,
-  task: e.task,
-  attempt: e.attempt,
-});
+const attemptOf = ({ job, task, attempt }: Placement) => ({ job: job.spec.id, task, attempt });
