--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -1,25 +1,24 @@
 /**
- * Where a task of a job may be: on which kinds of machine, and in which zones given the job's other tasks.
+ * Placement constraints: on which kinds of machine a task may be, and in which zones given the job's other tasks.
  *
- * The only module that knows these constraints. Whatever places tasks, makes or holds room, moves tasks or rents
- * machines asks it, and the moment of a start asks it again. What is not known counts as the worst case: a machine
- * whose zone is unknown may be in any.
+ * The only module that knows them. Placement, preemption, reservation, relocation and scale-out all ask it, and every
+ * start asks it again. What is not known counts as the worst case: a machine whose zone is unknown may be in any.
  */
 import type { JobSpec, MachineType } from "../model.js";
 
-/** Zone of a machine of which nothing says where it is. */
+/** Zone of a machine of which the zone is not known. */
 export const UNKNOWN_ZONE = "";
 
 const NO_LIMIT = Number.MAX_SAFE_INTEGER;
 
-/** What the constraints of jobs distinguish in a machine. */
+/** The properties of a machine that constraints refer to. */
 export interface MachineFacts {
   readonly type: Pick<MachineType, "name">;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** May any task of the job be on such a machine, whatever its other tasks do? */
+/** Whether a task of the job may be on such a machine, regardless of its other tasks. */
 export function isMachineAllowed(spec: JobSpec, { type, zone, spot }: MachineFacts): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
@@ -28,15 +27,15 @@
   );
 }
 
-/** At most half of the tasks, rounded up, may be in one zone if they are to be spread. */
+/** Most tasks of a spread job in one zone: half of them, rounded up. */
 const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
 
-/** Can all tasks run at one time if there is room in these zones only? */
+/** Whether all tasks of the job can run at one time in so many zones. */
 export function areZonesSufficient(spec: JobSpec, zones: number): boolean {
   return !spec.spread || zones * spreadLimit(spec) >= spec.tasks;
 }
 
-/** The tasks of one job by zone: every attempt that may be on a machine, or may yet come to it. */
+/** The tasks of one job by zone: every attempt that is on a machine, or may be, or may yet arrive there. */
 export class ZoneOccupancy {
   private readonly counts = new Map<string, number>();
 
@@ -67,14 +66,14 @@
     return Math.max(0, spreadLimit(this.spec) - this.tasksIn(zone) - this.tasksIn(UNKNOWN_ZONE));
   }
 
-  /** Takes up to so many places in the zone, and says how many there were. */
-  reserveIn(zone: string, most: number): number {
-    const tasks = Math.min(most, this.capacityIn(zone));
+  /** Counts up to so many more tasks in the zone. Returns how many may be placed there. */
+  reserveIn(zone: string, maximumTasks: number): number {
+    const tasks = Math.min(maximumTasks, this.capacityIn(zone));
     if (tasks > 0) this.add(zone, tasks);
     return tasks;
   }
 
-  /** May a task that is counted in this zone start there, given all others that are counted? */
+  /** Whether a task that is already counted in this zone may start there, given all others that are counted. */
   mayStartIn(zone: string): boolean {
     const { oneZone, spread } = this.spec;
     if ((oneZone || spread) && zone === UNKNOWN_ZONE) return false;
@@ -82,20 +81,21 @@
     return !spread || this.tasksIn(zone) + this.tasksIn(UNKNOWN_ZONE) <= spreadLimit(this.spec);
   }
 
-  /** Its tasks must share a zone and stand in several: nothing more may start before one is left. */
+  /** Whether the tasks must share a zone and are in several: nothing more may start before one zone is left. */
   get isSplit(): boolean {
     return this.spec.oneZone && this.counts.size > 1;
   }
 
-  /** The zone with the most tasks; null: there are none, or nothing says where they are. */
+  /** The zone with the most tasks, of several the first by name; null if no task is in a known zone. */
   get mainZone(): string | null {
-    let main: string | null = null;
+    let mainZone: string | null = null;
     for (const [zone, tasks] of this.counts) {
       if (zone === UNKNOWN_ZONE) continue;
-      const most = main === null ? 0 : this.tasksIn(main);
-      if (tasks > most || (tasks === most && main !== null && zone < main)) main = zone;
+      const mostTasks = mainZone === null ? 0 : this.tasksIn(mainZone);
+      const isFirstOfEqual = tasks === mostTasks && mainZone !== null && zone < mainZone;
+      if (tasks > mostTasks || isFirstOfEqual) mainZone = zone;
     }
-    return main;
+    return mainZone;
   }
 
   private tasksIn(zone: string): number {
@@ -103,7 +103,9 @@
   }
 
   private areAllIn(zone: string): boolean {
-    for (const other of this.counts.keys()) if (other !== zone) return false;
+    for (const other of this.counts.keys()) {
+      if (other !== zone) return false;
+    }
     return true;
   }
 }
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches the machines: who is silent, who is given up, and whose lease is over. */
+/** Watches the machines: probes overdue ones, releases silent ones, and ends incarnations whose lease has expired. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -6,15 +6,24 @@
 import { CLOCK_DRIFT } from "../model.js";
 import type { Machine } from "./machine.js";
 import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
+import { ZoneSilence } from "./zone-silence.js";
 
-/** Part of all machines that may be given up as silent in a report interval. */
+/** Part of all machines that may be released as silent in a heartbeat interval. */
 const RELEASE_SHARE = 0.05;
 
+/** Silence, in heartbeat intervals, from which a machine is probed if there is time for it. */
+const EARLY_PROBE_INTERVALS = 1;
+/** The same for a machine that runs replicas of a service. */
+const EARLY_SERVICE_PROBE_INTERVALS = 0.8;
+/** Heartbeats arrive within so many intervals: a later one is overdue, and its machine is probed at once. */
+const OVERDUE_INTERVALS = 1.25;
+
+/** Releases and probes by what was last heard of each machine. Checked several times a heartbeat interval. */
 export class MachineMonitor {
+  /** Time of the last check. */
   checkedAt = Number.NEGATIVE_INFINITY;
   private nextCheckAt = Number.NEGATIVE_INFINITY;
-  /** When so many machines of a zone were last overdue that it said nothing against any of them. */
-  private readonly zoneDoubtedAt = new Map<string, number>();
+  private readonly zoneSilence: ZoneSilence;
   private releasesInInterval = 0;
   private releaseIntervalStartedAt = Number.NEGATIVE_INFINITY;
   private hasSettled = false;
@@ -23,197 +32,204 @@
     private readonly context: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
     private readonly machinePool: MachinePool,
-  ) {}
+  ) {
+    this.zoneSilence = new ZoneSilence(context.settings.heartbeatIntervalS);
+  }
 
-  /** Silent machines: look, then give them up to the cloud, or wait their lease out. */
+  /** Silent machines are probed, then released, or their lease is waited out. */
   checkMachines(now: number): void {
-    const { heartbeatIntervalS: reportS } = this.context.settings;
-    const up = [...this.context.cluster.machines.values()].filter(
-      (m) => m.state === "up" || m.state === "returning",
+    if (this.isStalled(now)) return;
+    const running = [...this.context.cluster.machines.values()].filter(
+      ({ state }) => state === "up" || state === "returning",
     );
-    // A process that was held up finds everybody silent: first let it read what has come in.
-    const overloaded = now - this.checkedAt > reportS / 2;
-    this.checkedAt = now;
-    if (overloaded) this.nextCheckAt = now + reportS / 3;
-    if (now < this.nextCheckAt) return;
-    this.noteOverdueZones(up, now);
-    if (this.stepDownIfIsolated(up, now)) return;
-    // Those in time need no look; of the others, those that run replicas come first.
-    const late: Machine[] = [];
-    for (const m of up) {
-      const quiet = now - m.lastMessageAt;
-      if (quiet > 0.8 * reportS || m.unreachableSince !== null) late.push(m);
-      if (m.drainReason !== null && m.placements.size === 0)
-        this.machinePool.requestRelease(m, m.drainReason);
-    }
-    for (const m of [
-      ...late.filter(runsServiceTasks),
-      ...late.filter((x) => !runsServiceTasks(x)),
-    ]) {
-      this.probeIfDue(m, now);
-      this.releaseIfSilent(m, up.length, now);
-      this.endExpiredIncarnation(m, now);
+    this.zoneSilence.update(running, now);
+    if (this.stepDownIfIsolated(running, now)) return;
+    for (const machine of this.collectLate(running, now)) {
+      this.probeIfDue(machine, now);
+      this.releaseIfSilent(machine, running.length, now);
+      this.endExpiredIncarnation(machine, now);
     }
     this.machinePool.releaseLateBoots(now);
   }
 
-  /** Notes the zones of which so many machines are overdue that it says nothing against any of them. */
-  private noteOverdueZones(up: readonly Machine[], now: number): void {
-    const { heartbeatIntervalS: reportS } = this.context.settings;
-    // When many are overdue at once it is more likely us than them. Reports come within 1.25
-    // intervals, and those that fell silent together are all overdue before the first is given up.
-    // A zone that is cut off as a whole says nothing against the machines of another.
-    const inZone = new Map<string, { all: number; overdue: number }>();
-    for (const m of up) {
-      const z = inZone.get(m.zone) ?? { all: 0, overdue: 0 };
-      inZone.set(m.zone, z);
-      z.all++;
-      if (now - m.lastMessageAt > 1.3 * reportS || m.consecutiveFailedRequests > 0) z.overdue++;
-    }
-    const overdueInAll = [...inZone.values()].reduce((n, z) => n + z.overdue, 0);
-    // Where many were overdue a moment ago, the others are still on their way back to us. (When a zone
-    // came back after a cut, the last quarter to report went to the cloud with all that ran there.)
-    for (const [zone, z] of inZone) {
-      const many = z.overdue > Math.max(2, z.all / 4) || overdueInAll > Math.max(2, up.length / 2);
-      if (many) this.zoneDoubtedAt.set(zone, now);
+  /**
+   * Whether a new leader still waits for the first heartbeats of most of its workers. These come first: leases run out
+   * meanwhile, and a plan would see a small part of the machines.
+   */
+  isSettling(now: number): boolean {
+    const { startedAt, settings } = this.context;
+    if (this.hasSettled || now - startedAt > settings.leaseS / 2) return false;
+    let up = 0;
+    let met = 0;
+    for (const machine of this.context.cluster.machines.values()) {
+      if (machine.state !== "up") continue;
+      up++;
+      if (machine.hasMetThisLeader) met++;
     }
+    this.hasSettled = met >= 0.8 * up;
+    return !this.hasSettled;
   }
 
-  /** Its zone was not overdue as a whole lately, so its silence is its own. */
-  private isSilenceCredible(m: Machine, now: number): boolean {
-    const overdueAt = this.zoneDoubtedAt.get(m.zone) ?? Number.NEGATIVE_INFINITY;
-    return now - overdueAt > 2 * this.context.settings.heartbeatIntervalS;
+  /** A process that was stalled finds all machines silent: it first has to read what has arrived meanwhile. */
+  private isStalled(now: number): boolean {
+    const { heartbeatIntervalS } = this.context.settings;
+    const wasStalled = now - this.checkedAt > heartbeatIntervalS / 2;
+    this.checkedAt = now;
+    if (wasStalled) this.nextCheckAt = now + heartbeatIntervalS / 3;
+    return now < this.nextCheckAt;
   }
 
-  /** Leaves the term if hardly any worker is heard. */
-  private stepDownIfIsolated(up: readonly Machine[], now: number): boolean {
-    const { heartbeatIntervalS: reportS } = this.context.settings;
-    // Reports that have come in and wait are no sign of a cut, and another node would meet all workers anew. (After all
-    // controllers had ended, a slow leader left office 12 s into its term, and the workers' leases ran out.)
+  /** Gives up leadership if hardly any worker can be reached: another node may be better placed. */
+  private stepDownIfIsolated(running: readonly Machine[], now: number): boolean {
+    const { heartbeatIntervalS } = this.context.settings;
+    // Heartbeats that have arrived and wait are no sign of a partition, and another node would meet all workers anew.
+    // (After all controllers had ended, a slow leader stepped down 12 s into its term, and the workers' leases expired.)
     if (this.dispatcher.isOverloaded) return false;
-    // Hardly anything is heard, and time enough to hear: another node may be better placed.
-    const known = up.filter((m) => m.incarnation > 0);
-    const heard = known.filter((m) => now - m.lastMessageAt <= 1.6 * reportS).length;
-    if (
-      known.length > 2 &&
-      heard < known.length / 3 &&
-      now - this.context.startedAt > 3 * reportS
-    ) {
-      this.context.effects.push({
-        kind: "resign",
-        why: `hears ${heard} of ${known.length} workers`,
-      });
-      return true;
-    }
-    return false;
+    const known = running.filter(({ incarnation }) => incarnation > 0);
+    const recent = known.filter(
+      ({ lastMessageAt }) => now - lastMessageAt <= 1.6 * heartbeatIntervalS,
+    ).length;
+    const hadTime = now - this.context.startedAt > 3 * heartbeatIntervalS;
+    if (known.length <= 2 || recent >= known.length / 3 || !hadTime) return false;
+    this.context.effects.push({
+      kind: "resign",
+      why: `heartbeats from ${recent} of ${known.length} workers only`,
+    });
+    return true;
   }
 
-  private probeIfDue(m: Machine, now: number): void {
-    const { heartbeatIntervalS: reportS } = this.context.settings;
-    const quiet = now - m.lastMessageAt;
-    // Late reports, and what does not hear us, are looked after at once. An earlier look finds
-    // the end of a machine sooner, but costs as much as a report: so many a second, and those
-    // that run replicas are worth it most.
-    const overdue = quiet > 1.25 * reportS || m.unreachableSince !== null;
-    const early = m.hasMetThisLeader && quiet > (runsServiceTasks(m) ? 0.8 : 1) * reportS;
-    if (
-      m.state === "up" &&
-      // One that does not know the token yet is told it, which shows as much.
-      m.hasAcknowledgedToken &&
-      (overdue || early) &&
-      !m.hasRequestInFlight &&
-      now >= m.nextRequestAt &&
-      m.address !== "" &&
-      this.dispatcher.probesInFlight.size < this.dispatcher.maximumConcurrentRequests &&
-      (overdue || this.dispatcher.probeBudget.tryTake(1, now))
-    ) {
-      this.dispatcher.probe(m);
+  /** Machines that may have to be probed or released, those that run replicas first. Releases empty drained ones. */
+  private collectLate(running: readonly Machine[], now: number): Machine[] {
+    const lateAfterS = EARLY_SERVICE_PROBE_INTERVALS * this.context.settings.heartbeatIntervalS;
+    const late: Machine[] = [];
+    for (const machine of running) {
+      const { drainReason } = machine;
+      const isLate = now - machine.lastMessageAt > lateAfterS;
+      if (isLate || machine.unreachableSince !== null) late.push(machine);
+      if (drainReason !== null && machine.placements.size === 0) {
+        this.machinePool.requestRelease(machine, drainReason);
+      }
     }
+    return [
+      ...late.filter(runsServiceTasks),
+      ...late.filter((machine) => !runsServiceTasks(machine)),
+    ];
   }
 
-  /** A machine that is silent, or does not hear us, goes back to the cloud. */
-  private releaseIfSilent(m: Machine, machines: number, now: number): void {
-    const { heartbeatIntervalS: reportS, leaseS } = this.context.settings;
-    const quiet = now - m.lastMessageAt;
-    // After a takeover workers must find us first, while we have most to do.
-    const heardAfter = m.hasMetThisLeader ? 0 : leaseS / 3;
-    const silent =
-      quiet > 2 * reportS + heardAfter ||
-      (quiet > 1.3 * reportS + heardAfter && m.consecutiveFailedRequests >= 2);
-    if (silent && this.isSilenceCredible(m, now))
-      this.releaseWithinRate(m, "silent", machines, now);
-    // It reports, but hears nothing: its lease will end, and what is sent to it is lost.
-    const deaf = m.unreachableSince !== null && now - m.unreachableSince > 2 * reportS;
-    if (deaf && this.isSilenceCredible(m, now))
-      this.releaseWithinRate(m, "cannot be reached", machines, now);
-    // What was cancelled must be gone soon, also where no stop arrives.
-    const unreached = quiet > 1.5 * reportS || deaf;
-    if (unreached && runsCancelledTask(m))
-      this.machinePool.requestRelease(m, "holds a cancelled task");
-    // No cut that anybody waits out lasts so long: its place is better filled anew.
-    if (quiet > this.context.options.leaseExtensionS + leaseS)
-      this.machinePool.requestRelease(m, "silent for too long");
+  /**
+   * Overdue and unreachable machines are probed at once. An earlier probe finds the end of a machine sooner, but costs
+   * as much as a heartbeat: only so many a second, and those that run replicas are worth it most.
+   */
+  private probeIfDue(machine: Machine, now: number): void {
+    const { heartbeatIntervalS } = this.context.settings;
+    const silenceS = now - machine.lastMessageAt;
+    const isOverdue =
+      silenceS > OVERDUE_INTERVALS * heartbeatIntervalS || machine.unreachableSince !== null;
+    const isEarly = machine.hasMetThisLeader && silenceS > this.earlyProbeAfterS(machine);
+    if (!isOverdue && !isEarly) return;
+    if (!this.mayProbe(machine, now)) return;
+    if (isOverdue || this.dispatcher.probeBudget.tryTake(1, now)) this.dispatcher.probe(machine);
   }
 
-  private endExpiredIncarnation(m: Machine, now: number): void {
-    if (m.placements.size === 0 || now <= this.leaseExpiryBound(m)) return;
-    // Whatever it does now, its lease is over, and with it every task of that session.
-    for (const p of [...m.placements.values()])
-      this.dispatcher.handleTaskLost(p, "lease over", now);
-    m.incarnation++;
-    m.sequence = -1;
-    m.unansweredStarts.clear();
-    m.exitedTasks.clear();
+  private earlyProbeAfterS(machine: Machine): number {
+    const intervals = runsServiceTasks(machine)
+      ? EARLY_SERVICE_PROBE_INTERVALS
+      : EARLY_PROBE_INTERVALS;
+    return intervals * this.context.settings.heartbeatIntervalS;
   }
 
-  /**
-   * When the worker's lease is over for certain, if nothing more is heard: a lease after any node
-   * can last have renewed it. Machines with replicas or gang tasks are kept alive in a zone that is
-   * cut off (`LeaseKeeper`), by one node after another at the worst.
-   */
-  private leaseExpiryBound(m: Machine): number {
-    const { leaseS, heartbeatIntervalS: reportS } = this.context.settings;
-    const { leaseExtensionS: keepS, controllersPerZone: othersIn } = this.context.options;
-    const lease = leaseS * (1 + 2 * CLOCK_DRIFT) + 1;
-    let renewed = m.leaseRenewedAt;
-    if (mayHaveExtendedLease(m)) {
-      if (!m.hasMetThisLeader) renewed = Math.max(renewed, this.context.startedAt + keepS);
-      renewed += (othersIn.get(m.zone) ?? 0) * (keepS + lease + reportS);
+  private mayProbe(machine: Machine, now: number): boolean {
+    return (
+      machine.state === "up" &&
+      // One that has not acknowledged the token yet is sent it, which shows as much.
+      machine.hasAcknowledgedToken &&
+      !machine.hasRequestInFlight &&
+      now >= machine.nextRequestAt &&
+      machine.address !== "" &&
+      this.dispatcher.probesInFlight.size < this.dispatcher.maximumConcurrentRequests
+    );
+  }
+
+  /** Releases a machine that is silent, or that cannot be reached although its heartbeats arrive. */
+  private releaseIfSilent(machine: Machine, machines: number, now: number): void {
+    const { heartbeatIntervalS, leaseS } = this.context.settings;
+    const silenceS = now - machine.lastMessageAt;
+    if (this.isSilent(machine, silenceS) && this.zoneSilence.isCredible(machine, now)) {
+      this.releaseWithinRate(machine, "silent", machines, now);
     }
-    return renewed + lease;
+    // Its heartbeats arrive, but neither answers nor commands reach it: its lease will expire.
+    const { unreachableSince } = machine;
+    const isUnreachable =
+      unreachableSince !== null && now - unreachableSince > 2 * heartbeatIntervalS;
+    if (isUnreachable && this.zoneSilence.isCredible(machine, now)) {
+      this.releaseWithinRate(machine, "unreachable", machines, now);
+    }
+    // Cancelled tasks must be terminated soon, also where no stop arrives.
+    const isCutOff = silenceS > 1.5 * heartbeatIntervalS || isUnreachable;
+    if (isCutOff && runsCancelledTask(machine)) {
+      this.machinePool.requestRelease(machine, "runs a cancelled task");
+    }
+    // No partition that is waited out lasts so long: it is better replaced.
+    if (silenceS > this.context.options.leaseExtensionS + leaseS) {
+      this.machinePool.requestRelease(machine, "silent for too long");
+    }
+  }
+
+  private isSilent(machine: Machine, silenceS: number): boolean {
+    const { heartbeatIntervalS, leaseS } = this.context.settings;
+    // After a takeover workers must find this leader first, while it has most to do.
+    const allowanceS = machine.hasMetThisLeader ? 0 : leaseS / 3;
+    return (
+      silenceS > 2 * heartbeatIntervalS + allowanceS ||
+      (silenceS > 1.3 * heartbeatIntervalS + allowanceS && machine.consecutiveFailedRequests >= 2)
+    );
   }
 
   /**
-   * So many machines at the most in a report interval: what dies at once is few, and if it is us who
-   * are late, the next interval shows it. (Twice after a takeover a quarter of all machines, with all
-   * that ran there, went back within five seconds.)
+   * Releases so many machines at the most in a heartbeat interval: few end at once, and if it is this node that lags, the
+   * next interval shows it. (Twice after a takeover a quarter of all machines, with all that ran there, were released
+   * within five seconds.)
    */
-  private releaseWithinRate(m: Machine, why: string, machines: number, now: number): void {
-    if (m.state !== "up") return;
+  private releaseWithinRate(machine: Machine, why: string, machines: number, now: number): void {
+    if (machine.state !== "up") return;
     if (now - this.releaseIntervalStartedAt > this.context.settings.heartbeatIntervalS) {
       this.releaseIntervalStartedAt = now;
       this.releasesInInterval = 0;
     }
     if (this.releasesInInterval >= Math.max(2, machines * RELEASE_SHARE)) return;
     this.releasesInInterval++;
-    this.machinePool.requestRelease(m, why);
+    this.machinePool.requestRelease(machine, why);
+  }
+
+  /** Whatever the worker does now, its lease has expired, and with it every task of that incarnation. */
+  private endExpiredIncarnation(machine: Machine, now: number): void {
+    if (machine.placements.size === 0 || now <= this.leaseExpiryBound(machine)) return;
+    for (const placement of [...machine.placements.values()]) {
+      this.dispatcher.handleTaskLost(placement, "lease expired", now);
+    }
+    machine.incarnation++;
+    machine.sequence = -1;
+    machine.unansweredStarts.clear();
+    machine.exitedTasks.clear();
   }
 
   /**
-   * A new leader has not met most of its workers yet. Their reports come first: their leases run,
-   * and what is planned meanwhile sees a small part of the machines.
+   * When the worker's lease has expired for certain, if no more messages arrive: a lease after any node can last have
+   * renewed it. The leases of machines with replicas or gang tasks are extended in a partitioned zone
+   * (`LeaseExtension`), by one node after another at the worst.
    */
-  isSettling(now: number): boolean {
-    if (this.hasSettled || now - this.context.startedAt > this.context.settings.leaseS / 2)
-      return false;
-    let up = 0;
-    let met = 0;
-    for (const m of this.context.cluster.machines.values()) {
-      if (m.state !== "up") continue;
-      up++;
-      if (m.hasMetThisLeader) met++;
+  private leaseExpiryBound(machine: Machine): number {
+    const { leaseS, heartbeatIntervalS } = this.context.settings;
+    const { leaseExtensionS, controllersPerZone } = this.context.options;
+    const boundS = leaseS * (1 + 2 * CLOCK_DRIFT) + 1;
+    let renewedAt = machine.leaseRenewedAt;
+    if (mayHaveExtendedLease(machine)) {
+      if (!machine.hasMetThisLeader) {
+        renewedAt = Math.max(renewedAt, this.context.startedAt + leaseExtensionS);
+      }
+      const controllers = controllersPerZone.get(machine.zone) ?? 0;
+      renewedAt += controllers * (leaseExtensionS + boundS + heartbeatIntervalS);
     }
-    this.hasSettled = met >= 0.8 * up;
-    return !this.hasSettled;
+    return renewedAt + boundS;
   }
 }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,76 +1,131 @@
-/** A rented machine as the leader knows it: what its worker last said, and what is placed on it. */
+/** A provisioned machine as the leader knows it: what its worker last said, and what is placed on it. */
 
 import type { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { AMOUNT_TOLERANCE, type JobSpec, type MachineType } from "../model.js";
 
+/** An attempt that the worker reported as exited and has not been told to forget. */
 export interface ExitedTask {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
-  /** Job version that must be stored before the worker may forget it. */
+  /** Job version that must be persisted before the worker may forget it. */
   readonly version: number;
 }
 
+/** An image on the machine, or being pulled to it. */
+export interface CachedImage {
+  /** Time of its last use. */
+  at: number;
+  readonly gb: number;
+  /** False while it is being pulled. */
+  ready: boolean;
+}
+
+/** Capacity that is gathered for a job. */
+export interface CapacityReservation {
+  readonly job: ActiveJob;
+  readonly until: number;
+  /** Free capacity is held for the job in this scheduling cycle; otherwise tasks are preempted for it. */
+  readonly held: boolean;
+}
+
+/** `booting` until the first message of its worker, `returning` once its release is requested, `gone` once terminated. */
+export type MachineState = "booting" | "up" | "returning" | "gone";
+
+/**
+ * A machine. Times are in seconds of the leader's clock, as everywhere in the core.
+ *
+ * Several flags make up one state. They stay single fields because each is read on its own, for every machine:
+ *
+ * | What is known of the worker | `state` | `incarnation` | `hasMetThisLeader` | `hasAcknowledgedToken` |
+ * | --- | --- | --- | --- | --- |
+ * | No message yet | `booting` | 0 | false | false |
+ * | Only from the record or placements of a former leader | `up` | as placed, or 0 | false | false |
+ * | It has answered, under a former fencing token | `up` | > 0 | false | false |
+ * | It has acknowledged the present token: starts may be sent | `up` | > 0 | true | true |
+ * | The token was advanced since | `up` | > 0 | true | false |
+ *
+ * | Can it be reached? | `lastMessageAt` | `unreachableSince` | `consecutiveFailedRequests` |
+ * | --- | --- | --- | --- |
+ * | Yes | recent | null | 0 |
+ * | Its heartbeats arrive, but direct requests get no answer | recent | set | 0 after each heartbeat |
+ * | It is silent | long ago | set once a request failed | 1 or more |
+ *
+ * | Its record | `isPersisted` | `isRecordOutdated` |
+ * | --- | --- | --- |
+ * | Is to be written: nothing is placed on the machine before | false | false |
+ * | Is stored | true | false |
+ * | Is stored, and describes another kind of machine | true | true until corrected |
+ */
 export class Machine {
   address = "";
+  state: MachineState = "booting";
+  bootingSince: number;
+  idleSince: number;
+  /** Its worker has said what kind of machine it is, which nothing else overrules. */
+  isSelfDescribed = false;
+
+  /** The worker's incarnation that the leader knows. */
   incarnation = 0;
+  /** Sequence number of the last heartbeat of this incarnation. */
   sequence = -1;
-  /** The worker has answered under the present token, so older commands are dropped there. */
+  /** The worker has answered under the present fencing token, so it drops older commands. */
   hasAcknowledgedToken = false;
-  /** It has seen a token of this leader: what a former one answers is dropped there. */
+  /** It has seen a fencing token of this leader: it drops what a former one answers. */
   hasMetThisLeader = false;
-  /** `booting` until its worker is heard, `gone` once proven. */
-  state: "booting" | "up" | "returning" | "gone" = "booting";
-  /** Last time a message from the worker arrived. */
+
+  /** Last time a message of any sort from the worker arrived. */
   lastMessageAt = Number.NEGATIVE_INFINITY;
   /**
-   * Last time a report of its own came, or when it was first heard. A machine that answers direct requests
-   * but reaches no controller loses its lease, and with it all that was placed there.
+   * Last time a heartbeat arrived that the worker sent by itself, or when its first message did. A machine that answers
+   * direct requests but reaches no controller loses its lease, and with it all that was placed there.
    */
   lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   /** Latest time at which any leader can have renewed the worker's lease. */
   leaseRenewedAt = Number.NEGATIVE_INFINITY;
-  /** Time at which the cloud takes it, when told. */
+  /** Time at which the cloud takes the spot machine, once it has given notice. */
   interruptionAt: number | null = null;
-  bootingSince = 0;
-  /** A direct request is outstanding. */
+
+  /** A direct request is in flight. */
   hasRequestInFlight = false;
   nextRequestAt = Number.NEGATIVE_INFINITY;
-  idleSince: number;
-  /** Direct requests since it was last heard that got no answer. */
+  /** Direct requests without an answer since the last message. */
   consecutiveFailedRequests = 0;
   /**
-   * Since when direct requests get no answer, whatever is heard of it. Its reports may arrive while
-   * neither answers nor commands reach it.
+   * Since when direct requests get no answer, whatever else arrives: heartbeats may, while neither answers nor commands
+   * get through.
    */
   unreachableSince: number | null = null;
+
+  /** Its record is stored. */
   isPersisted = false;
   /** Its stored record describes it wrongly. */
   isRecordOutdated = false;
+
+  /** What is placed here, by `taskKey`. */
   readonly placements = new Map<string, Placement>();
+  /** By `taskKey`. */
   readonly exitedTasks = new Map<string, ExitedTask>();
-  /** Starts sent without an answer, by the token they carried: they may still arrive. */
+  /** Starts that were sent and not answered, with the fencing token they carried: they may still arrive. */
   readonly unansweredStarts = new Map<string, number>();
-  /** Images it holds or fetches, with the time of last use and size. */
-  readonly images = new Map<string, { at: number; gb: number; ready: boolean }>();
-  /** Jobs of which a task failed here, and when, until it is known who was at fault. */
+  /** Images by name. */
+  readonly images = new Map<string, CachedImage>();
+  cpusUsed = 0;
+  gpusUsed = 0;
+  memoryUsedGb = 0;
+
+  /** Jobs of which a task failed here, and when, until the fault is attributed. */
   readonly failedJobs = new Map<ActiveJob, number>();
-  /** Tasks that took far longer here than others of their job. */
+  /** Tasks, by `taskKey`, that ran far longer here than others of their job. */
   readonly slowTasks = new Set<string>();
-  /** Not used for new work; it is returned once empty. */
+  /** Why it takes no new tasks and is released once empty; null: it is not drained. */
   drainReason: string | null = null;
+  /** It takes no new tasks until then. */
   backoffUntil = Number.NEGATIVE_INFINITY;
-  /** The weakest hold of any task on it, as of the last pass: who is no stronger finds nothing here. */
+  /** Weakest precedence of any task here, as of the last scheduling cycle: a job that is no stronger preempts nothing. */
   weakestPrecedence = -1;
-  /** Room being made for a job by stopping others, or, in this pass, held for one. */
-  reservation: { job: ActiveJob; until: number; held: boolean } | null = null;
-  cpusUsed = 0;
-  gpusUsed = 0;
-  memoryUsedGb = 0;
-
-  /** Its worker has said what kind of machine it is, which nothing else overrules. */
-  isSelfDescribed = false;
+  reservation: CapacityReservation | null = null;
 
   constructor(
     readonly name: string,
@@ -86,19 +141,23 @@
   get freeCpus(): number {
     return this.type.cpus - this.cpusUsed;
   }
+
   get freeGpus(): number {
     return this.type.gpus - this.gpusUsed;
   }
+
   get freeMemoryGb(): number {
     return this.type.memoryGb - this.memoryUsedGb;
   }
 }
 
-/** How many tasks of this shape fit into these amounts. */
-export function taskSlots(spec: JobSpec, cpus: number, gpus: number, memory: number): number {
-  let n = Number.MAX_SAFE_INTEGER;
-  if (spec.cpus > 0) n = Math.min(n, Math.floor((cpus + AMOUNT_TOLERANCE) / spec.cpus));
-  if (spec.gpus > 0) n = Math.min(n, Math.floor((gpus + AMOUNT_TOLERANCE) / spec.gpus));
-  if (spec.memoryGb > 0) n = Math.min(n, Math.floor((memory + AMOUNT_TOLERANCE) / spec.memoryGb));
-  return Math.max(0, n);
+/** How many tasks of a job fit into these amounts. */
+export function taskSlots(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): number {
+  let slots = Number.MAX_SAFE_INTEGER;
+  if (spec.cpus > 0) slots = Math.min(slots, Math.floor((cpus + AMOUNT_TOLERANCE) / spec.cpus));
+  if (spec.gpus > 0) slots = Math.min(slots, Math.floor((gpus + AMOUNT_TOLERANCE) / spec.gpus));
+  if (spec.memoryGb > 0) {
+    slots = Math.min(slots, Math.floor((memoryGb + AMOUNT_TOLERANCE) / spec.memoryGb));
+  }
+  return Math.max(0, slots);
 }
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -255,7 +255,7 @@
     h.tick(1);
   }
   const t = h.takeTrace();
-  assert.match(t, /resign: hears 1 of 4 workers/);
+  assert.match(t, /resign: heartbeats from 1 of 4 workers only/);
   assert.equal(/cloud return/.test(t), false);
 });
 
