--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,4 +1,4 @@
-/** What was found on fleets of a thousand machines and more, and when all of it restarts at once. */
+/** Gangs and capacity in large clusters, and clusters that restart as a whole: failures found at a thousand machines. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pino } from "pino";
@@ -23,212 +23,227 @@
   });
 
 function gpuMachines(names: readonly string[]): TestLeader {
-  const h = new TestLeader();
-  for (const n of names) h.receiveHeartbeat(n, [], { type: "big" });
-  h.takeTrace();
-  return h;
+  const leader = new TestLeader();
+  for (const n of names) leader.receiveHeartbeat(n, [], { type: "big" });
+  leader.takeTrace();
+  return leader;
 }
 
-test("low work within its team's guarantee does not stop a gang for two of its CPUs", () => {
-  const h = gpuMachines(["m1a"]);
-  h.submit(gpu("gang"));
-  h.answerRequest([taskStatus("gang", 0, 1, "pulling image")]);
-  h.takeTrace();
+test("a low-priority job within its team's guarantee does not preempt a gang for a few CPUs", () => {
+  const leader = gpuMachines(["m1a"]);
+  leader.submit(gpu("gang"));
+  leader.answerRequest([taskStatus("gang", 0, 1, "pulling image")]);
+  leader.takeTrace();
   // Team vision is guaranteed four CPUs; the gang is beyond any guarantee.
-  h.submit(jobSpec("sheet", { cpus: 4, priority: "low" }));
+  leader.submit(jobSpec("sheet", { cpus: 4, priority: "low" }));
   for (let i = 0; i < 90; i++)
-    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
-  assert.doesNotMatch(h.takeTrace(), /stop gang/);
+    leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
+  assert.doesNotMatch(leader.takeTrace(), /stop gang/);
   // Production may.
-  h.submit(jobSpec("web", { cpus: 4, kind: "service", priority: "production" }));
+  leader.submit(jobSpec("web", { cpus: 4, kind: "service", priority: "production" }));
   for (let i = 0; i < 60; i++)
-    h.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
-  assert.match(h.takeTrace(), /stop gang/);
+    leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
+  assert.match(leader.takeTrace(), /stop gang/);
 });
 
-test("when a zone is back from a cut, those not heard yet are not given up at once", () => {
+test("when a zone returns from a partition, machines that are still silent are not released at once", () => {
   const names = [..."123456789"].flatMap((n) => [`m${n}a`, `m${n}b`]);
-  const h = new TestLeader();
-  for (const m of names) h.receiveHeartbeat(m, []);
+  const leader = new TestLeader();
+  for (const m of names) leader.receiveHeartbeat(m, []);
   const [inA, inB] = ["a", "b"].map((z) => names.filter((m) => m.endsWith(z)));
   const run = (heard: readonly string[], seconds: number): string[] => {
-    h.unreachableMachines.clear();
-    for (const m of names) if (!heard.includes(m)) h.unreachableMachines.add(m);
-    h.takeTrace();
+    leader.unreachableMachines.clear();
+    for (const m of names) if (!heard.includes(m)) leader.unreachableMachines.add(m);
+    leader.takeTrace();
     for (let i = 0; i < seconds; i++) {
       for (const m of heard) {
-        h.receiveHeartbeatOnly(m, []);
+        leader.receiveHeartbeatOnly(m, []);
         // Whoever is heard answers when it is looked at.
-        if (h.scheduler.cluster.machines.get(m)!.unreachableSince === null) continue;
-        h.performEffects(h.scheduler.probeAnswered(m, h.makeHeartbeat(m, []), h.now));
+        if (leader.scheduler.cluster.machines.get(m)!.unreachableSince === null) continue;
+        leader.performEffects(
+          leader.scheduler.probeAnswered(m, leader.makeHeartbeat(m, []), leader.now),
+        );
       }
-      h.tick(1);
+      leader.tick(1);
     }
-    return [...h.takeTrace().matchAll(/cloud return (.*)/g)].map((x) => x[1]!);
+    return [...leader.takeTrace().matchAll(/cloud return (.*)/g)].map((x) => x[1]!);
   };
-  assert.deepEqual(run(inA!, 10), [], "cut off as a whole");
+  assert.deepEqual(run(inA!, 10), [], "partitioned as a whole");
   const back = [...inA!, ...inB!.slice(1)];
   assert.deepEqual(run(back, 2), [], "one of nine is late by two seconds");
-  assert.deepEqual([...new Set(run(back, 10))], [inB![0]], "it is gone after all");
+  assert.deepEqual([...new Set(run(back, 10))], [inB![0]], "it is released after all");
 });
 
-test("two gangs that each have half of what they need do not keep it from each other", () => {
-  const h = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
-  h.isStoreAvailable = false;
-  h.submit(gpu("second", { tasks: 4, oneZone: true, estimateS: 100 }));
-  const second = h.scheduler.cluster.jobs.get("second")!;
-  for (const p of [...second.allPlacements()]) h.scheduler.cluster.releasePlacement(p, h.now);
+test("two gangs that each reserve half of what they need do not block each other", () => {
+  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
+  leader.isStoreAvailable = false;
+  leader.submit(gpu("second", { tasks: 4, oneZone: true, estimateS: 100 }));
+  const second = leader.scheduler.cluster.jobs.get("second")!;
+  for (const p of [...second.allPlacements()])
+    leader.scheduler.cluster.releasePlacement(p, leader.now);
   for (const m of ["m1a", "m2a"]) {
-    const until = h.now + 100;
-    h.scheduler.cluster.machines.get(m)!.reservation = { job: second, until, held: false };
+    const until = leader.now + 100;
+    leader.scheduler.cluster.machines.get(m)!.reservation = { job: second, until, held: false };
   }
-  h.submit(gpu("first", { tasks: 4, oneZone: true, estimateS: 1 }));
-  h.tick(1);
-  assert.equal(h.scheduler.cluster.jobs.get("first")!.placements.size, 4);
+  leader.submit(gpu("first", { tasks: 4, oneZone: true, estimateS: 1 }));
+  leader.tick(1);
+  assert.equal(leader.scheduler.cluster.jobs.get("first")!.placements.size, 4);
 });
 
-test("one gang at a time gathers room in a zone: what it has no use for yet is not split up", () => {
-  const h = gpuMachines(["m1a", "m2a", "m3a", "m4a", "m5a"]);
-  for (let i = 1; i <= 3; i++) h.submit(gpu(`now${i}`));
-  for (let i = 1; i <= 3; i++) h.answerRequest([taskStatus(`now${i}`, 0, 1)]);
-  h.submit(gpu("three", { tasks: 3, oneZone: true, estimateS: 1 }));
-  h.submit(gpu("next", { tasks: 3, oneZone: true, estimateS: 2 }));
-  for (let i = 0; i < 4; i++) h.tick(0.3);
-  const held = [...h.scheduler.cluster.machines.values()].map((m) => m.reservation?.job.spec.id);
+test("one gang at a time reserves capacity in a zone, so that capacity is not split up", () => {
+  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a", "m5a"]);
+  for (let i = 1; i <= 3; i++) leader.submit(gpu(`now${i}`));
+  for (let i = 1; i <= 3; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  leader.submit(gpu("three", { tasks: 3, oneZone: true, estimateS: 1 }));
+  leader.submit(gpu("next", { tasks: 3, oneZone: true, estimateS: 2 }));
+  for (let i = 0; i < 4; i++) leader.tick(0.3);
+  const held = [...leader.scheduler.cluster.machines.values()].map(
+    (m) => m.reservation?.job.spec.id,
+  );
   assert.deepEqual([...new Set(held)].sort(), ["three", undefined]);
-  assert.equal(h.scheduler.cluster.jobs.get("next")!.reservedZone, null);
+  assert.equal(leader.scheduler.cluster.jobs.get("next")!.reservedZone, null);
 });
 
-test("a gang lets others go first for a moment if many machines hold its image, and no longer", () => {
+test("a gang waits briefly for one of the machines that have its image, and no longer", () => {
   const names = Array.from({ length: 12 }, (_, i) => `m${i}a`);
-  const h = gpuMachines(names);
+  const leader = gpuMachines(names);
   for (const m of names.slice(1)) {
-    const machine = h.scheduler.cluster.machines.get(m)!;
-    machine.images.set("img", { at: h.now, gb: 4, ready: true });
+    const machine = leader.scheduler.cluster.machines.get(m)!;
+    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
   }
   // All that hold it are taken.
-  for (let i = 0; i < 11; i++) h.submit(gpu(`now${i}`, { imageGb: 4 }));
-  for (let i = 0; i < 11; i++) h.answerRequest([taskStatus(`now${i}`, 0, 1)]);
-  h.receiveHeartbeat("m0a", [], { type: "big" });
-  h.submit(gpu("next", { imageGb: 4 }));
-  const next = h.scheduler.cluster.jobs.get("next")!;
-  h.tick(0.3);
-  assert.equal(next.placements.size, 0, "eight seconds of fetching: a moment's wait is worth it");
-  h.receiveHeartbeat("m0a", [], { type: "big" });
-  for (let i = 0; i < 4; i++) h.tick(0.6);
+  for (let i = 0; i < 11; i++) leader.submit(gpu(`now${i}`, { imageGb: 4 }));
+  for (let i = 0; i < 11; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  leader.receiveHeartbeat("m0a", [], { type: "big" });
+  leader.submit(gpu("next", { imageGb: 4 }));
+  const next = leader.scheduler.cluster.jobs.get("next")!;
+  leader.tick(0.3);
+  assert.equal(next.placements.size, 0, "a pull of eight seconds: a short wait is worth it");
+  leader.receiveHeartbeat("m0a", [], { type: "big" });
+  for (let i = 0; i < 4; i++) leader.tick(0.6);
   assert.equal(next.placements.size, 1);
 });
 
-test("what fetching would make too late for its next aim waits for a machine that holds its image", () => {
+test("a job that an image pull would make miss its next SLO waits for a machine that has the image", () => {
   const names = Array.from({ length: 6 }, (_, i) => `m${i}a`);
-  const h = gpuMachines(names);
+  const leader = gpuMachines(names);
   for (const m of names.slice(1)) {
-    const machine = h.scheduler.cluster.machines.get(m)!;
-    machine.images.set("img", { at: h.now, gb: 4, ready: true });
+    const machine = leader.scheduler.cluster.machines.get(m)!;
+    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
   }
-  // Class web is to start within a second, and fetching takes eight.
+  // Class web is to start within a second, and the image pull takes eight.
   const web = { class: "web", imageGb: 4 };
-  for (let i = 0; i < 5; i++) h.submit(gpu(`now${i}`, web));
-  for (let i = 0; i < 5; i++) h.answerRequest([taskStatus(`now${i}`, 0, 1)]);
-  h.receiveHeartbeat("m0a", [], { type: "big" });
-  h.submit(gpu("next", web));
-  const next = h.scheduler.cluster.jobs.get("next")!;
+  for (let i = 0; i < 5; i++) leader.submit(gpu(`now${i}`, web));
+  for (let i = 0; i < 5; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  leader.receiveHeartbeat("m0a", [], { type: "big" });
+  leader.submit(gpu("next", web));
+  const next = leader.scheduler.cluster.jobs.get("next")!;
   assert.equal(next.placements.size, 0);
-  assert.equal(h.scheduler.cluster.machines.get("m0a")!.reservation, null, "others may have it");
-  // Once it is too late for the aim in any case, any machine will do.
-  for (let i = 0; i < 3; i++) h.receiveHeartbeat("m0a", [], { type: "big" });
-  h.tick(1);
-  h.tick(1);
+  assert.equal(
+    leader.scheduler.cluster.machines.get("m0a")!.reservation,
+    null,
+    "others may have it",
+  );
+  // Once the SLO is missed in any case, any machine will do.
+  for (let i = 0; i < 3; i++) leader.receiveHeartbeat("m0a", [], { type: "big" });
+  leader.tick(1);
+  leader.tick(1);
   assert.equal(next.placements.size, 1);
 });
 
-test("a gang task that has its image starts when the first that fetches for long is ready", () => {
-  const h = gpuMachines(["m1a", "m2a", "m3a"]);
-  h.scheduler.cluster.machines.get("m2a")!.images.set("img", { at: h.now, gb: 20, ready: true });
+test("a gang task whose machine has the image starts once the first peer with a long pull is ready", () => {
+  const leader = gpuMachines(["m1a", "m2a", "m3a"]);
+  leader.scheduler.cluster.machines
+    .get("m2a")!
+    .images.set("img", { at: leader.now, gb: 20, ready: true });
   // 20 GB at half a GB a second: 40 s, and a task waits for the others for 45.
-  h.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
-  const job = h.scheduler.cluster.jobs.get("gang")!;
+  leader.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
+  const job = leader.scheduler.cluster.jobs.get("gang")!;
   const on = (m: string) => [...job.placements.values()].find((p) => p.machine.name === m)!.task;
   const sent = (): string[] =>
-    h.unansweredRequests
+    leader.unansweredRequests
       .splice(0)
       .map((o) => o.machine)
       .sort();
   assert.deepEqual(sent(), ["m1a", "m3a"]);
   for (const m of ["m1a", "m3a"]) {
-    h.scheduler.commandsAnswered(
+    leader.scheduler.commandsAnswered(
       m,
       [],
       { kind: "answer", executed: true, report: report(m, "pulling image") },
-      h.now,
+      leader.now,
     );
   }
   function report(m: string, state: "pulling image" | "waiting") {
-    return h.makeHeartbeat(m, [taskStatus("gang", on(m), 1, state)], { type: "big" });
+    return leader.makeHeartbeat(m, [taskStatus("gang", on(m), 1, state)], { type: "big" });
   }
   for (let i = 0; i < 12; i++) {
     for (const m of ["m1a", "m3a"])
-      h.performEffects(h.scheduler.handleHeartbeat(report(m, "pulling image"), h.now).outputs);
-    h.receiveHeartbeat("m2a", [], { type: "big" });
-    h.tick(2.5);
+      leader.performEffects(
+        leader.scheduler.handleHeartbeat(report(m, "pulling image"), leader.now).outputs,
+      );
+    leader.receiveHeartbeat("m2a", [], { type: "big" });
+    leader.tick(2.5);
     assert.deepEqual(sent(), [], "neither has its image");
   }
-  h.performEffects(h.scheduler.handleHeartbeat(report("m1a", "waiting"), h.now).outputs);
-  h.tick();
+  leader.performEffects(
+    leader.scheduler.handleHeartbeat(report("m1a", "waiting"), leader.now).outputs,
+  );
+  leader.tick();
   assert.deepEqual(sent(), ["m2a"]);
 });
 
-test("after a neglected gang the others go first for a while: part of the room is theirs", () => {
-  const h = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
+test("after a starved gang was placed, other jobs come first for a while and get part of the capacity", () => {
+  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
   const end = (machine: number): void =>
-    h.receiveHeartbeat(`m${machine}a`, [taskStatus(`now${machine}`, 0, 1, "exited", "done")], {
+    leader.receiveHeartbeat(`m${machine}a`, [taskStatus(`now${machine}`, 0, 1, "exited", "done")], {
       type: "big",
     });
-  for (let i = 1; i <= 4; i++) h.submit(gpu(`now${i}`, { estimateS: 10 }));
-  for (const o of [...h.unansweredRequests]) {
+  for (let i = 1; i <= 4; i++) leader.submit(gpu(`now${i}`, { estimateS: 10 }));
+  for (const o of [...leader.unansweredRequests]) {
     const name = o.commands[0]!.job;
-    h.answerRequest([taskStatus(name, 0, 1)]);
+    leader.answerRequest([taskStatus(name, 0, 1)]);
     assert.equal(`now${o.machine[1]}`, name);
   }
-  for (const id of ["large1", "large2"]) h.submit(gpu(id, { tasks: 2, oneZone: true }), 130);
-  for (const id of ["small1", "small2"]) h.submit(gpu(id, { estimateS: 5 }));
+  for (const id of ["large1", "large2"]) leader.submit(gpu(id, { tasks: 2, oneZone: true }), 130);
+  for (const id of ["small1", "small2"]) leader.submit(gpu(id, { estimateS: 5 }));
   end(1);
   end(2);
-  h.tick();
-  const placed = (id: string): number => h.scheduler.cluster.jobs.get(id)!.placements.size;
+  leader.tick();
+  const placed = (id: string): number => leader.scheduler.cluster.jobs.get(id)!.placements.size;
   assert.deepEqual([placed("large1"), placed("small1")], [2, 0]);
   // Without that the second large one would hold this machine and wait for another.
   end(3);
-  h.tick();
+  leader.tick();
   assert.deepEqual([placed("large2"), placed("small1")], [0, 1]);
 });
 
-test("one request rents for all that the same kind of machine serves", () => {
-  const h = new TestLeader();
-  h.receiveHeartbeat("m1a", []);
+test("one scale-out request covers all jobs that the same kind of machine serves", () => {
+  const leader = new TestLeader();
+  leader.receiveHeartbeat("m1a", []);
   for (let i = 0; i < 6; i++)
-    h.submit(jobSpec(`j${i}`, { tasks: 8, team: "maps", types: ["small"] }));
+    leader.submit(jobSpec(`j${i}`, { tasks: 8, team: "maps", types: ["small"] }));
   const r = planScaleOut(
     {
-      cluster: h.scheduler.cluster,
+      cluster: leader.scheduler.cluster,
       settings: (decodeSettings(settingsText()) as { settings: Controller["settings"] }).settings
         .cluster,
       types: MACHINE_TYPES,
-      now: h.now,
+      now: leader.now,
       capacityBackoffUntil: new Map(),
       spareRatio: 1,
       maxMachines: 1000,
-      machinesByZone: countMachinesByZone(h.scheduler.cluster),
+      machinesByZone: countMachinesByZone(leader.scheduler.cluster),
       lateBootsByOffer: new Map(),
     },
-    [...h.scheduler.cluster.jobs.values()],
+    [...leader.scheduler.cluster.jobs.values()],
     [],
   );
   // Forty-eight tasks, four to a machine, four of them on the one that is there.
   assert.deepEqual([r?.type, r?.count], ["small", 11]);
 });
 
-test("connections to workers leave room for those of workers and users", () => {
+test("connections to workers leave sockets for those of workers and users", () => {
   for (const [sockets, machines] of [
     [3192, 1393],
     [3192, 2090],
@@ -241,7 +256,7 @@
   }
 });
 
-test("with no socket left a controller goes on", async () => {
+test("a controller survives running out of sockets", async () => {
   const read = decodeSettings(settingsText());
   if (!("settings" in read)) throw new Error("test settings");
   const settings = { ...read.settings, serveOn: "127.0.0.1:0", meshAddress: "127.0.0.1:0" };
@@ -255,23 +270,23 @@
   await node.stop();
 });
 
-test("room that a gang had begun to make in one zone does not keep it from making room in another", () => {
-  const h = gpuMachines(["m1a", "m2b", "m3b"]);
+test("a reservation that a gang began in one zone does not keep it from reserving capacity in another", () => {
+  const leader = gpuMachines(["m1a", "m2b", "m3b"]);
   for (const m of ["m1a", "m2b", "m3b"]) {
-    h.submit(gpu(`low-${m}`, { kind: "array", priority: "low", zone: m.at(-1)! }));
+    leader.submit(gpu(`low-${m}`, { kind: "array", priority: "low", zone: m.at(-1)! }));
   }
   for (let i = 0; i < 3; i++)
-    h.answerRequest([taskStatus(h.unansweredRequests[0]!.commands[0]!.job, 0, 1)]);
-  h.submit(gpu("gang", { tasks: 2, oneZone: true, priority: "high" }));
-  const job = h.scheduler.cluster.jobs.get("gang")!;
-  const until = h.now + 100;
-  h.scheduler.cluster.machines.get("m1a")!.reservation = { job, until, held: false };
-  h.takeTrace();
+    leader.answerRequest([taskStatus(leader.unansweredRequests[0]!.commands[0]!.job, 0, 1)]);
+  leader.submit(gpu("gang", { tasks: 2, oneZone: true, priority: "high" }));
+  const job = leader.scheduler.cluster.jobs.get("gang")!;
+  const until = leader.now + 100;
+  leader.scheduler.cluster.machines.get("m1a")!.reservation = { job, until, held: false };
+  leader.takeTrace();
   for (let i = 0; i < 4; i++) {
     for (const m of ["m1a", "m2b", "m3b"])
-      h.receiveHeartbeatOnly(m, [taskStatus(`low-${m}`, 0, 1)]);
-    h.tick(1);
+      leader.receiveHeartbeatOnly(m, [taskStatus(`low-${m}`, 0, 1)]);
+    leader.tick(1);
   }
   assert.equal(job.reservedZone, "b");
-  assert.match(h.takeTrace(), /send m[23]b: stop low-m[23]b/);
+  assert.match(leader.takeTrace(), /send m[23]b: stop low-m[23]b/);
 });
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -1,4 +1,4 @@
-/** Workers' reports over real connections: what each answer is, and that bad ones end nothing else. */
+/** Worker heartbeats over real connections: the answer to each, and that malformed ones affect no others. */
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
 import { after, before, beforeEach, test } from "node:test";
@@ -11,7 +11,7 @@
 import { taskStatus } from "./support/helpers.js";
 import { sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
 
-const REPORT: WorkerHeartbeat = {
+const HEARTBEAT: WorkerHeartbeat = {
   machine: "m-1",
   address: "10.0.0.1:9000",
   type: "small",
@@ -23,15 +23,15 @@
   interruptionNoticeS: null,
   tasks: [taskStatus("run-1", 3, 1), taskStatus("run-1", 4, 2, "exited", "done")],
 };
-const wire = encodeWorkerHeartbeat(REPORT);
+const wireHeartbeat = encodeWorkerHeartbeat(HEARTBEAT);
 const BODY_LIMIT = 64 * 1024;
 
 let answer: ReturnType<ApiBackend["handleHeartbeat"]>;
 let leader: string | null;
-let heard: WorkerHeartbeat[];
+let received: WorkerHeartbeat[];
 let faults: Error[];
 
-const unused = (): never => assert.fail("reports ask for nothing else");
+const unused = (): never => assert.fail("heartbeats call nothing else");
 const backend: ApiBackend = {
   isHealthy: () => true,
   shedsUsers: () => false,
@@ -40,8 +40,8 @@
   submit: unused,
   cancel: unused,
   waitForEnd: unused,
-  handleHeartbeat: (r) => {
-    heard.push(r);
+  handleHeartbeat: (heartbeat) => {
+    received.push(heartbeat);
     return answer;
   },
   redirectTarget: () => leader,
@@ -70,43 +70,43 @@
 beforeEach(() => {
   answer = { kind: "answer", token: 7, commands: [] };
   leader = null;
-  heard = [];
+  received = [];
   faults = [];
 });
 
 const send = (body: Buffer) => worker.request("POST", "/checkin", body, 2000);
 
-test("an answer carries the token and the commands, also after one without commands", async () => {
+test("an answer carries the fencing token and the commands, also after one without commands", async () => {
   for (let i = 0; i < 2; i++) {
-    const quiet = await send(encode(wire));
-    assert.equal(quiet.status, 200);
-    assert.deepEqual(decode(quiet.body), { rein: 7, calls: [] });
+    const first = await send(encode(wireHeartbeat));
+    assert.equal(first.status, 200);
+    assert.deepEqual(decode(first.body), { rein: 7, calls: [] });
   }
   answer = {
     kind: "answer",
     token: 7,
     commands: [{ op: "forget", job: "run-1", task: 4, attempt: 2 }],
   };
-  assert.deepEqual(decode((await send(encode(wire))).body), {
+  assert.deepEqual(decode((await send(encode(wireHeartbeat))).body), {
     rein: 7,
     calls: [{ call: "forget", stride: "run-1/4", mounting: 2 }],
   });
   answer = { kind: "answer", token: 200_000, commands: [] };
-  assert.deepEqual(decode((await send(encode(wire))).body), { rein: 200_000, calls: [] });
-  assert.deepEqual(heard, [REPORT, REPORT, REPORT, REPORT]);
+  assert.deepEqual(decode((await send(encode(wireHeartbeat))).body), { rein: 200_000, calls: [] });
+  assert.deepEqual(received, [HEARTBEAT, HEARTBEAT, HEARTBEAT, HEARTBEAT]);
 });
 
-/** A connection of its own, on which raw text is sent; what comes back is collected. */
+/** A connection on which raw text is sent; what is received is collected. */
 class RawConnection {
   private readonly socket: Socket;
-  received = "";
+  output = "";
   closed = false;
 
   constructor() {
     const [host, port] = worker.address.split(":") as [string, string];
     this.socket = connect({ host, port: Number(port), noDelay: true });
     this.socket.on("data", (chunk) => {
-      this.received += chunk.toString("latin1");
+      this.output += chunk.toString("latin1");
     });
     this.socket.on("error", () => {});
     this.socket.on("close", () => {
@@ -124,7 +124,7 @@
     }
   }
   async statuses(count: number): Promise<string[]> {
-    const found = () => [...this.received.matchAll(/HTTP\/1\.1 (\d+) /g)].map((m) => m[1]!);
+    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((m) => m[1]!);
     await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
@@ -137,66 +137,66 @@
   }
 }
 
-const body = encode(wire);
+const body = encode(wireHeartbeat);
 const headOf = (fields = `Content-Length: ${body.length}\r\n`): string =>
   `POST /checkin HTTP/1.1\r\nHost: x\r\n${fields}\r\n`;
 
-test("a report that comes in pieces is read as a whole, wherever it is cut", async () => {
+test("a heartbeat that arrives in pieces is read as a whole, wherever it is split", async () => {
   const text = Buffer.concat([Buffer.from(headOf()), body]);
   for (const at of [5, 20, 30, headOf().length, headOf().length + 10]) {
-    const raw = new RawConnection();
-    await raw.writeSlowly(text.subarray(0, at), text.subarray(at));
-    assert.deepEqual(await raw.statuses(1), ["200"], `cut at ${at}`);
-    raw.end();
+    const connection = new RawConnection();
+    await connection.writeSlowly(text.subarray(0, at), text.subarray(at));
+    assert.deepEqual(await connection.statuses(1), ["200"], `split at ${at}`);
+    connection.end();
   }
-  assert.equal(heard.length, 5);
+  assert.equal(received.length, 5);
 });
 
-test("reports in chunks, and two in one packet, are answered in turn", async () => {
-  const raw = new RawConnection();
+test("chunked heartbeats, and two in one packet, are answered in order", async () => {
+  const connection = new RawConnection();
   const size = body.length.toString(16);
-  raw.write(headOf("Transfer-Encoding: chunked\r\n"), `${size}\r\n`, body, "\r\n0\r\n\r\n");
-  await raw.statuses(1);
-  raw.write(Buffer.concat([Buffer.from(headOf()), body, Buffer.from(headOf()), body]));
-  assert.deepEqual(await raw.statuses(3), ["200", "200", "200"]);
-  raw.end();
-  assert.deepEqual(heard, [REPORT, REPORT, REPORT]);
+  connection.write(headOf("Transfer-Encoding: chunked\r\n"), `${size}\r\n`, body, "\r\n0\r\n\r\n");
+  await connection.statuses(1);
+  connection.write(Buffer.concat([Buffer.from(headOf()), body, Buffer.from(headOf()), body]));
+  assert.deepEqual(await connection.statuses(3), ["200", "200", "200"]);
+  connection.end();
+  assert.deepEqual(received, [HEARTBEAT, HEARTBEAT, HEARTBEAT]);
 });
 
-test("a connection that turns to other requests goes to the HTTP server, and back again", async () => {
-  const raw = new RawConnection();
-  raw.write(headOf(), body);
-  await raw.statuses(1);
-  raw.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-  await raw.statuses(2);
-  raw.write(headOf(), body);
-  assert.deepEqual(await raw.statuses(3), ["200", "200", "200"]);
-  raw.end();
+test("a connection may alternate between heartbeats and other requests", async () => {
+  const connection = new RawConnection();
+  connection.write(headOf(), body);
+  await connection.statuses(1);
+  connection.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+  await connection.statuses(2);
+  connection.write(headOf(), body);
+  assert.deepEqual(await connection.statuses(3), ["200", "200", "200"]);
+  connection.end();
   const first = new RawConnection();
   first.write("GET /none HTTP/1.1\r\nHost: x\r\n\r\n");
   await first.statuses(1);
   first.write(headOf(), body);
   assert.deepEqual(await first.statuses(2), ["404", "200"]);
   first.end();
-  assert.equal(heard.length, 3);
+  assert.equal(received.length, 3);
 });
 
-test("who waits to be told to go on is told so", async () => {
-  const raw = new RawConnection();
-  raw.write(headOf(`Content-Length: ${body.length}\r\nExpect: 100-continue\r\n`));
-  await raw.statuses(1);
-  raw.write(body);
-  assert.deepEqual(await raw.statuses(2), ["100", "200"]);
-  raw.end();
+test("a client that expects 100-continue gets it before the answer", async () => {
+  const connection = new RawConnection();
+  connection.write(headOf(`Content-Length: ${body.length}\r\nExpect: 100-continue\r\n`));
+  await connection.statuses(1);
+  connection.write(body);
+  assert.deepEqual(await connection.statuses(2), ["100", "200"]);
+  connection.end();
 });
 
-test("a connection that its worker ends is ended here too, and not only when it idles out", async () => {
+test("a connection that the worker half-closes is closed at once, not at its idle timeout", async () => {
   for (const begins of [headOf(), "GET /none HTTP/1.1\r\nHost: x\r\n\r\n", ""]) {
-    const raw = new RawConnection();
-    raw.write(begins, begins === headOf() ? body : "");
-    if (begins !== "") await raw.statuses(1);
-    raw.finish();
-    await waitUntil("it is closed", () => raw.closed);
+    const connection = new RawConnection();
+    connection.write(begins, begins === headOf() ? body : "");
+    if (begins !== "") await connection.statuses(1);
+    connection.finish();
+    await waitUntil("it is closed", () => connection.closed);
   }
   await waitUntil("no connection is left", async () => {
     const left = await new Promise<number>((resolve) =>
@@ -206,38 +206,38 @@
   });
 });
 
-test("a connection that is to be closed is closed with its answer, and one of no HTTP too", async () => {
-  const raw = new RawConnection();
-  raw.write(headOf(`Content-Length: ${body.length}\r\nConnection: close\r\n`), body);
-  assert.deepEqual(await raw.statuses(1), ["200"]);
-  await waitUntil("it is closed", () => raw.closed);
+test("Connection: close closes the connection after the answer, and malformed HTTP closes it with 400", async () => {
+  const connection = new RawConnection();
+  connection.write(headOf(`Content-Length: ${body.length}\r\nConnection: close\r\n`), body);
+  assert.deepEqual(await connection.statuses(1), ["200"]);
+  await waitUntil("it is closed", () => connection.closed);
   const bad = new RawConnection();
   bad.write(headOf("no field\r\n\0: x\r\n"), body);
   await waitUntil("it is closed too", () => bad.closed);
-  assert.match(bad.received, /^HTTP\/1\.1 400 /);
+  assert.match(bad.output, /^HTTP\/1\.1 400 /);
 });
 
-test("a node that is certain of another leader sends on without reading, and keeps the connection", async () => {
+test("a node that knows another leader redirects without reading the body, and keeps the connection", async () => {
   leader = "n1";
-  const reply = await send(Buffer.from("no report at all"));
+  const reply = await send(Buffer.from("no heartbeat at all"));
   assert.equal(reply.status, 421);
   assert.deepEqual(decode(reply.body), { groom: "n1" });
   assert.notEqual(reply.headers.get("connection"), "close");
   leader = null;
   answer = { kind: "elsewhere", leader: null };
-  assert.deepEqual(decode((await send(encode(wire))).body), {});
+  assert.deepEqual(decode((await send(encode(wireHeartbeat))).body), {});
   answer = { kind: "elsewhere", leader: "n2" };
-  assert.deepEqual(decode((await send(encode(wire))).body), { groom: "n2" });
+  assert.deepEqual(decode((await send(encode(wireHeartbeat))).body), { groom: "n2" });
 });
 
-test("who cannot tell refuses at once with Retry-After", async () => {
+test("a node that knows no leader answers 503 with Retry-After at once", async () => {
   answer = { kind: "unavailable" };
-  const reply = await send(encode(wire));
+  const reply = await send(encode(wireHeartbeat));
   assert.equal(reply.status, 503);
   assert.ok(Number(reply.headers.get("retry-after")) >= 1);
 });
 
-test("what is no report gets 400 and reaches nobody; the next one is answered", async () => {
+test("a malformed heartbeat gets 400 and is not handled; the next one is answered", async () => {
   const bad: Record<string, unknown>[] = [
     { mount: "" },
     { mount: "m".repeat(191) },
@@ -257,25 +257,28 @@
     { strides: [null] },
   ];
   for (const change of bad) {
-    const reply = await send(encode({ ...wire, ...change }));
+    const reply = await send(encode({ ...wireHeartbeat, ...change }));
     assert.equal(reply.status, 400, JSON.stringify(change));
   }
   for (const body of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
     assert.equal((await send(body)).status, 400);
   }
   assert.equal((await send(Buffer.alloc(BODY_LIMIT + 1))).status, 400);
-  assert.deepEqual(heard, []);
-  assert.equal((await send(encode(wire))).status, 200);
+  assert.deepEqual(received, []);
+  assert.equal((await send(encode(wireHeartbeat))).status, 200);
 });
 
-test("a fault of our own is answered with 503 and told", async () => {
+test("an internal error is answered with 503 and passed to onFault", async () => {
   answer = null as never;
-  assert.equal((await send(encode(wire))).status, 503);
+  assert.equal((await send(encode(wireHeartbeat))).status, 503);
   assert.equal(faults.length, 1);
 });
 
-test("fields that are not known or may be left out are no fault", () => {
-  const { recallS, ...rest } = wire;
-  assert.deepEqual(decodeWorkerHeartbeat({ ...rest, news: 1 }), REPORT);
-  assert.equal(decodeWorkerHeartbeat({ ...wire, recallS: 12.5 })?.interruptionNoticeS, 12.5);
+test("unknown and omitted optional fields are accepted", () => {
+  const { recallS, ...rest } = wireHeartbeat;
+  assert.deepEqual(decodeWorkerHeartbeat({ ...rest, news: 1 }), HEARTBEAT);
+  assert.equal(
+    decodeWorkerHeartbeat({ ...wireHeartbeat, recallS: 12.5 })?.interruptionNoticeS,
+    12.5,
+  );
 });
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -1,4 +1,4 @@
-/** The constraints on places as pure logic: every small case, held against the rule as it is written. */
+/** Placement constraints as pure logic: every small case, compared with the rule as it is written. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -38,7 +38,7 @@
 
 for (const oneZone of [false, true]) {
   for (const spread of [false, true]) {
-    test(`room in zones, every case of up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
+    test(`capacity in zones, every case of up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
       for (const tasks of [1, 2, 3, 4, 5]) {
         const s = jobSpec("j", { tasks, oneZone, spread });
         for (let n = 0; n <= 4; n++) {
@@ -57,7 +57,7 @@
   }
 }
 
-test("as many tasks may be placed as there is room for, and no more", () => {
+test("as many tasks may be placed as the zone limit allows, and no more", () => {
   const s = jobSpec("j", { tasks: 7, spread: true });
   const zones = occupancyOf(s, ["a"]);
   assert.equal(zones.reserveIn("a", 9), 3);
@@ -68,7 +68,7 @@
   assert.equal(zones.capacityIn("a"), 1);
 });
 
-test("nothing is placed where the zone is not known, if zones matter to the job", () => {
+test("nothing is placed in an unknown zone if the job has zone constraints", () => {
   for (const constraint of [{ oneZone: true }, { spread: true }]) {
     const zones = new ZoneOccupancy(jobSpec("j", { tasks: 4, ...constraint }));
     assert.equal(zones.capacityIn(UNKNOWN_ZONE), 0);
@@ -78,7 +78,7 @@
   assert.ok(new ZoneOccupancy(jobSpec("j")).capacityIn(UNKNOWN_ZONE) > 0);
 });
 
-test("tasks that must share a zone are split over two; the zone with most of them is kept", () => {
+test("of tasks that must share a zone and are split over two, those in the main zone are kept", () => {
   const zones = occupancyOf(jobSpec("j", { tasks: 5, oneZone: true }), [
     "b",
     "a",
@@ -90,7 +90,7 @@
   assert.equal(occupancyOf(jobSpec("j", { tasks: 5 }), ["a", "b"]).isSplit, false);
 });
 
-test("types, zone and kind of machine", () => {
+test("machine type, zone and spot constraints decide which machines are allowed", () => {
   const machine = { type: { name: "small" }, zone: "a", spot: true };
   assert.equal(isMachineAllowed(jobSpec("j"), machine), true);
   assert.equal(isMachineAllowed(jobSpec("j", { types: ["big"] }), machine), false);
@@ -102,7 +102,7 @@
   assert.equal(isMachineAllowed(jobSpec("j", { zone: "a" }), unknown), false);
 });
 
-test("a spread job needs two zones for all its tasks to run at one time", () => {
+test("a spread job needs two zones to run all its tasks at one time", () => {
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 4, spread: true }), 1), false);
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 5, spread: true }), 2), true);
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 1, spread: true }), 1), true);
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -1,4 +1,4 @@
-/** Users ask far more often than they did: what else comes in is still answered. */
+/** A storm of queries by users: everything else is still answered. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type ApiBackend, buildServer } from "../src/api/server.js";
@@ -7,7 +7,7 @@
 import { encode } from "../src/wire/msgpack.js";
 import { jobBody } from "./support/helpers.js";
 
-const REPORT = {
+const HEARTBEAT = {
   mount: "m-1",
   address: "127.0.0.1:9",
   breed: "small",
@@ -20,7 +20,7 @@
   strides: [],
 };
 
-test("a storm of questions is refused in turns; submissions, cancellations and reports are not", async () => {
+test("a storm of queries is refused with staggered retries; submissions, cancellations and heartbeats are not", async () => {
   const asked: ((v: JobView | null) => void)[] = [];
   let stored = 0;
   let storm = true;
@@ -60,7 +60,7 @@
   );
   assert.deepEqual([...new Set(submissions.map((r) => r.statusCode))], [201]);
   assert.equal(stored, 8);
-  assert.equal((await post("/checkin", REPORT)).statusCode, 200);
+  assert.equal((await post("/checkin", HEARTBEAT)).statusCode, 200);
   assert.equal((await app.inject({ method: "GET", url: "/healthz" })).statusCode, 200);
   storm = false;
   assert.equal((await post("/api/jobs/run-1/withdraw", {})).statusCode, 200);
