--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -4,7 +4,7 @@
 import { pino } from "pino";
 import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
 import { countMachinesByZone, planScaleOut } from "../src/core/capacity/scaling.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec, TaskState, WorkerHeartbeat } from "../src/core/model.js";
 import { Controller } from "../src/node/controller.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { maxWorkerConnections } from "../src/workers/sockets.js";
@@ -24,7 +24,7 @@
 
 function gpuMachines(names: readonly string[]): TestLeader {
   const leader = new TestLeader();
-  for (const n of names) leader.receiveHeartbeat(n, [], { type: "big" });
+  for (const name of names) leader.receiveHeartbeat(name, [], { type: "big" });
   leader.takeTrace();
   return leader;
 }
@@ -49,24 +49,26 @@
 test("when a zone returns from a partition, machines that are still silent are not released at once", () => {
   const names = [..."123456789"].flatMap((n) => [`m${n}a`, `m${n}b`]);
   const leader = new TestLeader();
-  for (const m of names) leader.receiveHeartbeat(m, []);
-  const [inA, inB] = ["a", "b"].map((z) => names.filter((m) => m.endsWith(z)));
-  const run = (heard: readonly string[], seconds: number): string[] => {
+  for (const name of names) leader.receiveHeartbeat(name, []);
+  const [inA, inB] = ["a", "b"].map((zone) => names.filter((name) => name.endsWith(zone)));
+  const run = (alive: readonly string[], seconds: number): string[] => {
     leader.unreachableMachines.clear();
-    for (const m of names) if (!heard.includes(m)) leader.unreachableMachines.add(m);
+    for (const name of names) {
+      if (!alive.includes(name)) leader.unreachableMachines.add(name);
+    }
     leader.takeTrace();
     for (let i = 0; i < seconds; i++) {
-      for (const m of heard) {
-        leader.receiveHeartbeatOnly(m, []);
-        // Whoever is heard answers when it is looked at.
-        if (leader.scheduler.cluster.machines.get(m)!.unreachableSince === null) continue;
+      for (const name of alive) {
+        leader.receiveHeartbeatOnly(name, []);
+        // A machine that sends heartbeats also answers probes.
+        if (leader.scheduler.cluster.machines.get(name)!.unreachableSince === null) continue;
         leader.performEffects(
-          leader.scheduler.probeAnswered(m, leader.makeHeartbeat(m, []), leader.now),
+          leader.scheduler.probeAnswered(name, leader.makeHeartbeat(name, []), leader.now),
         );
       }
       leader.tick(1);
     }
-    return [...leader.takeTrace().matchAll(/cloud return (.*)/g)].map((x) => x[1]!);
+    return [...leader.takeTrace().matchAll(/cloud return (.*)/g)].map((match) => match[1]!);
   };
   assert.deepEqual(run(inA!, 10), [], "partitioned as a whole");
   const back = [...inA!, ...inB!.slice(1)];
@@ -107,8 +109,8 @@
 test("a gang waits briefly for one of the machines that have its image, and no longer", () => {
   const names = Array.from({ length: 12 }, (_, i) => `m${i}a`);
   const leader = gpuMachines(names);
-  for (const m of names.slice(1)) {
-    const machine = leader.scheduler.cluster.machines.get(m)!;
+  for (const name of names.slice(1)) {
+    const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { at: leader.now, gb: 4, ready: true });
   }
   // All that hold it are taken.
@@ -127,8 +129,8 @@
 test("a job that an image pull would make miss its next SLO waits for a machine that has the image", () => {
   const names = Array.from({ length: 6 }, (_, i) => `m${i}a`);
   const leader = gpuMachines(names);
-  for (const m of names.slice(1)) {
-    const machine = leader.scheduler.cluster.machines.get(m)!;
+  for (const name of names.slice(1)) {
+    const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { at: leader.now, gb: 4, ready: true });
   }
   // Class web is to start within a second, and the image pull takes eight.
@@ -153,44 +155,39 @@
 
 test("a gang task whose machine has the image starts once the first peer with a long pull is ready", () => {
   const leader = gpuMachines(["m1a", "m2a", "m3a"]);
-  leader.scheduler.cluster.machines
-    .get("m2a")!
-    .images.set("img", { at: leader.now, gb: 20, ready: true });
+  const pulling = ["m1a", "m3a"];
+  const withImage = leader.scheduler.cluster.machines.get("m2a")!;
+  withImage.images.set("img", { at: leader.now, gb: 20, ready: true });
   // 20 GB at half a GB a second: 40 s, and a task waits for the others for 45.
   leader.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
-  const job = leader.scheduler.cluster.jobs.get("gang")!;
-  const on = (m: string) => [...job.placements.values()].find((p) => p.machine.name === m)!.task;
-  const sent = (): string[] =>
-    leader.unansweredRequests
-      .splice(0)
-      .map((o) => o.machine)
-      .sort();
-  assert.deepEqual(sent(), ["m1a", "m3a"]);
-  for (const m of ["m1a", "m3a"]) {
-    leader.scheduler.commandsAnswered(
-      m,
-      [],
-      { kind: "answer", executed: true, report: report(m, "pulling image") },
-      leader.now,
-    );
-  }
-  function report(m: string, state: "pulling image" | "waiting") {
-    return leader.makeHeartbeat(m, [taskStatus("gang", on(m), 1, state)], { type: "big" });
+  const placements = [...leader.scheduler.cluster.jobs.get("gang")!.placements.values()];
+  const heartbeat = (machine: string, state: TaskState): WorkerHeartbeat => {
+    const { task } = placements.find((placement) => placement.machine.name === machine)!;
+    return leader.makeHeartbeat(machine, [taskStatus("gang", task, 1, state)], { type: "big" });
+  };
+  const receive = (machine: string, state: TaskState): void => {
+    const { outputs } = leader.scheduler.handleHeartbeat(heartbeat(machine, state), leader.now);
+    leader.performEffects(outputs);
+  };
+  const takeSent = (): string[] => {
+    const requests = leader.unansweredRequests.splice(0);
+    return requests.map(({ machine }) => machine).sort();
+  };
+  assert.deepEqual(takeSent(), pulling);
+  for (const machine of pulling) {
+    const report = heartbeat(machine, "pulling image");
+    const outcome = { kind: "answer", executed: true, report } as const;
+    leader.scheduler.commandsAnswered(machine, [], outcome, leader.now);
   }
   for (let i = 0; i < 12; i++) {
-    for (const m of ["m1a", "m3a"])
-      leader.performEffects(
-        leader.scheduler.handleHeartbeat(report(m, "pulling image"), leader.now).outputs,
-      );
+    for (const machine of pulling) receive(machine, "pulling image");
     leader.receiveHeartbeat("m2a", [], { type: "big" });
     leader.tick(2.5);
-    assert.deepEqual(sent(), [], "neither has its image");
+    assert.deepEqual(takeSent(), [], "neither has its image");
   }
-  leader.performEffects(
-    leader.scheduler.handleHeartbeat(report("m1a", "waiting"), leader.now).outputs,
-  );
+  receive("m1a", "waiting");
   leader.tick();
-  assert.deepEqual(sent(), ["m2a"]);
+  assert.deepEqual(takeSent(), ["m2a"]);
 });
 
 test("after a starved gang was placed, other jobs come first for a while and get part of the capacity", () => {
@@ -223,7 +220,7 @@
   leader.receiveHeartbeat("m1a", []);
   for (let i = 0; i < 6; i++)
     leader.submit(jobSpec(`j${i}`, { tasks: 8, team: "maps", types: ["small"] }));
-  const r = planScaleOut(
+  const request = planScaleOut(
     {
       cluster: leader.scheduler.cluster,
       settings: (decodeSettings(settingsText()) as { settings: Controller["settings"] }).settings
@@ -240,7 +237,7 @@
     [],
   );
   // Forty-eight tasks, four to a machine, four of them on the one that is there.
-  assert.deepEqual([r?.type, r?.count], ["small", 11]);
+  assert.deepEqual([request?.type, request?.count], ["small", 11]);
 });
 
 test("connections to workers leave sockets for those of workers and users", () => {
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -21,33 +21,33 @@
   return lists(of, length - 1).flatMap((rest) => of.map((zone) => [...rest, zone]));
 }
 
-function occupancyOf(s: JobSpec, zones: readonly string[]): ZoneOccupancy {
-  const occupancy = new ZoneOccupancy(s);
+function occupancyOf(job: JobSpec, zones: readonly string[]): ZoneOccupancy {
+  const occupancy = new ZoneOccupancy(job);
   for (const zone of zones) occupancy.add(zone);
   return occupancy;
 }
 
 /** The rule, with each unknown zone being any of the real ones: it must hold whichever they are. */
-function mayBeIn(s: JobSpec, zone: string, others: readonly string[]): boolean {
+function mayBeIn(job: JobSpec, zone: string, others: readonly string[]): boolean {
   const unknown = others.indexOf(UNKNOWN_ZONE);
   if (unknown >= 0) {
-    return ZONES.every((real) => mayBeIn(s, zone, others.with(unknown, real)));
+    return ZONES.every((real) => mayBeIn(job, zone, others.with(unknown, real)));
   }
-  return placeFaults(s, placeIn(zone), others.map(placeIn)).length === 0;
+  return placeFaults(job, placeIn(zone), others.map(placeIn)).length === 0;
 }
 
 for (const oneZone of [false, true]) {
   for (const spread of [false, true]) {
     test(`capacity in zones, every case of up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
       for (const tasks of [1, 2, 3, 4, 5]) {
-        const s = jobSpec("j", { tasks, oneZone, spread });
-        for (let n = 0; n <= 4; n++) {
-          for (const others of lists([...ZONES, UNKNOWN_ZONE], n)) {
+        const job = jobSpec("j", { tasks, oneZone, spread });
+        for (let count = 0; count <= 4; count++) {
+          for (const others of lists([...ZONES, UNKNOWN_ZONE], count)) {
             for (const zone of ZONES) {
-              const may = mayBeIn(s, zone, others);
+              const may = mayBeIn(job, zone, others);
               const what = `${tasks} tasks, one to ${zone} beside ${others}`;
-              assert.equal(occupancyOf(s, others).capacityIn(zone) > 0, may, what);
-              const counted = occupancyOf(s, [...others, zone]);
+              assert.equal(occupancyOf(job, others).capacityIn(zone) > 0, may, what);
+              const counted = occupancyOf(job, [...others, zone]);
               assert.equal(counted.mayStartIn(zone), may, `${what}, at its start`);
             }
           }
@@ -58,8 +58,8 @@
 }
 
 test("as many tasks may be placed as the zone limit allows, and no more", () => {
-  const s = jobSpec("j", { tasks: 7, spread: true });
-  const zones = occupancyOf(s, ["a"]);
+  const job = jobSpec("j", { tasks: 7, spread: true });
+  const zones = occupancyOf(job, ["a"]);
   assert.equal(zones.reserveIn("a", 9), 3);
   assert.equal(zones.reserveIn("a", 1), 0);
   assert.equal(zones.reserveIn("b", 2), 2);
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -20,27 +20,38 @@
   strides: [],
 };
 
-test("a storm of queries is refused with staggered retries; submissions, cancellations and heartbeats are not", async () => {
-  const asked: ((v: JobView | null) => void)[] = [];
-  let stored = 0;
-  let storm = true;
-  let leaves = false;
-  const view: JobView = { id: "run-1", state: "queued", done: 0, running: 0 };
-  const backend: ApiBackend = {
-    isHealthy: () => true,
-    shedsUsers: () => leaves,
-    readJob: () => (storm ? new Promise((r) => asked.push(r)) : Promise.resolve(view)),
-    checkFeasibility: () => "fits",
-    submit: async () => {
-      stored++;
-      return "ok";
-    },
-    cancel: async () => "ok",
-    waitForEnd: async () => ({ ...view, state: "cancelled" }),
-    handleHeartbeat: () => ({ kind: "answer", token: 1, commands: [] }),
-    redirectTarget: () => null,
+const VIEW: JobView = { id: "run-1", state: "queued", done: 0, running: 0 };
+
+/** Its queries are answered only once the storm is over, and then the pending ones by `answerPending`. */
+class StormBackend implements ApiBackend {
+  isStorm = true;
+  isSheddingUsers = false;
+  submissions = 0;
+  private readonly pending: ((view: JobView | null) => void)[] = [];
+
+  answerPending(): void {
+    for (const answer of this.pending.splice(0)) answer(VIEW);
+  }
+
+  isHealthy = () => true;
+  shedsUsers = () => this.isSheddingUsers;
+  readJob = () =>
+    this.isStorm
+      ? new Promise<JobView | null>((resolve) => this.pending.push(resolve))
+      : Promise.resolve(VIEW);
+  checkFeasibility = () => "fits" as const;
+  submit = async () => {
+    this.submissions++;
+    return "ok" as const;
   };
-  const app = buildServer(backend, {
+  cancel = async () => "ok" as const;
+  waitForEnd = async () => ({ ...VIEW, state: "cancelled" as const });
+  handleHeartbeat = () => ({ kind: "answer" as const, token: 1, commands: [] });
+  redirectTarget = () => null;
+}
+
+const startServer = (backend: ApiBackend) =>
+  buildServer(backend, {
     queryLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
     mutationLimit: new AdaptiveConcurrencyLimit(8, 8, 1),
     now: () => 0,
@@ -48,32 +59,38 @@
     cancellationWaitS: 1,
     idleTimeoutS: 10,
     onRequestDone: () => {},
-    onFault: (e) => assert.fail(e),
+    onFault: (error) => assert.fail(error),
   });
-  const ask = () => app.inject({ method: "GET", url: "/api/jobs/run-1" });
-  const questions = Array.from({ length: 400 }, ask);
+
+test("a storm of queries is refused with staggered retries; submissions, cancellations and heartbeats are not", async () => {
+  const backend = new StormBackend();
+  const app = startServer(backend);
+  const query = () => app.inject({ method: "GET", url: "/api/jobs/run-1" });
+  const queries = Array.from({ length: 400 }, query);
   const headers = { "content-type": "application/msgpack" };
   const post = (url: string, body: unknown) =>
     app.inject({ method: "POST", url, headers, payload: encode(body) });
   const submissions = await Promise.all(
     Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ nameId: `run-${i}` }))),
   );
-  assert.deepEqual([...new Set(submissions.map((r) => r.statusCode))], [201]);
-  assert.equal(stored, 8);
+  assert.deepEqual([...new Set(submissions.map((response) => response.statusCode))], [201]);
+  assert.equal(backend.submissions, 8);
   assert.equal((await post("/checkin", HEARTBEAT)).statusCode, 200);
   assert.equal((await app.inject({ method: "GET", url: "/healthz" })).statusCode, 200);
-  storm = false;
+  backend.isStorm = false;
   assert.equal((await post("/api/jobs/run-1/withdraw", {})).statusCode, 200);
-  for (const r of asked.splice(0)) r(view);
-  const answers = await Promise.all(questions);
-  const refused = answers.filter((r) => r.statusCode === 429);
-  assert.equal(answers.filter((r) => r.statusCode === 200).length, 8);
+  backend.answerPending();
+  const answers = await Promise.all(queries);
+  const refused = answers.filter((response) => response.statusCode === 429);
+  assert.equal(answers.filter((response) => response.statusCode === 200).length, 8);
   assert.equal(refused.length, 392);
-  // They come back over several seconds, each told when.
-  const after = refused.map((r) => Number(r.headers["retry-after"]));
-  for (const s of [1, 2, 3]) assert.ok(after.filter((x) => x === s).length > 100, `${s} s`);
-  // A leader that leaves users to others still answers, and closes the connection with it.
-  leaves = true;
+  // The retries are spread over several seconds.
+  const retryAfterS = refused.map((response) => Number(response.headers["retry-after"]));
+  for (const seconds of [1, 2, 3]) {
+    assert.ok(retryAfterS.filter((value) => value === seconds).length > 100, `${seconds} s`);
+  }
+  // A leader that sheds users to other nodes still answers, and closes the connection with the answer.
+  backend.isSheddingUsers = true;
   const last = await post("/api/jobs", jobBody({ nameId: "run-9" }));
   assert.deepEqual([last.statusCode, last.headers.connection], [201, "close"]);
   await app.close();
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -124,11 +124,11 @@
   const leader = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   const on = [...leader.scheduler.cluster.jobs.get("j")!.placements.values()];
-  for (const m of ["m1a", "m2b"]) {
-    const here = on.filter((p) => p.machine.name === m);
+  for (const machine of ["m1a", "m2b"]) {
+    const here = on.filter((placement) => placement.machine.name === machine);
     leader.receiveHeartbeat(
-      m,
-      here.map((p) => taskStatus("j", p.task, p.attempt)),
+      machine,
+      here.map(({ task, attempt }) => taskStatus("j", task, attempt)),
     );
   }
   for (let i = 0; i < 4; i++) leader.tick();
