--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -84,7 +84,7 @@
       machine: machine.name,
       class: job.spec.class,
       imageGb: job.spec.imageGb,
-      tookS: Math.round((now - placement.placedAt) * 10) / 10,
+      startLatencyS: Math.round((now - placement.placedAt) * 10) / 10,
     }));
   }
 
