--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -2,7 +2,7 @@
  * Claims of one transaction: which submissions may go into it, and what it must hold beside them. It is conditional on the
  * window and on the ledger of each team that is charged, so it is carried out only if the verdicts still hold.
  */
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { Change, Precondition } from "../wire/key-value.js";
 import { ADMISSION_KEY, encodeLedger } from "./codec.js";
 import { charge, decide } from "./decision.js";
--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -6,7 +6,8 @@
 import type { PendingQueue } from "../api/pending-queue.js";
 import type { PendingWrite, SubmissionGate } from "../api/submission-writer.js";
 import type { Cluster } from "../core/cluster.js";
-import type { ClusterSettings, JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 import { KEY } from "../core/state/state-replica.js";
 import type { TransactionResult } from "../state/key-value-client.js";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../wire/key-value.js";
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -8,7 +8,7 @@
  * The verdict on a job can only turn from admission to rejection within a window, since ledgers only grow. Together
  * with writes that are conditional on the ledger this makes the decision on a job the same at every controller.
  */
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import {
   type AdmissionWindow,
   type Grant,
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -1,5 +1,5 @@
 /** The terms of admission control: windows, grants, ledgers and decisions. */
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 
 /** Amounts of the resources that are shared. */
 export interface ResourceVector {
--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -1,6 +1,6 @@
 /** What this controller refused, gathered into one small record a window, so that a flood costs few writes. */
 import { createHash } from "node:crypto";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import {
   addResources,
   type Lane,
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -2,7 +2,7 @@
  * A controller's replica of the admission state: a pure reducer over the changes that the state service stored, in their
  * order. All controllers that have read up to a revision hold the same state and have logged the same decisions.
  */
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import { KEY, type StoredJob, type Versioned } from "../core/state/state-replica.js";
 import type { ChangeEvent, KeyValueItem } from "../wire/key-value.js";
 import { decodeLedger, decodeRejections, decodeWindow, parseAdmissionKey } from "./codec.js";
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -2,7 +2,7 @@
  * The next window: what each class of each team may be admitted, from what is unfinished, what was refused, what the
  * cluster has, guarantees, limits and weights. Pure; only the leader computes one, and stores it.
  */
-import type { Team } from "../core/model.js";
+import type { Team } from "../core/model/settings.js";
 import { dominantShare } from "./decision.js";
 import { type Claimant, type FairShareInput, fairFractions } from "./fair-share.js";
 import {
--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -1,5 +1,5 @@
 /** Workers' reports: from the bytes of one to the reply, whichever server they came through. */
-import type { WorkerCommand, WorkerHeartbeat } from "../core/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../core/model/workers.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { encodeCommands, encodeRedirect } from "../wire/schema.js";
 import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
--- a/src/api/server.ts
+++ b/src/api/server.ts
@@ -2,7 +2,7 @@
 import { createServer, type RequestListener, type Server } from "node:http";
 import type { Socket } from "node:net";
 import Fastify, { type FastifyInstance, type FastifyReply } from "fastify";
-import type { JobSpec, JobView } from "../core/model.js";
+import type { JobSpec, JobView } from "../core/model/jobs.js";
 import type { AdaptiveConcurrencyLimit } from "../core/overload/adaptive-concurrency-limit.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -2,7 +2,7 @@
  * The way of a submission from the server to its transaction: the jobs that it names, admission, and the write.
  */
 import type { AdmissionControl } from "../admission/index.js";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { StateReplica } from "../core/state/state-replica.js";
 import type { StateWatcher } from "../state/state-watcher.js";
 import type { SubmissionWriter, WriteResult } from "./submission-writer.js";
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -4,7 +4,7 @@
  */
 
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { TokenBucket } from "../core/overload/token-bucket.js";
 import { KEY, type StoredCancellation, type StoredJob } from "../core/state/state-replica.js";
 import type { KeyValueClient } from "../state/key-value-client.js";
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,5 @@
 /** The cloud, through its protocol. */
-import type { ListedMachine, MachineType } from "../core/model.js";
+import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { HttpConnectionPool, type HttpResponse } from "../net/http-connection-pool.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -4,7 +4,8 @@
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
-import type { JobSpec, ListedMachine } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { ListedMachine } from "../model/machines.js";
 import { MachineRecordShards } from "../state/machine-record-shards.js";
 import { BootTimeouts } from "./boot-timeouts.js";
 import {
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -3,7 +3,9 @@
 import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { ClusterSettings, JobSpec, MachineType } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
+import type { ClusterSettings } from "../model/settings.js";
 import { mayRelocate } from "../planning/zone-relocation.js";
 
 /** Machines of one request at the most, by the protocol. */
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -4,7 +4,10 @@
 import type { ActiveJob } from "./jobs/active-job.js";
 import { GangStarts } from "./jobs/gang-starts.js";
 import type { Machine } from "./machines/machine.js";
-import { AMOUNT_TOLERANCE, type JobSpec, type MachineType, type Team } from "./model.js";
+import { AMOUNT_TOLERANCE } from "./model/constants.js";
+import type { JobSpec } from "./model/jobs.js";
+import type { MachineType } from "./model/machines.js";
+import type { Team } from "./model/settings.js";
 
 export interface TeamUsage {
   cpus: number;
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -3,7 +3,7 @@
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { ExitedTask, Machine } from "../machines/machine.js";
-import type { WorkerCommand } from "../model.js";
+import type { WorkerCommand } from "../model/workers.js";
 import { TokenBucket } from "../overload/token-bucket.js";
 import type { Placement } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -5,7 +5,8 @@
  * machines asks it, and the moment of a start asks it again. What is not known counts as the worst case: a machine
  * whose zone is unknown may be in any.
  */
-import type { JobSpec, MachineType } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
 
 /** Zone of a machine of which nothing says where it is. */
 export const UNKNOWN_ZONE = "";
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -5,7 +5,7 @@
 import type { LeaderContext } from "../leader-context.js";
 import type { FaultAttribution } from "../machines/fault-attribution.js";
 import type { Machine } from "../machines/machine.js";
-import type { TaskStatus, WorkerHeartbeat } from "../model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../model/workers.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { Placement, taskKey } from "./placement.js";
 
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,5 +1,5 @@
 /** What the leader's state machine asks for, and how what it asked for ended. */
-import type { WorkerCommand, WorkerHeartbeat } from "./model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "./model/workers.js";
 
 /** Something to be sent, asked of the cloud, done by the node, or logged. */
 export type Effect =
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -5,7 +5,7 @@
 import type { Expression } from "../../algebra/expression.js";
 import type { Placement } from "../dispatch/placement.js";
 import { ZoneOccupancy } from "../dispatch/placement-constraints.js";
-import { type JobSpec, priorityRank } from "../model.js";
+import { type JobSpec, priorityRank } from "../model/jobs.js";
 import { JobShard } from "../state/job-shards.js";
 import type { StoredJob, StoredShard, Versioned } from "../state/state-replica.js";
 import { FailureHistory } from "./failure-history.js";
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -2,12 +2,10 @@
 
 import { areZonesSufficient, isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
-import {
-  AMOUNT_TOLERANCE,
-  type ClusterSettings,
-  type JobSpec,
-  type MachineType,
-} from "../model.js";
+import { AMOUNT_TOLERANCE } from "../model/constants.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
+import type { ClusterSettings } from "../model/settings.js";
 
 /** Can any task of the job ever run, and does the job fit its team's limit? */
 export function canEverRun(
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,5 +1,6 @@
 /** When gangs of each class and size began, over the users' bound on beginning. */
-import { type JobSpec, START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
+import type { JobSpec } from "../model/jobs.js";
 
 interface StartedJob {
   readonly spec: JobSpec;
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -9,7 +9,7 @@
 import { UNKNOWN_ZONE } from "../dispatch/placement-constraints.js";
 import type { LeaderContext } from "../leader-context.js";
 import { Machine } from "../machines/machine.js";
-import { priorityRank } from "../model.js";
+import { priorityRank } from "../model/jobs.js";
 import { initialShardSize, needsShards, reshardingSize } from "../state/job-shards.js";
 import { maxValueBytes } from "../state/job-values.js";
 import {
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -2,7 +2,10 @@
 import { Cluster } from "./cluster.js";
 import type { Effect, SchedulerOptions } from "./effects.js";
 import { Machine } from "./machines/machine.js";
-import type { ClusterSettings, JobSpec, MachineType, WorkerHeartbeat } from "./model.js";
+import type { JobSpec } from "./model/jobs.js";
+import type { MachineType } from "./model/machines.js";
+import type { ClusterSettings } from "./model/settings.js";
+import type { WorkerHeartbeat } from "./model/workers.js";
 import { ValueSizeLimit } from "./state/value-size-limit.js";
 
 /** Nodes that are cut off keep such machines alive; by what runs there, so both sides agree. */
--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -6,7 +6,7 @@
  * stays bounded, a node answers by itself only after it was in contact for longer than a lease:
  * else one that loses and finds the others in turn could keep a worker going for ever.
  */
-import { CLOCK_DRIFT } from "../model.js";
+import { CLOCK_DRIFT } from "../model/constants.js";
 
 export class LeaseExtension {
   private contactSince = Number.POSITIVE_INFINITY;
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -6,7 +6,8 @@
  */
 
 import { hasExtendableLease } from "../leader-context.js";
-import type { ClusterSettings, WorkerHeartbeat } from "../model.js";
+import type { ClusterSettings } from "../model/settings.js";
+import type { WorkerHeartbeat } from "../model/workers.js";
 import type { TokenBucket } from "../overload/token-bucket.js";
 import type { StateReplica } from "../state/state-replica.js";
 import type { LeaseExtension } from "./lease-extension.js";
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -5,7 +5,7 @@
  * act: it counts from when a renewal was sent, by its own clock, less what clocks may drift apart
  * and a margin, so that it has stopped before the lease can have lapsed.
  */
-import { CLOCK_DRIFT } from "../model.js";
+import { CLOCK_DRIFT } from "../model/constants.js";
 
 /**
  * Processor time for which a leader may be held up, in seconds: the longest pass after a takeover, with the reports that
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -4,7 +4,8 @@
 import type { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
-import { START_BOUND_S, type TaskStatus } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
+import type { TaskStatus } from "../model/workers.js";
 import type { Machine } from "./machine.js";
 
 /** A task this many times slower than the middle one of its job speaks against its machine. */
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -3,7 +3,7 @@
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import { hasExtendableLease, type LeaderContext, runsServiceTasks } from "../leader-context.js";
-import { CLOCK_DRIFT } from "../model.js";
+import { CLOCK_DRIFT } from "../model/constants.js";
 import type { Machine } from "./machine.js";
 
 /** Part of all machines that may be given up as silent in a report interval. */
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -2,7 +2,9 @@
 
 import type { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { AMOUNT_TOLERANCE, type JobSpec, type MachineType } from "../model.js";
+import { AMOUNT_TOLERANCE } from "../model/constants.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
 
 export interface ExitedTask {
   readonly job: string;
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -3,7 +3,7 @@
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
 import type { PlanningContext } from "./context.js";
 import { imagePullS, isCapacityOpenTo } from "./eligibility.js";
 import { blocksGpuJob, type GpuReservation } from "./gpu-reservation.js";
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -5,7 +5,8 @@
 
 import type { Cluster } from "../cluster.js";
 import type { Machine } from "../machines/machine.js";
-import { AMOUNT_TOLERANCE, type ClusterSettings } from "../model.js";
+import { AMOUNT_TOLERANCE } from "../model/constants.js";
+import type { ClusterSettings } from "../model/settings.js";
 import type { TokenBucket } from "../overload/token-bucket.js";
 import { acceptsNewWork } from "./eligibility.js";
 
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,7 +1,8 @@
 /** Which machines take new work now, and how long an image would take there. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { ClusterSettings, JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { ClusterSettings } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 
 /** Part of a lease after which a machine whose own reports do not arrive takes no new work. */
--- a/src/core/planning/gang-placement.ts
+++ b/src/core/planning/gang-placement.ts
@@ -1,7 +1,7 @@
 /** Placement of gangs: all tasks of an attempt at once, or none. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { Machine } from "../machines/machine.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import { assignTasks, takeFirst } from "./assignment.js";
 import { type Candidate, findCandidates } from "./candidates.js";
 import type { PlanningContext } from "./context.js";
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -10,7 +10,7 @@
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import { gangSizeKey } from "../jobs/gang-starts.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { expectedImagePullS, waitedShareOfStartBound } from "./urgency.js";
 
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from "../cluster.js";
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
 
 /** GPU machines that other work must leave usable, and what a GPU job takes of one. */
 export interface GpuReservation {
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -4,7 +4,7 @@
 import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
 import { acceptsAnyMachine } from "./candidates.js";
 import type { PlanningContext } from "./context.js";
 import { imagePullS, machinesThatFit } from "./eligibility.js";
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -3,7 +3,7 @@
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { taskSlots } from "../machines/machine.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { machinesThatFit } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -9,7 +9,7 @@
 import { isMachineAllowed, UNKNOWN_ZONE } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import { taskSlots } from "../machines/machine.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import type { MachineSnapshot } from "./context.js";
 import { isCapacityOpenTo } from "./eligibility.js";
 
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -16,13 +16,9 @@
 import { FaultAttribution } from "./machines/fault-attribution.js";
 import type { Machine } from "./machines/machine.js";
 import { MachineMonitor } from "./machines/machine-monitor.js";
-import type {
-  ClusterSettings,
-  ListedMachine,
-  MachineType,
-  WorkerCommand,
-  WorkerHeartbeat,
-} from "./model.js";
+import type { ListedMachine, MachineType } from "./model/machines.js";
+import type { ClusterSettings } from "./model/settings.js";
+import type { WorkerCommand, WorkerHeartbeat } from "./model/workers.js";
 import { PlanningPass } from "./planning/scheduling-cycle.js";
 import type { MachineRecordShard } from "./state/machine-record-shards.js";
 import { OversizedValueHandler } from "./state/oversized-values.js";
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -7,7 +7,7 @@
  * conditional on the mark of the job's own value, which changes whenever one goes.
  */
 
-import type { JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
 
 /** Most bytes of one task that is under way: its machine, its number, what separates them. */
 const TASK_BYTES = 24;
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -15,7 +15,8 @@
   residuateByOutcome,
 } from "../jobs/pipeline.js";
 import { TaskRanges } from "../jobs/task-ranges.js";
-import type { JobSpec, JobView, MachineType } from "../model.js";
+import type { JobSpec, JobView } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
 
 export const KEY = {
   activeJob: (id: string) => `p/${id}`,
--- a/src/node/job-tracer.ts
+++ b/src/node/job-tracer.ts
@@ -16,7 +16,7 @@
   type Tracer,
   trace,
 } from "@opentelemetry/api";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -4,7 +4,7 @@
  */
 import type { Logger } from "pino";
 import type { Effect } from "../core/effects.js";
-import type { ClusterSettings } from "../core/model.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 import { TokenBucket } from "../core/overload/token-bucket.js";
 import type { Scheduler } from "../core/scheduler.js";
 import type { StateReplica } from "../core/state/state-replica.js";
--- a/src/node/machine-type-catalog.ts
+++ b/src/node/machine-type-catalog.ts
@@ -1,6 +1,7 @@
 /** The machine types: asked of the cloud, and kept in the state service for a start while the cloud is down. */
 import type { CloudClient } from "../cloud/client.js";
-import type { ClusterSettings, MachineType } from "../core/model.js";
+import type { MachineType } from "../core/model/machines.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 import { KEY, type StateReplica } from "../core/state/state-replica.js";
 import type { KeyValueClient } from "../state/key-value-client.js";
 import type { StateWatcher } from "../state/state-watcher.js";
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -2,7 +2,7 @@
  * What this node spends its time on, for operators who size it: a line in the log every few report intervals
  * (docs/operations-sizing.md).
  */
-import type { ClusterSettings } from "../core/model.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 
 /** Report intervals between two lines. */
 const LINE_INTERVALS = 5;
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -1,5 +1,5 @@
 /** When a node looks at what there is to do: at intervals, and soon after something came in, with time left for answers. */
-import type { ClusterSettings } from "../core/model.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 
 /** Looks in a report interval when nothing comes in. */
 const POLLS_PER_INTERVAL = 20;
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -1,5 +1,6 @@
 /** The one place that knows what this deployment calls things on the wire. */
-import type { ExitCause, JobKind, Priority, TaskState } from "../core/model.js";
+import type { JobKind, Priority } from "../core/model/jobs.js";
+import type { ExitCause, TaskState } from "../core/model/workers.js";
 
 const invert = <V extends string>(m: Record<V, string>): Record<string, V> =>
   Object.fromEntries(Object.entries(m).map(([k, v]) => [v as string, k as V]));
--- a/src/wire/schema.ts
+++ b/src/wire/schema.ts
@@ -1,6 +1,8 @@
 /** Schemas for what other programs send us, each turned into the field's terms. */
 import * as z from "zod";
-import type { JobSpec, JobView, ListedMachine, MachineType, WorkerCommand } from "../core/model.js";
+import type { JobSpec, JobView } from "../core/model/jobs.js";
+import type { ListedMachine, MachineType } from "../core/model/machines.js";
+import type { WorkerCommand } from "../core/model/workers.js";
 import { COMMAND_FROM_WIRE, KIND_FROM_WIRE, PRIORITY_FROM_WIRE, WIRE_COMMAND } from "./names.js";
 import { parseTaskName } from "./worker-heartbeat.js";
 
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,6 +1,6 @@
 /** The settings file that the platform hands over. Fields we do not know are ignored. */
 import * as z from "zod";
-import type { ClusterSettings } from "../core/model.js";
+import type { ClusterSettings } from "../core/model/settings.js";
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "not an address host:port");
 const amount = z.number().nonnegative();
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -1,5 +1,5 @@
 /** Workers' reports, and their tasks. */
-import type { TaskStatus, WorkerHeartbeat } from "../core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../core/model/workers.js";
 import {
   EXIT_CAUSE_FROM_WIRE,
   TASK_STATE_FROM_WIRE,
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -4,7 +4,7 @@
  */
 
 import type { CommandOutcome } from "../core/effects.js";
-import type { WorkerCommand, WorkerHeartbeat } from "../core/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../core/model/workers.js";
 import { HttpConnectionPool, RequestError } from "../net/http-connection-pool.js";
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
--- a/tests/admission-model.ts
+++ b/tests/admission-model.ts
@@ -20,7 +20,7 @@
   RejectionLog,
   resourcesOf,
 } from "../src/admission/index.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { KEY, type StoredJob } from "../src/core/state/state-replica.js";
 import type { Change, Precondition } from "../src/wire/key-value.js";
 import { compareDecisionLogs } from "./decision-logs.js";
--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -6,7 +6,7 @@
 import assert from "node:assert/strict";
 import { build, type Histogram } from "hdr-histogram-js";
 import { decodeLedger, decodeWindow } from "../src/admission/index.js";
-import { START_BOUND_S } from "../src/core/model.js";
+import { START_BOUND_S } from "../src/core/model/constants.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeJob } from "../src/wire/schema.js";
 import { compareDecisionLogs } from "./decision-logs.js";
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -10,7 +10,7 @@
   UNLIMITED,
   WHOLE_SHARE,
 } from "../src/admission/index.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { AdmissionModel, type InjectedFaults, type TransactionFate } from "./admission-model.js";
 import { jobSpec } from "./support/helpers.js";
 
--- a/tests/admission-shares.test.ts
+++ b/tests/admission-shares.test.ts
@@ -17,7 +17,7 @@
   WHOLE_SHARE,
   type WindowInput,
 } from "../src/admission/index.js";
-import type { Team } from "../src/core/model.js";
+import type { Team } from "../src/core/model/settings.js";
 
 // Its types describe an ES module; Node.js sees the CommonJS one, whose export is the function.
 const loadHighs = highsModule as unknown as typeof highsModule.default;
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -15,7 +15,8 @@
   WindowPlanner,
 } from "../src/admission/index.js";
 import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
-import type { JobSpec, Team } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
+import type { Team } from "../src/core/model/settings.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { AdmissionModel } from "./admission-model.js";
 import { jobSpec, settingsText, TestLeader } from "./support/helpers.js";
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Effect } from "../src/core/effects.js";
-import type { TaskStatus, WorkerHeartbeat } from "../src/core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../src/core/model/workers.js";
 import { maxValueBytes } from "../src/core/state/job-values.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
 import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -7,7 +7,7 @@
   planScaleOut,
   type ScaleOutRequest,
 } from "../src/core/capacity/scaling.js";
-import type { ListedMachine } from "../src/core/model.js";
+import type { ListedMachine } from "../src/core/model/machines.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
 
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -1,7 +1,7 @@
 /** Who is to blame when tasks fail: the machine they were on, or the job they belong to. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { jobSpec, SimulatedWorkers, type TaskFateOf, TestLeader } from "./support/helpers.js";
 
 const broken = (job: string): boolean => job.startsWith("broken");
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -4,7 +4,7 @@
 import { pino } from "pino";
 import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
 import { countMachinesByZone, planScaleOut } from "../src/core/capacity/scaling.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { Controller } from "../src/node/controller.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { maxWorkerConnections } from "../src/workers/sockets.js";
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -3,7 +3,7 @@
 import { connect, type Socket } from "node:net";
 import { after, before, beforeEach, test } from "node:test";
 import { type ApiBackend, buildServer } from "../src/api/server.js";
-import type { WorkerHeartbeat } from "../src/core/model.js";
+import type { WorkerHeartbeat } from "../src/core/model/workers.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { decode, encode } from "../src/wire/msgpack.js";
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -5,7 +5,7 @@
 import { pino } from "pino";
 import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
 import { formatResiduals, ownDependencies } from "../src/core/jobs/pipeline.js";
-import type { WorkerHeartbeat } from "../src/core/model.js";
+import type { WorkerHeartbeat } from "../src/core/model/workers.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { Controller } from "../src/node/controller.js";
 import { encodePeerHeartbeat } from "../src/peers/codec.js";
--- a/tests/pipelines.test.ts
+++ b/tests/pipelines.test.ts
@@ -10,7 +10,7 @@
   isEventExcluded,
   residuateByOutcome,
 } from "../src/core/jobs/pipeline.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
 import { jobSpec, leaderWithTwoMachines, type TestLeader, taskStatus } from "./support/helpers.js";
 
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -7,7 +7,7 @@
   UNKNOWN_ZONE,
   ZoneOccupancy,
 } from "../src/core/dispatch/placement-constraints.js";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { jobSpec } from "./support/helpers.js";
 import { placeFaults } from "./support/placement-checker.js";
 
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type ApiBackend, buildServer } from "../src/api/server.js";
-import type { JobView } from "../src/core/model.js";
+import type { JobView } from "../src/core/model/jobs.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { encode } from "../src/wire/msgpack.js";
 import { jobBody } from "./support/helpers.js";
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -3,13 +3,9 @@
  * those of the protocols: nothing in them is renamed with the source. What is read is copied to keys of its own.
  */
 import { decodeOperatorSettings, type OperatorSettings } from "../../src/config/operator.js";
-import type {
-  JobSpec,
-  ListedMachine,
-  MachineType,
-  WorkerCommand,
-  WorkerHeartbeat,
-} from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { ListedMachine, MachineType } from "../../src/core/model/machines.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { PeerHeartbeatReader } from "../../src/peers/codec.js";
 import {
   decodeLease,
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -18,7 +18,7 @@
 } from "../../src/admission/index.js";
 import { SubmissionWriter } from "../../src/api/submission-writer.js";
 import { CloudClient } from "../../src/cloud/client.js";
-import type { MachineType } from "../../src/core/model.js";
+import type { MachineType } from "../../src/core/model/machines.js";
 import { TokenBucket } from "../../src/core/overload/token-bucket.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
--- a/tests/support/helpers.ts
+++ b/tests/support/helpers.ts
@@ -2,13 +2,9 @@
 
 import type { Effect } from "../../src/core/effects.js";
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
-import type {
-  JobSpec,
-  MachineType,
-  TaskStatus,
-  WorkerCommand,
-  WorkerHeartbeat,
-} from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { MachineType } from "../../src/core/model/machines.js";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { Scheduler } from "../../src/core/scheduler.js";
 import {
   KEY,
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -6,7 +6,7 @@
 import { join } from "node:path";
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
-import type { TaskStatus } from "../../src/core/model.js";
+import type { TaskStatus } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { decodeJob } from "../../src/wire/schema.js";
--- a/tests/support/placement-checker.ts
+++ b/tests/support/placement-checker.ts
@@ -2,7 +2,7 @@
  * The rule on places (`wrong_place`), held against what simulated workers do. It counts by itself and never
  * reads the scheduler's records.
  */
-import type { JobSpec } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
 
 /** Where a task is, as its worker knows it. */
 export interface Place {
--- a/tests/support/protocol-rule-checker.ts
+++ b/tests/support/protocol-rule-checker.ts
@@ -1,5 +1,6 @@
 /** What users and workers were told or did, held against the rules of the protocol. */
-import type { JobSpec, TaskStatus } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { TaskStatus } from "../../src/core/model/workers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 
 interface ObservedJob {
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -1,5 +1,7 @@
 /** The sites that the simulation plays: zones, machine types, machines and the kinds of jobs that users submit. */
-import type { ClusterSettings, JobSpec, MachineType } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { MachineType } from "../../src/core/model/machines.js";
+import type { ClusterSettings } from "../../src/core/model/settings.js";
 import { decodeSettings } from "../../src/wire/settings.js";
 import { MACHINE_TYPES, settingsText } from "./helpers.js";
 
--- a/tests/support/simulated-machine.ts
+++ b/tests/support/simulated-machine.ts
@@ -1,5 +1,5 @@
 /** A machine of the simulation with its worker: its session and lease, the tasks on it, and what it reports. */
-import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Place } from "./placement-checker.js";
 
 /** A worker's lease, in seconds. */
--- a/tests/support/stand-ins.ts
+++ b/tests/support/stand-ins.ts
@@ -1,7 +1,7 @@
 /** Stand-ins for what peatsaddle meets: state service, cloud and workers, on loopback. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { PATH } from "../../src/wire/names.js";
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
 import { z } from "zod";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { encodePeerHeartbeat, PeerHeartbeatReader } from "../src/peers/codec.js";
 import type { KeyValueItem } from "../src/wire/key-value.js";
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { planScaleOut } from "../src/core/capacity/scaling.js";
 import { canEverRun } from "../src/core/jobs/feasibility.js";
-import type { JobKind, JobSpec } from "../src/core/model.js";
+import type { JobKind, JobSpec } from "../src/core/model/jobs.js";
 import type { StateReplica } from "../src/core/state/state-replica.js";
 import { decodeJob } from "../src/wire/schema.js";
 import {
