--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,4 +1,5 @@
 /** The cloud, through its protocol. */
+import type { ScaleOutResult } from "../core/effects.js";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { HttpConnectionPool, type HttpResponse } from "../net/http-connection-pool.js";
 import { decode, encode } from "../wire/msgpack.js";
@@ -59,18 +60,18 @@
     zone: string,
     spot: boolean,
     count: number,
-  ): Promise<{ machines: string[] } | "no capacity" | "trouble"> {
+  ): Promise<ScaleOutResult> {
     const r = await this.call("POST", PATH.machines, encodeScaleOut(name, type, zone, spot, count));
-    if (r === null) return "trouble";
+    if (r === null) return { kind: "failed" };
     if (r.status === 200) {
       const machines = decodeProvisionedMachines(decode(r.body));
-      return machines === null ? "trouble" : { machines };
+      return machines === null ? { kind: "failed" } : { kind: "provisioned", machines };
     }
     if (r.status === 503) {
       const body = decode(r.body) as { error?: string } | null;
-      return body?.error === "no capacity" ? "no capacity" : "trouble";
+      return { kind: body?.error === "no capacity" ? "no capacity" : "failed" };
     }
-    return r.status === 400 ? "no capacity" : "trouble";
+    return { kind: r.status === 400 ? "no capacity" : "failed" };
   }
 
   async releaseMachines(machines: readonly string[]): Promise<boolean> {
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -1,6 +1,7 @@
 /** The machines that the cloud gives: renting, listing and returning them. */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
+import type { ScaleOutResult } from "../effects.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
@@ -101,7 +102,7 @@
     if (this.pendingReleases.size > 0 && this.releasesInFlight === 0) {
       this.releasesInFlight++;
       this.context.effects.push({
-        kind: "return",
+        kind: "release machines",
         machines: [...this.pendingReleases.keys()].slice(0, 100),
       });
     }
@@ -111,7 +112,7 @@
     ) {
       this.isListing = true;
       this.listedAt = now;
-      this.context.effects.push({ kind: "list" });
+      this.context.effects.push({ kind: "list machines" });
     }
     if (
       this.scaleOutsInFlight === 0 &&
@@ -160,7 +161,7 @@
       const name = `t${this.context.epoch}-${this.scaleOutCount}`;
       this.context.log("rent", { ...r });
       this.context.effects.push({
-        kind: "rent",
+        kind: "scale out",
         name,
         type: r.type,
         zone: r.zone,
@@ -179,13 +180,13 @@
 
   handleScaleOutResult(
     request: { type: string; zone: string; spot: boolean; count: number },
-    result: { machines: readonly string[] } | "no capacity" | "trouble",
+    result: ScaleOutResult,
     now: number,
   ): void {
     this.scaleOutsInFlight--;
     const key = offerKey(request.type, request.zone, request.spot);
-    if (result === "trouble") this.nextCloudRequestAt = now + 1;
-    else if (result === "no capacity")
+    if (result.kind === "failed") this.nextCloudRequestAt = now + 1;
+    else if (result.kind === "no capacity")
       this.capacityBackoffUntil.set(
         key,
         now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS,
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -181,7 +181,7 @@
         kind: "send",
         machine: m.name,
         address: m.address,
-        session: Math.max(m.incarnation, 1),
+        incarnation: Math.max(m.incarnation, 1),
         commands: [],
       });
       return;
@@ -199,7 +199,7 @@
       kind: "send",
       machine: m.name,
       address: m.address,
-      session: m.incarnation,
+      incarnation: m.incarnation,
       commands,
     });
   }
@@ -215,7 +215,7 @@
   probe(m: Machine): void {
     m.hasRequestInFlight = true;
     this.probesInFlight.add(m.name);
-    this.context.effects.push({ kind: "show", machine: m.name, address: m.address });
+    this.context.effects.push({ kind: "probe", machine: m.name, address: m.address });
   }
 
   /**
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -22,7 +22,7 @@
     if (this.machinePool.terminated.has(r.machine)) return null;
     if (r.fencingToken > this.context.epoch) {
       this.context.effects.push({
-        kind: "resign",
+        kind: "step down",
         why: `machine ${r.machine} has seen a higher token`,
       });
       return null;
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -99,7 +99,7 @@
       now - this.context.startedAt > 3 * reportS
     ) {
       this.context.effects.push({
-        kind: "resign",
+        kind: "step down",
         why: `hears ${heard} of ${known.length} workers`,
       });
       return true;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -10,7 +10,13 @@
 import { CommandDispatcher } from "./dispatch/command-dispatcher.js";
 import { taskKey } from "./dispatch/placement.js";
 import { isNewer, Reconciler } from "./dispatch/reconciler.js";
-import type { CommandOutcome, Effect, SchedulerOptions, TransactionOutcome } from "./effects.js";
+import type {
+  CommandOutcome,
+  Effect,
+  ScaleOutResult,
+  SchedulerOptions,
+  TransactionOutcome,
+} from "./effects.js";
 import { JobLifecycle } from "./jobs/job-lifecycle.js";
 import { LeaderContext, runsServiceTasks } from "./leader-context.js";
 import { FaultAttribution } from "./machines/fault-attribution.js";
@@ -208,12 +214,12 @@
       const p = m.placements.get(key);
       if (p !== undefined) p.startsInFlight--;
       if (outcome.kind === "lost") {
-        if (outcome.sent) m.unansweredStarts.set(key, this.context.epoch);
+        if (outcome.mayArrive) m.unansweredStarts.set(key, this.context.epoch);
         else if (p !== undefined && p.state === "sent") p.state = "planned";
       } else if (!outcome.executed && p !== undefined && p.state === "sent") p.state = "planned";
     }
     if (outcome.kind === "lost") this.dispatcher.noteUnansweredRequest(m, now);
-    else this.handleDirectAnswer(m, outcome.report, now);
+    else this.handleDirectAnswer(m, outcome.heartbeat, now);
     this.dispatcher.sendDue(m, now);
     return this.context.takeEffects();
   }
@@ -274,7 +280,7 @@
           p === undefined ? m.exitedTasks.has(key) : p.stop !== null && p.state === "sent";
         if (!matters) continue;
         this.isAdvancingFencingToken = true;
-        this.context.effects.push({ kind: "raise token" });
+        this.context.effects.push({ kind: "advance fencing token" });
         return;
       }
     }
@@ -299,7 +305,7 @@
 
   scaleOutAnswered(
     request: { type: string; zone: string; spot: boolean; count: number },
-    result: { machines: readonly string[] } | "no capacity" | "trouble",
+    result: ScaleOutResult,
     now: number,
   ): Effect[] {
     this.machinePool.handleScaleOutResult(request, result, now);
@@ -361,13 +367,12 @@
   transactionEnded(
     w: LeaderTransaction,
     outcome: TransactionOutcome,
-    revision: number,
     records: StateReplica,
     now: number,
   ): Effect[] {
     this.hasTransactionInFlight = false;
-    if (outcome === "ok") this.applyCommitted(w, revision);
-    else if (outcome !== "refused") this.reconcileWithReplica(w, records, now);
+    if (outcome.kind === "committed") this.applyCommitted(w, outcome.revision);
+    else if (outcome.kind !== "refused") this.reconcileWithReplica(w, records, now);
     const machines = new Set<Machine>();
     for (const { job } of w.jobWrites) {
       for (const p of job.allPlacements()) if (p.state === "planned") machines.add(p.machine);
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -548,8 +548,8 @@
     }
     const leading = this.leadership.current;
     if (leading === null) return;
-    if (o.kind === "raise token") this.leadership.fencingTokenAdvanceRequested = true;
-    else if (o.kind === "resign") {
+    if (o.kind === "advance fencing token") this.leadership.fencingTokenAdvanceRequested = true;
+    else if (o.kind === "step down") {
       this.leadership.startElectionCooldown(2 * this.settings.cluster.heartbeatIntervalS);
       this.leadership.stepDown(o.why);
     } else this.effectExecutor.perform(o, leading);
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -1,6 +1,6 @@
 /** Carries out what the scheduler asks for, and gives it the results while it still leads. */
 import type { CloudClient } from "../cloud/client.js";
-import type { Effect } from "../core/effects.js";
+import type { Effect, ScaleOutResult } from "../core/effects.js";
 import type { WorkerClient } from "../workers/client.js";
 import { maxWorkerConnections } from "../workers/sockets.js";
 import type { ActiveLeadership } from "./leadership.js";
@@ -34,18 +34,18 @@
     switch (o.kind) {
       case "send": {
         if (!acting) {
-          const lost = { kind: "lost", sent: false } as const;
+          const lost = { kind: "lost", mayArrive: false } as const;
           setImmediate(() =>
             back(() => scheduler.commandsAnswered(o.machine, o.commands, lost, now())),
           );
           return;
         }
         void this.workers
-          .send(o.address, term.epoch, o.session, o.commands)
+          .send(o.address, term.epoch, o.incarnation, o.commands)
           .then((r) => back(() => scheduler.commandsAnswered(o.machine, o.commands, r, now())));
         return;
       }
-      case "show": {
+      case "probe": {
         const began = now();
         void this.workers.probe(o.address).then((r) => {
           const late = now() - began > (1.25 * reportS) / 3;
@@ -53,17 +53,17 @@
         });
         return;
       }
-      case "rent":
+      case "scale out":
         void (
           acting ? this.cloud.scaleOut(o.name, o.type, o.zone, o.spot, o.count) : refusedScaleOut()
         ).then((r) => back(() => scheduler.scaleOutAnswered(o, r, now())));
         return;
-      case "return":
+      case "release machines":
         void (acting ? this.cloud.releaseMachines(o.machines) : Promise.resolve(false)).then((ok) =>
           back(() => scheduler.releaseAnswered(o.machines, ok, now())),
         );
         return;
-      case "list":
+      case "list machines":
         void this.cloud.listMachines().then((l) => {
           back(() => scheduler.machineListAnswered(l, now()));
           const addresses = scheduler.workerAddresses();
@@ -77,4 +77,4 @@
   }
 }
 
-const refusedScaleOut = (): Promise<"trouble"> => Promise.resolve("trouble");
+const refusedScaleOut = (): Promise<ScaleOutResult> => Promise.resolve({ kind: "failed" });
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -3,7 +3,7 @@
  * and the service's limits allow, each under the term that it was composed in.
  */
 import type { Logger } from "pino";
-import type { Effect } from "../core/effects.js";
+import type { Effect, TransactionOutcome } from "../core/effects.js";
 import type { ClusterSettings } from "../core/model/settings.js";
 import { TokenBucket } from "../core/overload/token-bucket.js";
 import type { Scheduler } from "../core/scheduler.js";
@@ -134,22 +134,19 @@
     const { term, scheduler } = leading;
     const { now, log, performEffects: perform } = this.options;
     const r = await this.keyValueClient.transact(w.preconditions, w.changes);
-    const finish = (
-      outcome: Parameters<Scheduler["transactionEnded"]>[1],
-      revision: number,
-    ): void => {
+    const finish = (outcome: TransactionOutcome): void => {
       if (leadership.current !== leading) return;
-      perform(scheduler.transactionEnded(w, outcome, revision, this.replica, now()));
+      perform(scheduler.transactionEnded(w, outcome, this.replica, now()));
     };
     if (r.kind === "ok") {
       this.raiseChangeLimit();
-      return finish("ok", r.revision);
+      return finish({ kind: "committed", revision: r.revision });
     }
     if (r.kind === "refused") {
       log.debug({ status: r.status }, "write refused");
       if (r.status === 400) this.handleOversizedTransaction(scheduler, w);
       this.leaderBudget.recordRefusal(now());
-      finish("refused", 0);
+      finish({ kind: "refused" });
       await sleepSeconds(this.cluster.heartbeatIntervalS / 30);
       return;
     }
@@ -164,7 +161,7 @@
       if (leadership.current === leading) leadership.stepDown("a write found another epoch");
       return;
     }
-    finish(r.kind === "failed" ? "conflict" : "unknown", 0);
+    finish({ kind: r.kind === "failed" ? "conflict" : "unknown" });
   }
 
   /** Too large, or its lease is over. Smaller ones may pass; one that can't be smaller waits. */
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -54,10 +54,10 @@
       const r = await this.poolFor(address).request("POST", PATH.commands, body, this.timeoutMs);
       const report =
         r.status === 200 || r.status === 409 ? decodeWorkerHeartbeat(decode(r.body)) : null;
-      if (report === null) return { kind: "lost", sent: r.status !== 400 };
-      return { kind: "answer", executed: r.status === 200, report };
+      if (report === null) return { kind: "lost", mayArrive: r.status !== 400 };
+      return { kind: "answered", executed: r.status === 200, heartbeat: report };
     } catch (e) {
-      return { kind: "lost", sent: e instanceof RequestError ? e.mayHaveArrived : true };
+      return { kind: "lost", mayArrive: e instanceof RequestError ? e.mayHaveArrived : true };
     }
   }
 
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -79,7 +79,7 @@
   h.flushWrites();
   let shows = 0;
   const count = (out: Effect[]): void => {
-    shows += out.filter((o) => o.kind === "show").length;
+    shows += out.filter((o) => o.kind === "probe").length;
     h.performEffects(out);
   };
   for (let t = 0; t < 60; t++) {
@@ -98,7 +98,7 @@
   for (let t = 0; t < 3; t++) {
     h.now += 1.4;
     for (const o of h.scheduler.tick(h.now, h.now * 1000)) {
-      if (o.kind === "show") asked.add(o.machine);
+      if (o.kind === "probe") asked.add(o.machine);
     }
   }
   assert.ok(asked.size > 0 && asked.size <= 1500 / 50, `${asked.size} asked`);
@@ -136,7 +136,7 @@
       h.scheduler.commandsAnswered(
         o.machine,
         o.commands,
-        { kind: "answer", executed: true, report },
+        { kind: "answered", executed: true, heartbeat: report },
         h.now,
       ),
     );
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -159,7 +159,7 @@
     h.scheduler.commandsAnswered(
       m,
       [],
-      { kind: "answer", executed: true, report: report(m, "fetching") },
+      { kind: "answered", executed: true, heartbeat: report(m, "fetching") },
       h.now,
     );
   }
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -158,7 +158,7 @@
         else if (c.op === "forget") on.delete(key);
       }
       const report = h.makeHeartbeat(o.machine, doneOn(on));
-      const answer = { kind: "answer", executed: true, report } as const;
+      const answer = { kind: "answered", executed: true, heartbeat: report } as const;
       h.performEffects(h.scheduler.commandsAnswered(o.machine, o.commands, answer, h.now));
     }
     for (const name of h.pendingProbes.splice(0)) {
--- a/tests/parts.test.ts
+++ b/tests/parts.test.ts
@@ -124,7 +124,7 @@
   w.runFor(6);
   const late = h.scheduler.nextTransaction(32, 60_000)!;
   assert.ok(late.changes.some((c) => c.key.startsWith("q/guest/")));
-  h.performEffects(h.scheduler.transactionEnded(late, "refused", 0, h.replica, h.now));
+  h.performEffects(h.scheduler.transactionEnded(late, { kind: "refused" }, h.replica, h.now));
   h.isStoreAvailable = true;
   w.runFor(40);
   assert.equal(h.replica.shardsOf("guest").has(0), false, "part 0 is over");
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -95,6 +95,9 @@
   [200, {}],
 ];
 
+/** Results as the kept examples name them. */
+const KEPT_RESULTS = { "no capacity": "no capacity", failed: "trouble" } as const;
+
 async function askCloud(address: string): Promise<unknown[]> {
   const cloud = new CloudClient(address, 5000);
   const types = await cloud.fetchCatalog();
@@ -102,7 +105,7 @@
   const hired: unknown[] = [];
   for (let i = 0; i < 4; i++) {
     const r = await cloud.scaleOut("hire-1", "small", "a", true, 3);
-    hired.push(typeof r === "string" ? r : r.machines);
+    hired.push(r.kind === "provisioned" ? r.machines : KEPT_RESULTS[r.kind]);
   }
   const returned = [await cloud.releaseMachines(["m-1", "m-2"]), await cloud.releaseMachines([])];
   return [types?.map((t) => t.name), listed?.map((m) => m.name), hired, returned];
@@ -131,7 +134,7 @@
   const sent: unknown[] = [];
   for (let i = 0; i < 3; i++) {
     const r = await workers.send(address, 6, 4, i === 0 ? commands : []);
-    sent.push(r.kind === "answer" ? [r.executed, r.report.machine] : ["lost", r.sent]);
+    sent.push(r.kind === "answered" ? [r.executed, r.heartbeat.machine] : ["lost", r.mayArrive]);
   }
   const shown = await workers.probe(address);
   workers.closeAllExcept(new Set());
--- a/tests/support/helpers.ts
+++ b/tests/support/helpers.ts
@@ -278,7 +278,9 @@
     this.rejectedTransactions++;
     if (w.changes.length > 1) this.maxChanges = Math.max(1, w.changes.length >> 1);
     else this.scheduler.handleRefusedValue(w, this.now);
-    this.performEffects(this.scheduler.transactionEnded(w, "refused", 0, this.replica, this.now));
+    this.performEffects(
+      this.scheduler.transactionEnded(w, { kind: "refused" }, this.replica, this.now),
+    );
   }
 
   commitWrite(w: LeaderTransaction): void {
@@ -315,7 +317,12 @@
     if (what.length > 0) this.traceLines.push(`write ${what.join("; ")}`);
     this.replica.apply(events, this.revision);
     this.performEffects(
-      this.scheduler.transactionEnded(w, "ok", this.revision, this.replica, this.now),
+      this.scheduler.transactionEnded(
+        w,
+        { kind: "committed", revision: this.revision },
+        this.replica,
+        this.now,
+      ),
     );
   }
 
@@ -374,7 +381,7 @@
         this.scheduler.commandsAnswered(
           o.machine,
           o.commands,
-          { kind: "lost", sent: true },
+          { kind: "lost", mayArrive: true },
           this.now,
         ),
       );
@@ -385,7 +392,7 @@
         this.scheduler.commandsAnswered(
           o.machine,
           o.commands,
-          { kind: "answer", executed: true, report },
+          { kind: "answered", executed: true, heartbeat: report },
           this.now,
         ),
       );
@@ -399,12 +406,13 @@
         this.unansweredRequests.push(o);
         const c = o.commands.map((x) => `${x.op} ${x.job}/${x.task}#${x.attempt}`);
         this.traceLines.push(`send ${o.machine}: ${c.length === 0 ? "fence" : c.join(", ")}`);
-      } else if (o.kind === "return") this.traceLines.push(`cloud return ${o.machines.join(" ")}`);
-      else if (o.kind === "show" && this.unreachableMachines.has(o.machine))
+      } else if (o.kind === "release machines")
+        this.traceLines.push(`cloud return ${o.machines.join(" ")}`);
+      else if (o.kind === "probe" && this.unreachableMachines.has(o.machine))
         this.performEffects(this.scheduler.probeAnswered(o.machine, null, this.now));
-      else if (o.kind === "show") this.pendingProbes.push(o.machine);
-      else if (o.kind === "raise token") this.traceLines.push("raise the token");
-      else if (o.kind === "resign") this.traceLines.push(`resign: ${o.why}`);
+      else if (o.kind === "probe") this.pendingProbes.push(o.machine);
+      else if (o.kind === "advance fencing token") this.traceLines.push("raise the token");
+      else if (o.kind === "step down") this.traceLines.push(`resign: ${o.why}`);
     }
   }
 
@@ -480,8 +488,8 @@
         const known = this.tasksByMachine.has(o.machine);
         if (known) for (const c of o.commands) this.execute(o.machine, c);
         const outcome = known
-          ? { kind: "answer" as const, executed: true, report: this.heartbeatOf(o.machine) }
-          : { kind: "lost" as const, sent: false };
+          ? { kind: "answered" as const, executed: true, heartbeat: this.heartbeatOf(o.machine) }
+          : { kind: "lost" as const, mayArrive: false };
         h.performEffects(h.scheduler.commandsAnswered(o.machine, o.commands, outcome, h.now));
       }
       for (const name of h.pendingProbes.splice(0)) {
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -5,7 +5,7 @@
  */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { Effect } from "../../src/core/effects.js";
+import type { Effect, TransactionOutcome } from "../../src/core/effects.js";
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
 import { hasExtendableLease } from "../../src/core/leader-context.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
@@ -503,13 +503,13 @@
     };
     for (const o of outputs) {
       if (o.kind === "send") this.sendCommands(l, o, back);
-      else if (o.kind === "show") {
+      else if (o.kind === "probe") {
         this.schedule(0.05, () => {
           const m = this.machines.get(o.machine);
           const report = m?.isReachable(this.now) ? this.probe(m) : null;
           back(() => l.scheduler.probeAnswered(o.machine, report, this.now));
         });
-      } else if (o.kind === "return") {
+      } else if (o.kind === "release machines") {
         const ok = this.now >= this.cloudUnavailableUntil && !this.faultOccurs(4);
         this.schedule(0.3, () => {
           for (const name of ok ? o.machines : []) {
@@ -521,14 +521,14 @@
           }
           back(() => l.scheduler.releaseAnswered(o.machines, ok, this.now));
         });
-      } else if (o.kind === "rent") {
+      } else if (o.kind === "scale out") {
         this.scaleOut(l, o, back);
-      } else if (o.kind === "list") {
+      } else if (o.kind === "list machines") {
         this.schedule(0.2, () =>
           back(() => l.scheduler.machineListAnswered(this.listMachines(), this.now)),
         );
-      } else if (o.kind === "raise token") this.advanceFencingToken(l, back);
-      else if (o.kind === "resign") this.endLeadership(o.why);
+      } else if (o.kind === "advance fencing token") this.advanceFencingToken(l, back);
+      else if (o.kind === "step down") this.endLeadership(o.why);
       else if (o.kind === "log" && TRACED_LOG_MESSAGES.has(o.message)) {
         this.addTraceLine(`${o.message} ${Object.values(o.fields).join(" ")}`);
       }
@@ -550,12 +550,12 @@
   /** Machines come up at once or later; the request may be carried out late, its answer lost. */
   private scaleOut(
     l: SimulatedLeader,
-    o: Extract<Effect, { kind: "rent" }>,
+    o: Extract<Effect, { kind: "scale out" }>,
     back: (f: () => Effect[]) => void,
   ) {
     if (this.machines.size >= this.cluster.maxMachines || this.randomBelow(4) === 0) {
       this.schedule(0.2, () =>
-        back(() => l.scheduler.scaleOutAnswered(o, "no capacity", this.now)),
+        back(() => l.scheduler.scaleOutAnswered(o, { kind: "no capacity" }, this.now)),
       );
       return;
     }
@@ -568,10 +568,15 @@
           this.bootMachine(o.type, o.zone, o.spot, name),
         );
       }
-      if (!answerLost) back(() => l.scheduler.scaleOutAnswered(o, { machines: names }, this.now));
+      if (!answerLost)
+        back(() =>
+          l.scheduler.scaleOutAnswered(o, { kind: "provisioned", machines: names }, this.now),
+        );
     });
     if (answerLost)
-      this.schedule(1, () => back(() => l.scheduler.scaleOutAnswered(o, "trouble", this.now)));
+      this.schedule(1, () =>
+        back(() => l.scheduler.scaleOutAnswered(o, { kind: "failed" }, this.now)),
+      );
   }
 
   private sendCommands(
@@ -584,7 +589,7 @@
       const m = this.machines.get(o.machine);
       if (m === undefined || !m.isReachable(this.now)) return null;
       this.expireLease(m);
-      const fits = token >= m.fencingToken && o.session === m.incarnation;
+      const fits = token >= m.fencingToken && o.incarnation === m.incarnation;
       m.fencingToken = Math.max(m.fencingToken, token);
       if (fits) this.execute(m, o.commands);
       executed = fits;
@@ -593,7 +598,12 @@
     let executed = false;
     const lost = (): void =>
       back(() =>
-        l.scheduler.commandsAnswered(o.machine, o.commands, { kind: "lost", sent: true }, this.now),
+        l.scheduler.commandsAnswered(
+          o.machine,
+          o.commands,
+          { kind: "lost", mayArrive: true },
+          this.now,
+        ),
       );
     if (this.faultOccurs(this.faultOdds.message)) {
       // Held up on the way, for seconds or minutes; the sender has given it up meanwhile.
@@ -605,7 +615,7 @@
     this.schedule(0.05, () => {
       const report = deliver();
       if (report === null || answerLost) return this.schedule(1, lost);
-      const outcome = { kind: "answer" as const, executed, report };
+      const outcome = { kind: "answered" as const, executed, heartbeat: report };
       this.schedule(0.05, () =>
         back(() => l.scheduler.commandsAnswered(o.machine, o.commands, outcome, this.now)),
       );
@@ -637,39 +647,36 @@
     const w = l.scheduler.nextTransaction(32, 60_000);
     if (w === null) return;
     l.isWriting = true;
-    const finish = (outcome: "ok" | "unknown" | "conflict" | "refused", revision: number): void => {
+    const finish = (outcome: TransactionOutcome): void => {
       l.isWriting = false;
       if (this.leader !== l) return;
-      if (outcome === "unknown" || outcome === "conflict") this.catchUpReplica(l);
+      if (outcome.kind === "unknown" || outcome.kind === "conflict") this.catchUpReplica(l);
       if (this.leader !== l) return;
-      this.performEffects(
-        l,
-        l.scheduler.transactionEnded(w, outcome, revision, l.replica, this.now),
-      );
+      this.performEffects(l, l.scheduler.transactionEnded(w, outcome, l.replica, this.now));
     };
     this.carryOutWrite(w, finish);
   }
 
-  private carryOutWrite(
-    w: LeaderTransaction,
-    finish: (o: "ok" | "unknown" | "conflict" | "refused", r: number) => void,
-  ) {
+  private carryOutWrite(w: LeaderTransaction, finish: (outcome: TransactionOutcome) => void) {
     if (this.faultOccurs(this.faultOdds.writeNext))
-      return this.schedule(0.1, () => finish("refused", 0));
+      return this.schedule(0.1, () => finish({ kind: "refused" }));
     if (this.faultOccurs(this.faultOdds.writeNext)) {
       this.addTraceLine("a write is held up");
       this.schedule(
         2 + this.randomBelow(11),
         () => void this.store.commit(w.preconditions, w.changes),
       );
-      return this.schedule(1, () => finish("unknown", 0));
+      return this.schedule(1, () => finish({ kind: "unknown" }));
     }
     const answerLost = this.faultOccurs(this.faultOdds.writeNext);
     this.schedule(0.03, () => {
       const ok = this.store.commit(w.preconditions, w.changes);
       const { revision } = this.store;
-      if (answerLost) this.schedule(1, () => finish("unknown", 0));
-      else this.schedule(0.02, () => finish(ok ? "ok" : "conflict", revision));
+      if (answerLost) this.schedule(1, () => finish({ kind: "unknown" }));
+      else
+        this.schedule(0.02, () =>
+          finish(ok ? { kind: "committed", revision } : { kind: "conflict" }),
+        );
     });
   }
 
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -208,7 +208,7 @@
 test("wrong_place: a worker's own report corrects what is known of its machine", () => {
   const h = leaderWithTwoMachines();
   const request = { type: "small", zone: "a", spot: false, count: 1 };
-  h.scheduler.scaleOutAnswered(request, { machines: ["m9b"] }, h.now);
+  h.scheduler.scaleOutAnswered(request, { kind: "provisioned", machines: ["m9b"] }, h.now);
   const m = h.scheduler.cluster.machines.get("m9b")!;
   assert.equal(m.zone, "a");
   h.receiveHeartbeat("m9b", [], { type: "big", zone: "b", spot: true });
