--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,7 +1,7 @@
 /** The routes for users, health checks and heartbeats, and the answer to each request. */
 import type { FastifyInstance, FastifyReply } from "fastify";
 import { assertNever } from "../core/assert-never.js";
-import type { JobSpec, JobView } from "../core/model.js";
+import type { JobSpec, JobView } from "../core/model/jobs.js";
 import type { AdaptiveConcurrencyLimit } from "../core/overload/adaptive-concurrency-limit.js";
 import { isValidJobId } from "../wire/fields.js";
 import { decodeJob, decodeJobId, encodeJobView } from "../wire/jobs.js";
--- a/src/api/submission-gate.ts
+++ b/src/api/submission-gate.ts
@@ -1,5 +1,5 @@
 /** The gate that admission control sets before the transactions of submissions. */
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
 import type { SubmissionWriteResult } from "./outcomes.js";
 import { FifoQueue, type PendingQueue } from "./pending-queue.js";
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -1,6 +1,6 @@
 /** A submission from the HTTP server to its transaction: the jobs that it depends on, admission, and the write. */
 import type { AdmissionControl } from "../admission/index.js";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { StateReplica } from "../core/state/state-replica.js";
 import type { StateWatcher } from "../state/state-watcher.js";
 import { KNOWN, NEVER, type SubmissionOutcome, UNAVAILABLE } from "./outcomes.js";
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -1,10 +1,12 @@
 /** The pool of machines that the cloud provides: scaling out, listing and releasing them. */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
+import type { ScaleOutResult } from "../effects.js";
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
-import type { JobSpec, ListedMachine } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { ListedMachine } from "../model/machines.js";
 import { MachineRecordShards } from "../state/machine-record-shards.js";
 import { BootTimeouts } from "./boot-timeouts.js";
 import { MachineListReconciler } from "./machine-list.js";
@@ -116,13 +118,13 @@
   /** The outcome of a scale-out. */
   handleScaleOutResult(
     request: { type: string; zone: string; spot: boolean; count: number },
-    result: { machines: readonly string[] } | "no capacity" | "trouble",
+    result: ScaleOutResult,
     now: number,
   ): void {
     this.scaleOutsInFlight--;
     const key = offerKey(request.type, request.zone, request.spot);
-    if (result === "trouble") this.nextCloudRequestAt = now + 1;
-    else if (result === "no capacity")
+    if (result.kind === "failed") this.nextCloudRequestAt = now + 1;
+    else if (result.kind === "no capacity")
       this.capacityBackoffUntil.set(
         key,
         now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS,
@@ -167,7 +169,7 @@
     if (this.pendingReleases.size === 0 || this.releasesInFlight !== 0) return;
     this.releasesInFlight++;
     this.context.effects.push({
-      kind: "return",
+      kind: "release machines",
       machines: [...this.pendingReleases.keys()].slice(0, MAXIMUM_RELEASES_PER_REQUEST),
     });
   }
@@ -177,7 +179,7 @@
     if (this.isListing || now - this.listedAt <= intervalS) return;
     this.isListing = true;
     this.listedAt = now;
-    this.context.effects.push({ kind: "list" });
+    this.context.effects.push({ kind: "list machines" });
   }
 
   private scaleIfDue(now: number): void {
@@ -239,7 +241,7 @@
     const { type, zone, spot, count } = request;
     // Request names are never used again: the epoch is this term's alone.
     const name = `t${this.context.epoch}-${this.scaleOutCount}`;
-    this.context.effects.push({ kind: "rent", name, type, zone, spot, count });
+    this.context.effects.push({ kind: "scale out", name, type, zone, spot, count });
   }
 
   private scaleIn(scaling: ScalingContext, isUnused: boolean): void {
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -3,7 +3,7 @@
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { ExitedTask, Machine } from "../machines/machine.js";
-import type { WorkerCommand } from "../model.js";
+import type { WorkerCommand } from "../model/workers.js";
 import { TokenBucket } from "../overload/token-bucket.js";
 import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
@@ -153,7 +153,7 @@
   probe(machine: Machine): void {
     machine.hasRequestInFlight = true;
     this.probesInFlight.add(machine.name);
-    this.context.effects.push({ kind: "show", machine: machine.name, address: machine.address });
+    this.context.effects.push({ kind: "probe", machine: machine.name, address: machine.address });
   }
 
   private stopIfDue(placement: Placement, stop: StopRequest, now: number): WorkerCommand | null {
@@ -271,7 +271,7 @@
       kind: "send",
       machine: machine.name,
       address: machine.address,
-      session: incarnation,
+      incarnation,
       commands,
     });
   }
--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -4,7 +4,8 @@
  * The only module that knows them. Placement, preemption, reservation, relocation and scale-out all ask it, and every
  * start asks it again. What is not known counts as the worst case: a machine whose zone is unknown may be in any.
  */
-import type { JobSpec, MachineType } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
 
 /** Zone of a machine of which the zone is not known. */
 export const UNKNOWN_ZONE = "";
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -4,7 +4,7 @@
 import type { LeaderContext } from "../leader-context.js";
 import type { FaultAttribution } from "../machines/fault-attribution.js";
 import type { Machine } from "../machines/machine.js";
-import type { TaskStatus } from "../model.js";
+import type { TaskStatus } from "../model/workers.js";
 import { range } from "../range.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { Placement, taskKey } from "./placement.js";
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -3,7 +3,7 @@
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { LeaderContext } from "../leader-context.js";
-import { CLOCK_DRIFT } from "../model.js";
+import { CLOCK_DRIFT } from "../model/constants.js";
 import type { Machine } from "./machine.js";
 import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
 import { ZoneSilence } from "./zone-silence.js";
@@ -92,7 +92,7 @@
     const hadTime = now - this.context.startedAt > 3 * heartbeatIntervalS;
     if (known.length <= 2 || recent >= known.length / 3 || !hadTime) return false;
     this.context.effects.push({
-      kind: "resign",
+      kind: "step down",
       why: `heartbeats from ${recent} of ${known.length} workers only`,
     });
     return true;
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -5,7 +5,8 @@
 
 import type { Cluster } from "../cluster.js";
 import type { Machine } from "../machines/machine.js";
-import type { ClusterSettings, JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { ClusterSettings } from "../model/settings.js";
 import type { TokenBucket } from "../overload/token-bucket.js";
 
 /** Input of one scheduling cycle, the same for all of its steps. */
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -4,7 +4,9 @@
  *
  * Each `WIRE_...` maps a term to its name on the wire, each `..._FROM_WIRE` a name to its term.
  */
-import type { ExitCause, JobKind, Priority, TaskState } from "../core/model.js";
+
+import type { JobKind, Priority } from "../core/model/jobs.js";
+import type { ExitCause, TaskState } from "../core/model/workers.js";
 
 const invert = <Term extends string>(names: Record<Term, string>): Record<string, Term> =>
   Object.fromEntries(Object.entries(names).map(([term, name]) => [name as string, term as Term]));
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -103,7 +103,7 @@
   leader.flushWrites();
   let probes = 0;
   const count = (effects: Effect[]): void => {
-    probes += effects.filter((effect) => effect.kind === "show").length;
+    probes += effects.filter((effect) => effect.kind === "probe").length;
     leader.performEffects(effects);
   };
   for (let step = 0; step < 60; step++) {
@@ -122,7 +122,7 @@
   for (let step = 0; step < 3; step++) {
     leader.now += 1.4;
     for (const effect of leader.scheduler.tick(leader.now, leader.now * 1000)) {
-      if (effect.kind === "show") probed.add(effect.machine);
+      if (effect.kind === "probe") probed.add(effect.machine);
     }
   }
   assert.ok(probed.size > 0 && probed.size <= MAX_REQUESTS_IN_FLIGHT, `${probed.size} probed`);
@@ -163,7 +163,7 @@
       leader.scheduler.commandsAnswered(
         machine,
         commands,
-        { kind: "answer", executed: true, report },
+        { kind: "answered", executed: true, heartbeat: report },
         leader.now,
       ),
     );
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -1,7 +1,7 @@
 /** Fault attribution: whether the machine or the job is at fault when tasks fail. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobSpec } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
 import { jobSpec, SimulatedWorkers, type TaskFateOf, TestLeader } from "./support/helpers.js";
 
 const broken = (job: string): boolean => job.startsWith("broken");
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -4,7 +4,8 @@
 import { pino } from "pino";
 import { DEFAULT_OPERATOR_SETTINGS } from "../src/config/operator.js";
 import { countMachinesByZone, planScaleOut } from "../src/core/capacity/scaling.js";
-import type { JobSpec, TaskState, WorkerHeartbeat } from "../src/core/model.js";
+import type { JobSpec } from "../src/core/model/jobs.js";
+import type { TaskState, WorkerHeartbeat } from "../src/core/model/workers.js";
 import { Controller } from "../src/node/controller.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { maxWorkerConnections } from "../src/workers/sockets.js";
@@ -176,7 +177,7 @@
   assert.deepEqual(takeSent(), pulling);
   for (const machine of pulling) {
     const report = heartbeat(machine, "pulling image");
-    const outcome = { kind: "answer", executed: true, report } as const;
+    const outcome = { kind: "answered", executed: true, heartbeat: report } as const;
     leader.scheduler.commandsAnswered(machine, [], outcome, leader.now);
   }
   for (let i = 0; i < 12; i++) {
--- a/tests/support/placement-checker.ts
+++ b/tests/support/placement-checker.ts
@@ -2,7 +2,7 @@
  * Checks the protocol rule on placement (`wrong_place`) against what simulated workers do. It counts independently and
  * never reads the scheduler's state.
  */
-import type { JobSpec } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
 
 /** Where a task is, as its worker knows it. */
 export interface Place {
