--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -31,26 +31,26 @@
 
 /**
  * Reserves the free capacity of one zone for a gang that could not be placed, until the next cycle. Smaller jobs would
- * take each machine as it comes free, and a gang of many would never find them free at one moment; jobs behind it in
- * the queue get the rest. In the next cycle a gang before it does not find the capacity reserved. One gang at a time
- * reserves in a zone: two together kept a third of it idle. `zonesTaken`: zones reserved in this cycle, added to here
- * while the gang does not fit its zone.
+ * take each machine as it comes free, and a gang of many would never find them free at one moment; jobs that follow in
+ * the queue get the rest. In the next cycle a gang that precedes it does not find the capacity reserved. One gang at a
+ * time reserves in a zone: two together kept a third of it idle. `reservedZones`: zones with a reservation of this
+ * cycle; the gang's zone is added while it lacks capacity there.
  */
 export function reserveGangCapacity(
   job: ActiveJob,
   context: PlanningContext,
-  zonesTaken: Set<string>,
+  reservedZones: Set<string>,
 ): void {
   const previousZone = job.reservedZone;
   job.reservedZone = null;
-  if (zonesTaken.has(ANY_ZONE) || zonesTaken.size >= context.settings.zones.length) return;
+  if (reservedZones.has(ANY_ZONE) || reservedZones.size >= context.settings.zones.length) return;
   if (!mayReserveCapacity(job, context)) return;
-  const capacities = capacityByZone(job, context, zonesTaken);
+  const capacities = capacityByZone(job, context, reservedZones);
   const zone = chooseZone(capacities, job.spec.tasks, previousZone);
   if (zone === null) return;
   job.reservedZone = zone;
   const missingSlots = reserveMachines(job, capacities.get(zone)!.machines, context);
-  if (missingSlots > 0) zonesTaken.add(zone);
+  if (missingSlots > 0) reservedZones.add(zone);
 }
 
 function mayReserveCapacity(job: ActiveJob, context: PlanningContext): boolean {
@@ -59,11 +59,11 @@
   return context.cluster.quotaSlots(job.spec) >= tasks;
 }
 
-/** Capacity for the gang in each zone that is not taken, or under `ANY_ZONE` if it is not bound to one. */
+/** Capacity for the gang in each zone without another reservation, or under `ANY_ZONE` if it is not bound to one. */
 function capacityByZone(
   job: ActiveJob,
   context: PlanningContext,
-  zonesTaken: ReadonlySet<string>,
+  reservedZones: ReadonlySet<string>,
 ): Map<string, ZoneCapacity> {
   const { spec } = job;
   const capacities = new Map<string, ZoneCapacity>();
@@ -73,7 +73,7 @@
     if (!isMachineAllowed(spec, machine) || job.failures.avoids(machine.name, context.now))
       continue;
     const zone = spec.oneZone ? machine.zone : ANY_ZONE;
-    if (zonesTaken.has(zone)) continue;
+    if (reservedZones.has(zone)) continue;
     const capacity = capacities.get(zone) ?? emptyCapacity();
     capacities.set(zone, capacity);
     const totalSlots = slotsOnEmptyMachine(spec, machine);
--- a/src/core/planning/planner.ts
+++ b/src/core/planning/planner.ts
@@ -21,7 +21,7 @@
   mayStart: (job: ActiveJob) => boolean,
 ): ActiveJob[] {
   const lackingCapacity: ActiveJob[] = [];
-  /** Zones in which capacity is reserved for a gang in this cycle. */
+  /** Zones in which a gang has reserved capacity in this cycle, and lacks more. */
   const reservedZones = new Set<string>();
   const queue = promoteUnderservedSizes(orderQueue(context), context);
   queue.forEach((job, position) => {
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -142,8 +142,9 @@
   for (let step = 0; step < 45; step++) {
     leader.now += 0.3;
     if (step % 10 === 0) {
-      for (let i = 0; i < MACHINES; i++)
+      for (let i = 0; i < MACHINES; i++) {
         if (i % 5 > 0) leader.receiveHeartbeatOnly(machineName(i), []);
+      }
     }
     leader.performEffects(leader.scheduler.tick(leader.now, leader.now * 1000));
     leader.unansweredRequests.length = 0;
@@ -178,8 +179,9 @@
   const leader = new TestLeader();
   for (const index of [0, 2, 4, 6]) leader.receiveHeartbeat(machineName(index), []);
   // Each machine runs a small job to begin with.
-  for (let i = 0; i < 4; i++)
+  for (let i = 0; i < 4; i++) {
     leader.submit(jobSpec(`s${i}`, { kind: "gang", cpus: 4, team: "maps" }));
+  }
   for (let i = 0; i < 4; i++) leader.answerRequest([taskStatus(`s${i}`, 0, 1)]);
   leader.submit(
     jobSpec("big", { kind: "gang", cpus: 4, team: "maps", tasks: 4, oneZone: true }),
