--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -1,5 +1,5 @@
 /** Worker heartbeats: from the bytes of one to the reply, whichever server received it. */
-import type { WorkerHeartbeat } from "../core/model.js";
+import type { WorkerHeartbeat } from "../core/model/workers.js";
 import { encodeCommands, encodeRedirect } from "../wire/commands.js";
 import { decodeBody, encode } from "../wire/msgpack.js";
 import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -4,7 +4,7 @@
  */
 import { assertNever } from "../core/assert-never.js";
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
-import type { JobSpec } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
 import type { TokenBucket } from "../core/overload/token-bucket.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
 import { KEY, type StoredCancellation, type StoredJob } from "../core/state/state-replica.js";
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,6 @@
 /** The cloud's client: the catalog of machine types, the list of machines, scaling out and in. */
-import type { ListedMachine, MachineType } from "../core/model.js";
+import type { ScaleOutResult } from "../core/effects.js";
+import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { HttpConnectionPool, type HttpResponse } from "../net/http-connection-pool.js";
 import {
   decodeCatalog,
@@ -15,9 +16,6 @@
 const MAX_CONNECTIONS = 8;
 const MACHINES_PER_PAGE = 500;
 
-/** How a request to provision machines ended; `trouble`: the cloud did not answer as it should. */
-export type ScaleOutOutcome = { readonly machines: string[] } | "no capacity" | "trouble";
-
 /** No method rejects when the cloud does not answer. */
 export class CloudClient {
   private readonly connections: HttpConnectionPool;
@@ -52,18 +50,18 @@
     }
   }
 
-  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutOutcome> {
+  async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const response = await this.call("POST", PATH.machines, encodeScaleOut(request));
-    if (response === null) return "trouble";
+    if (response === null) return { kind: "failed" };
     if (response.status === 200) {
       const machines = decodeProvisionedMachines(decode(response.body));
-      return machines === null ? "trouble" : { machines };
+      return machines === null ? { kind: "failed" } : { kind: "provisioned", machines };
     }
     if (response.status === 503) {
       const body = decode(response.body) as { error?: string } | null;
-      return body?.error === "no capacity" ? "no capacity" : "trouble";
+      return { kind: body?.error === "no capacity" ? "no capacity" : "failed" };
     }
-    return response.status === 400 ? "no capacity" : "trouble";
+    return { kind: response.status === 400 ? "no capacity" : "failed" };
   }
 
   /** False if the cloud did not confirm it: they may be released all the same. */
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -3,7 +3,7 @@
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
-import type { ListedMachine } from "../model.js";
+import type { ListedMachine } from "../model/machines.js";
 import type { MachinePool } from "./machine-pool.js";
 
 /** Adds machines that are listed, and releases those that failed or are no longer listed. */
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -1,7 +1,8 @@
 /** The kinds of machine that the cloud offers, and which of them serves a job at the lowest cost. */
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
-import type { JobSpec, MachineType } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { MachineType } from "../model/machines.js";
 import type { ScalingContext } from "./scaling.js";
 
 /** Work without GPUs is put on GPU machines only as a last resort. */
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -4,7 +4,7 @@
 import type { LeaderContext } from "../leader-context.js";
 import type { FaultAttribution } from "../machines/fault-attribution.js";
 import type { Machine } from "../machines/machine.js";
-import type { WorkerHeartbeat } from "../model.js";
+import type { WorkerHeartbeat } from "../model/workers.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { TaskReconciler } from "./task-reconciler.js";
 
@@ -54,7 +54,7 @@
   private resignIfSuperseded({ machine, fencingToken }: WorkerHeartbeat): boolean {
     if (fencingToken <= this.context.epoch) return false;
     this.context.effects.push({
-      kind: "resign",
+      kind: "step down",
       why: `machine ${machine} has seen a higher fencing token`,
     });
     return true;
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,7 +1,8 @@
 /** Which machines accept new work, to whom their capacity is open, and how long an image pull takes there. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
-import type { ClusterSettings, JobSpec } from "../model.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { ClusterSettings } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 
 /** Heartbeat intervals without any message from the worker after which a machine accepts no new work. */
--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -1,6 +1,6 @@
 /** Whether a GPU gang that could start now should rather wait for machines that hold its image already. */
 import type { ActiveJob } from "../jobs/active-job.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { isGuaranteed } from "./precedence.js";
 
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -2,7 +2,8 @@
 
 import type { Cluster } from "../cluster.js";
 import type { Machine } from "../machines/machine.js";
-import { AMOUNT_TOLERANCE, type ClusterSettings } from "../model.js";
+import { AMOUNT_TOLERANCE } from "../model/constants.js";
+import type { ClusterSettings } from "../model/settings.js";
 import type { MachineSnapshot } from "./context.js";
 import { acceptsNewWork } from "./eligibility.js";
 
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -2,7 +2,7 @@
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { machinesThatFit, slotsOnEmptyMachine } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -2,7 +2,9 @@
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
-import { type JobSpec, type Objective, START_BOUND_S } from "../model.js";
+import { START_BOUND_S } from "../model/constants.js";
+import type { JobSpec } from "../model/jobs.js";
+import type { Objective } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -23,7 +23,8 @@
 import { LeaseExtension } from "../core/leadership/lease-extension.js";
 import { type NodeConnectivity, StandbyResponder } from "../core/leadership/standby-responder.js";
 import { termLeaseS } from "../core/leadership/term.js";
-import type { JobSpec, JobView, WorkerHeartbeat } from "../core/model.js";
+import type { JobSpec, JobView } from "../core/model/jobs.js";
+import type { WorkerHeartbeat } from "../core/model/workers.js";
 import { AdaptiveConcurrencyLimit } from "../core/overload/adaptive-concurrency-limit.js";
 import { TokenBucket } from "../core/overload/token-bucket.js";
 import { Scheduler } from "../core/scheduler.js";
@@ -554,8 +555,8 @@
     }
     const leading = this.leadership.current;
     if (leading === null) return;
-    if (o.kind === "raise token") this.leadership.fencingTokenAdvanceRequested = true;
-    else if (o.kind === "resign") {
+    if (o.kind === "advance fencing token") this.leadership.fencingTokenAdvanceRequested = true;
+    else if (o.kind === "step down") {
       this.leadership.startElectionCooldown(2 * this.settings.cluster.heartbeatIntervalS);
       this.leadership.stepDown(o.why);
     } else this.effectExecutor.perform(o, leading);
--- a/src/wire/commands.ts
+++ b/src/wire/commands.ts
@@ -1,6 +1,6 @@
 /** Commands to workers on the wire, in the answers to their heartbeats and in direct requests. */
 import * as z from "zod";
-import type { WorkerCommand } from "../core/model.js";
+import type { WorkerCommand } from "../core/model/workers.js";
 import { amount, choice, count } from "./fields.js";
 import { COMMAND_FROM_WIRE, WIRE_COMMAND } from "./names.js";
 import { formatTaskName, parseTaskName } from "./task-name.js";
--- a/src/wire/counterpart.ts
+++ b/src/wire/counterpart.ts
@@ -2,7 +2,8 @@
  * The other side of the protocol: what users, workers, the state service and the cloud send and read. Stand-ins and
  * tests speak through it in the field's terms; the controller itself needs none of it.
  */
-import type { JobSpec, ListedMachine, MachineType } from "../core/model.js";
+import type { JobSpec } from "../core/model/jobs.js";
+import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import { WIRE_KIND, WIRE_PRIORITY } from "./names.js";
 
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,6 +1,6 @@
 /** Jobs on the wire: what users submit, and the state that they are told. */
 import * as z from "zod";
-import type { JobSpec, JobView } from "../core/model.js";
+import type { JobSpec, JobView } from "../core/model/jobs.js";
 import {
   amount,
   boundedText,
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -5,7 +5,7 @@
  * holds a connection of its own to the leader besides.
  */
 import type { CommandOutcome } from "../core/effects.js";
-import type { WorkerCommand, WorkerHeartbeat } from "../core/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../core/model/workers.js";
 import { HttpConnectionPool, RequestError } from "../net/http-connection-pool.js";
 import { encodeCommands } from "../wire/commands.js";
 import { decode, encode } from "../wire/msgpack.js";
@@ -48,10 +48,13 @@
       );
       const isAnswered = status === 200 || status === 409;
       const report = isAnswered ? decodeWorkerHeartbeat(decode(answer)) : null;
-      if (report === null) return { kind: "lost", sent: status !== 400 };
-      return { kind: "answer", executed: status === 200, report };
+      if (report === null) return { kind: "lost", mayArrive: status !== 400 };
+      return { kind: "answered", executed: status === 200, heartbeat: report };
     } catch (error) {
-      return { kind: "lost", sent: error instanceof RequestError ? error.mayHaveArrived : true };
+      return {
+        kind: "lost",
+        mayArrive: error instanceof RequestError ? error.mayHaveArrived : true,
+      };
     }
   }
 
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -3,7 +3,7 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import { formatResiduals, ownDependencies } from "../src/core/jobs/pipeline.js";
-import type { WorkerHeartbeat } from "../src/core/model.js";
+import type { WorkerHeartbeat } from "../src/core/model/workers.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { encodePeerHeartbeat } from "../src/peers/codec.js";
 import { encodeCommands, encodeRedirect } from "../src/wire/commands.js";
--- a/tests/support/cloud-stand-in.ts
+++ b/tests/support/cloud-stand-in.ts
@@ -1,5 +1,5 @@
 /** A cloud whose machines are workers in this process. */
-import type { ListedMachine, MachineType } from "../../src/core/model.js";
+import type { ListedMachine, MachineType } from "../../src/core/model/machines.js";
 import { decodeRelease, encodeCatalog, encodeMachineList } from "../../src/wire/counterpart.js";
 import { PATH } from "../../src/wire/names.js";
 import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -6,7 +6,8 @@
 import type { AddressInfo } from "node:net";
 import { type ApiBackend, buildServer } from "../../src/api/server.js";
 import { CloudClient } from "../../src/cloud/client.js";
-import type { JobSpec, JobView, WorkerCommand } from "../../src/core/model.js";
+import type { JobSpec, JobView } from "../../src/core/model/jobs.js";
+import type { WorkerCommand } from "../../src/core/model/workers.js";
 import { AdaptiveConcurrencyLimit } from "../../src/core/overload/adaptive-concurrency-limit.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { encodePeerHeartbeat } from "../../src/peers/codec.js";
@@ -94,6 +95,9 @@
   [200, {}],
 ];
 
+/** Results as the kept examples name them. */
+const KEPT_RESULTS = { "no capacity": "no capacity", failed: "trouble" } as const;
+
 async function askCloud(address: string): Promise<unknown[]> {
   const cloud = new CloudClient(address, 5000);
   const types = await cloud.fetchCatalog();
@@ -107,7 +111,7 @@
       spot: true,
       count: 3,
     });
-    hired.push(typeof r === "string" ? r : r.machines);
+    hired.push(r.kind === "provisioned" ? r.machines : KEPT_RESULTS[r.kind]);
   }
   const returned = [await cloud.releaseMachines(["m-1", "m-2"]), await cloud.releaseMachines([])];
   return [types?.map((t) => t.name), listed?.map((m) => m.name), hired, returned];
@@ -136,7 +140,7 @@
   const sent: unknown[] = [];
   for (let i = 0; i < 3; i++) {
     const r = await workers.send(address, 6, 4, i === 0 ? commands : []);
-    sent.push(r.kind === "answer" ? [r.executed, r.report.machine] : ["lost", r.sent]);
+    sent.push(r.kind === "answered" ? [r.executed, r.heartbeat.machine] : ["lost", r.mayArrive]);
   }
   const shown = await workers.probe(address);
   workers.closeAllExcept(new Set());
--- a/tests/support/heartbeat-builder.ts
+++ b/tests/support/heartbeat-builder.ts
@@ -1,5 +1,5 @@
 /** Heartbeats of workers whose kind of machine stays what they first said. */
-import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 
 const FIRST_SEQUENCE = 100;
 
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Logger, pino } from "pino";
-import type { JobSpec } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import type { Controller } from "../../src/node/controller.js";
 import { decodeJobState, encodeJob } from "../../src/wire/counterpart.js";
--- a/tests/support/job-builders.ts
+++ b/tests/support/job-builders.ts
@@ -1,5 +1,6 @@
 /** Jobs, submissions and task statuses with ordinary values, of which a test gives only what matters to it. */
-import type { JobSpec, TaskStatus } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { TaskStatus } from "../../src/core/model/workers.js";
 import { encodeJob } from "../../src/wire/counterpart.js";
 
 /** A job of one small task that may run anywhere. */
--- a/tests/support/leader-trace.ts
+++ b/tests/support/leader-trace.ts
@@ -1,5 +1,5 @@
 /** How the lines of a test leader's trace describe what goes in and out. */
-import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Change } from "../../src/core/state/key-value.js";
 import {
   type StoredPlacements,
--- a/tests/support/machine-types.ts
+++ b/tests/support/machine-types.ts
@@ -1,5 +1,5 @@
 /** The machine types of the tests' catalog. */
-import type { MachineType } from "../../src/core/model.js";
+import type { MachineType } from "../../src/core/model/machines.js";
 
 const ZONES = ["a", "b"];
 
--- a/tests/support/simulated-effects.ts
+++ b/tests/support/simulated-effects.ts
@@ -1,6 +1,7 @@
 /** What a simulated leader asks for: requests to workers and to the cloud, each with its faults, and log lines. */
+import { assertNever } from "../../src/core/assert-never.js";
 import type { Effect } from "../../src/core/effects.js";
-import type { WorkerHeartbeat } from "../../src/core/model.js";
+import type { WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { KEY } from "../../src/core/state/state-replica.js";
 import type { SimulatedLeader, SimulatedLeadership } from "./simulated-leadership.js";
 import type { SimulatedMachines } from "./simulated-machines.js";
@@ -26,24 +27,49 @@
   }
 
   private performOne(leader: SimulatedLeader, effect: Effect): void {
-    if (effect.kind === "send") this.sendCommands(leader, effect);
-    else if (effect.kind === "show") this.probe(leader, effect);
-    else if (effect.kind === "return") this.release(leader, effect);
-    else if (effect.kind === "rent") this.scaleOut(leader, effect);
-    else if (effect.kind === "list") this.listMachines(leader);
-    else if (effect.kind === "raise token") this.advanceFencingToken(leader);
-    else if (effect.kind === "resign") this.leadership.end(effect.why);
-    else if (effect.kind === "log" && TRACED_LOG_MESSAGES.has(effect.message)) {
-      this.context.trace.add(`${effect.message} ${Object.values(effect.fields).join(" ")}`);
+    switch (effect.kind) {
+      case "send":
+        this.sendCommands(leader, effect);
+        break;
+      case "probe":
+        this.probe(leader, effect);
+        break;
+      case "release machines":
+        this.release(leader, effect);
+        break;
+      case "scale out":
+        this.scaleOut(leader, effect);
+        break;
+      case "list machines":
+        this.listMachines(leader);
+        break;
+      case "advance fencing token":
+        this.advanceFencingToken(leader);
+        break;
+      case "step down":
+        this.leadership.end(effect.why);
+        break;
+      case "log":
+        this.log(effect);
+        break;
+      case "first start":
+        break;
+      default:
+        assertNever(effect);
     }
   }
 
+  private log({ message, fields }: EffectOf<"log">): void {
+    if (!TRACED_LOG_MESSAGES.has(message)) return;
+    this.context.trace.add(`${message} ${Object.values(fields).join(" ")}`);
+  }
+
   /** Hands a result to the leader; results for one that leads no more are dropped. */
   private hand(leader: SimulatedLeader, result: () => Effect[]): void {
     if (this.leadership.leader === leader) this.perform(leader, result());
   }
 
-  private probe(leader: SimulatedLeader, { machine }: EffectOf<"show">): void {
+  private probe(leader: SimulatedLeader, { machine }: EffectOf<"probe">): void {
     const { clock } = this.context;
     clock.schedule(0.05, () => {
       const heartbeat = this.machines.probe(machine);
@@ -51,7 +77,10 @@
     });
   }
 
-  private release(leader: SimulatedLeader, { machines: names }: EffectOf<"return">): void {
+  private release(
+    leader: SimulatedLeader,
+    { machines: names }: EffectOf<"release machines">,
+  ): void {
     const { clock, faults } = this.context;
     const isReleased = clock.now >= this.cloudUnavailableUntil && !faults.occurs(4);
     clock.schedule(0.3, () => {
@@ -80,12 +109,14 @@
   }
 
   /** Machines come up at once or later; the request may be carried out late, its answer lost. */
-  private scaleOut(leader: SimulatedLeader, request: EffectOf<"rent">): void {
+  private scaleOut(leader: SimulatedLeader, request: EffectOf<"scale out">): void {
     const { choices, clock, cluster, faults } = this.context;
     const { scheduler } = leader;
     if (this.machines.byName.size >= cluster.maxMachines || choices.isOneIn(4)) {
       clock.schedule(0.2, () =>
-        this.hand(leader, () => scheduler.scaleOutAnswered(request, "no capacity", clock.now)),
+        this.hand(leader, () =>
+          scheduler.scaleOutAnswered(request, { kind: "no capacity" }, clock.now),
+        ),
       );
       return;
     }
@@ -93,16 +124,18 @@
     clock.schedule(isAnswerLost ? choices.below(40) : 0.2, () => {
       const machines = this.provision(request);
       if (isAnswerLost) return;
-      this.hand(leader, () => scheduler.scaleOutAnswered(request, { machines }, clock.now));
+      this.hand(leader, () =>
+        scheduler.scaleOutAnswered(request, { kind: "provisioned", machines }, clock.now),
+      );
     });
     if (!isAnswerLost) return;
     clock.schedule(1, () =>
-      this.hand(leader, () => scheduler.scaleOutAnswered(request, "trouble", clock.now)),
+      this.hand(leader, () => scheduler.scaleOutAnswered(request, { kind: "failed" }, clock.now)),
     );
   }
 
   /** As many as there may be; each boots after a while. Returns their names. */
-  private provision({ type, zone, spot, count }: EffectOf<"rent">): string[] {
+  private provision({ type, zone, spot, count }: EffectOf<"scale out">): string[] {
     const { choices, clock, cluster } = this.context;
     const granted = Math.max(0, Math.min(count, cluster.maxMachines - this.machines.byName.size));
     const names = Array.from({ length: granted }, () => this.machines.newName(zone));
@@ -119,7 +152,7 @@
     const { machine, commands } = request;
     const lost = (): void =>
       this.hand(leader, () =>
-        scheduler.commandsAnswered(machine, commands, { kind: "lost", sent: true }, clock.now),
+        scheduler.commandsAnswered(machine, commands, { kind: "lost", mayArrive: true }, clock.now),
       );
     if (faults.occurs(faults.odds.message)) {
       // Held up on the way, for seconds or minutes; the sender has given it up meanwhile.
@@ -131,7 +164,7 @@
     clock.schedule(0.05, () => {
       const delivered = this.deliver(request, epoch);
       if (delivered === null || isAnswerLost) return clock.schedule(1, lost);
-      const outcome = { kind: "answer" as const, ...delivered };
+      const outcome = { kind: "answered" as const, ...delivered };
       clock.schedule(0.05, () =>
         this.hand(leader, () => scheduler.commandsAnswered(machine, commands, outcome, clock.now)),
       );
@@ -140,16 +173,16 @@
 
   /** Null: the machine is not reached. A worker refuses an older token and commands for another incarnation. */
   private deliver(
-    { machine: name, session, commands }: EffectOf<"send">,
+    { machine: name, incarnation, commands }: EffectOf<"send">,
     token: number,
-  ): { readonly executed: boolean; readonly report: WorkerHeartbeat } | null {
+  ): { readonly executed: boolean; readonly heartbeat: WorkerHeartbeat } | null {
     const machine = this.machines.byName.get(name);
     if (machine === undefined || !machine.isReachable(this.context.clock.now)) return null;
     this.machines.expireLease(machine);
-    const executed = token >= machine.fencingToken && session === machine.incarnation;
+    const executed = token >= machine.fencingToken && incarnation === machine.incarnation;
     machine.fencingToken = Math.max(machine.fencingToken, token);
     if (executed) this.machines.execute(machine, commands);
-    return { executed, report: machine.heartbeat() };
+    return { executed, heartbeat: machine.heartbeat() };
   }
 
   private advanceFencingToken(leader: SimulatedLeader): void {
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -1,5 +1,5 @@
 /** Workers' heartbeats in a simulation, on their way to whichever controller answers them. */
-import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { SimulatedEffects } from "./simulated-effects.js";
 import type { SimulatedLeadership } from "./simulated-leadership.js";
 import { type SimulatedMachine, WORKER_LEASE_S } from "./simulated-machine.js";
--- a/tests/support/simulated-jobs.ts
+++ b/tests/support/simulated-jobs.ts
@@ -1,5 +1,5 @@
 /** What users of a simulation submitted, were told and cancelled, and the tasks that were done. */
-import type { JobSpec } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
 
 /** A job's final state, as a user was told it. */
 export type FinalState = "done" | "cancelled";
--- a/tests/support/simulated-leader-loop.ts
+++ b/tests/support/simulated-leader-loop.ts
@@ -15,7 +15,7 @@
 const MAX_CHANGES = 32;
 const MAX_TRANSACTION_BYTES = 60_000;
 
-type TransactionEnd = (outcome: TransactionOutcome, revision: number) => void;
+type TransactionEnd = (outcome: TransactionOutcome) => void;
 
 export class SimulatedLeaderLoop {
   constructor(
@@ -81,17 +81,15 @@
     const transaction = scheduler.nextTransaction(MAX_CHANGES, MAX_TRANSACTION_BYTES);
     if (transaction === null) return;
     leader.isWriting = true;
-    this.carryOut(transaction, (outcome, revision) => {
+    this.carryOut(transaction, (outcome) => {
       const { leadership } = this;
       leader.isWriting = false;
       if (leadership.leader !== leader) return;
-      if (outcome === "unknown" || outcome === "conflict") leadership.catchUpReplica(leader);
+      if (outcome.kind === "unknown" || outcome.kind === "conflict")
+        leadership.catchUpReplica(leader);
       if (leadership.leader !== leader) return;
       const { now } = this.context.clock;
-      this.effects.perform(
-        leader,
-        scheduler.transactionEnded(transaction, outcome, revision, replica, now),
-      );
+      this.effects.perform(leader, scheduler.transactionEnded(transaction, outcome, replica, now));
     });
   }
 
@@ -99,21 +97,24 @@
   private carryOut({ preconditions, changes }: LeaderTransaction, onEnd: TransactionEnd): void {
     const { choices, clock, faults, store, trace } = this.context;
     if (faults.occurs(faults.odds.write)) {
-      clock.schedule(0.1, () => onEnd("refused", 0));
+      clock.schedule(0.1, () => onEnd({ kind: "refused" }));
       return;
     }
     if (faults.occurs(faults.odds.write)) {
       trace.add("a write is held up");
       clock.schedule(2 + choices.below(11), () => store.commit(preconditions, changes));
-      clock.schedule(1, () => onEnd("unknown", 0));
+      clock.schedule(1, () => onEnd({ kind: "unknown" }));
       return;
     }
     const isAnswerLost = faults.occurs(faults.odds.write);
     clock.schedule(0.03, () => {
       const isCommitted = store.commit(preconditions, changes);
       const { revision } = store;
-      if (isAnswerLost) clock.schedule(1, () => onEnd("unknown", 0));
-      else clock.schedule(0.02, () => onEnd(isCommitted ? "ok" : "conflict", revision));
+      if (isAnswerLost) clock.schedule(1, () => onEnd({ kind: "unknown" }));
+      else
+        clock.schedule(0.02, () =>
+          onEnd(isCommitted ? { kind: "committed", revision } : { kind: "conflict" }),
+        );
     });
   }
 }
--- a/tests/support/simulated-leadership.ts
+++ b/tests/support/simulated-leadership.ts
@@ -1,7 +1,7 @@
 /** Who leads in a simulation, and who led: former leaders may go on answering heartbeats for a while. */
 
 import { hasExtendableLease } from "../../src/core/leader-context.js";
-import type { WorkerHeartbeat } from "../../src/core/model.js";
+import type { WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Scheduler } from "../../src/core/scheduler.js";
 import type { StateReplica } from "../../src/core/state/state-replica.js";
 import type { SimulationContext } from "./simulation-context.js";
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -1,10 +1,6 @@
 /** The machines of a simulation and the tasks on them. What they run is checked by the protocol's rules. */
-import type {
-  ListedMachine,
-  TaskStatus,
-  WorkerCommand,
-  WorkerHeartbeat,
-} from "../../src/core/model.js";
+import type { ListedMachine } from "../../src/core/model/machines.js";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { taskStatus } from "./job-builders.js";
 import { SimulatedMachine, type SimulatedTask } from "./simulated-machine.js";
 import type { SimulationContext } from "./simulation-context.js";
--- a/tests/support/simulated-users.ts
+++ b/tests/support/simulated-users.ts
@@ -1,6 +1,6 @@
 /** Users of a simulation: they submit, ask and cancel, and their writes may be late or unanswered. */
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
-import type { JobSpec } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { Change } from "../../src/core/state/key-value.js";
 import { KEY, type StoredJob } from "../../src/core/state/state-replica.js";
 import { jobSpec } from "./job-builders.js";
--- a/tests/support/simulated-workers.ts
+++ b/tests/support/simulated-workers.ts
@@ -1,5 +1,5 @@
 /** Workers of a test leader, in its simulated time. */
-import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { taskStatus } from "./job-builders.js";
 import type { TestLeader } from "./test-leader.js";
 
@@ -82,8 +82,8 @@
       const isUp = this.tasksByMachine.has(machine);
       if (isUp) for (const command of commands) this.execute(machine, command);
       const outcome = isUp
-        ? { kind: "answer" as const, executed: true, report: this.heartbeatOf(machine) }
-        : { kind: "lost" as const, sent: false };
+        ? { kind: "answered" as const, executed: true, heartbeat: this.heartbeatOf(machine) }
+        : { kind: "lost" as const, mayArrive: false };
       leader.performEffects(
         leader.scheduler.commandsAnswered(machine, commands, outcome, leader.now),
       );
--- a/tests/support/simulation-rules.ts
+++ b/tests/support/simulation-rules.ts
@@ -1,5 +1,6 @@
 /** The protocol's rules, checked by what the workers of a simulation themselves have. */
-import type { JobView, TaskStatus } from "../../src/core/model.js";
+import type { JobView } from "../../src/core/model/jobs.js";
+import type { TaskStatus } from "../../src/core/model/workers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 import type { SimulatedMachine, SimulatedTask } from "./simulated-machine.js";
 import type { SimulatedMachines } from "./simulated-machines.js";
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -1,7 +1,8 @@
 /** A leader in simulated time whose trace can be read, with a state service that a test can make fail. */
 import type { Effect } from "../../src/core/effects.js";
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
-import type { JobSpec, TaskStatus, WorkerHeartbeat } from "../../src/core/model.js";
+import type { JobSpec } from "../../src/core/model/jobs.js";
+import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { Scheduler } from "../../src/core/scheduler.js";
 import { KEY, type StateReplica } from "../../src/core/state/state-replica.js";
 import { type LeaderTransaction, largestValueBytes } from "../../src/core/state/write-composer.js";
@@ -154,7 +155,12 @@
     if (description !== null) this.traceLines.push(`write ${description}`);
     this.replica.apply(events, this.revision);
     this.performEffects(
-      this.scheduler.transactionEnded(transaction, "ok", this.revision, this.replica, this.now),
+      this.scheduler.transactionEnded(
+        transaction,
+        { kind: "committed", revision: this.revision },
+        this.replica,
+        this.now,
+      ),
     );
   }
 
@@ -196,12 +202,12 @@
     const { machine, commands } = request;
     if (tasks === null) {
       this.traceLines.push(`> no answer from ${machine}`);
-      const outcome = { kind: "lost", sent: true } as const;
+      const outcome = { kind: "lost", mayArrive: true } as const;
       this.performEffects(this.scheduler.commandsAnswered(machine, commands, outcome, this.now));
     } else {
-      const report = this.makeHeartbeat(machine, tasks, change);
-      this.traceLines.push(`> ${machine} answers ${describeHeartbeat(report)}`);
-      const outcome = { kind: "answer", executed: true, report } as const;
+      const heartbeat = this.makeHeartbeat(machine, tasks, change);
+      this.traceLines.push(`> ${machine} answers ${describeHeartbeat(heartbeat)}`);
+      const outcome = { kind: "answered", executed: true, heartbeat } as const;
       this.performEffects(this.scheduler.commandsAnswered(machine, commands, outcome, this.now));
     }
     this.tick();
@@ -213,13 +219,13 @@
         this.unansweredRequests.push(effect);
         const commands = effect.commands.map(describeCommand).join(", ");
         this.traceLines.push(`send ${effect.machine}: ${commands === "" ? "fence" : commands}`);
-      } else if (effect.kind === "return") {
+      } else if (effect.kind === "release machines") {
         this.traceLines.push(`${RELEASE_LINE}${effect.machines.join(" ")}`);
-      } else if (effect.kind === "show") {
+      } else if (effect.kind === "probe") {
         this.probe(effect.machine);
-      } else if (effect.kind === "raise token") {
+      } else if (effect.kind === "advance fencing token") {
         this.traceLines.push("raise the token");
-      } else if (effect.kind === "resign") {
+      } else if (effect.kind === "step down") {
         this.traceLines.push(`resign: ${effect.why}`);
       }
     }
@@ -266,7 +272,7 @@
     if (length > 1) this.maxChanges = Math.max(1, length >> 1);
     else this.scheduler.handleRefusedValue(transaction, this.now);
     this.performEffects(
-      this.scheduler.transactionEnded(transaction, "refused", 0, this.replica, this.now),
+      this.scheduler.transactionEnded(transaction, { kind: "refused" }, this.replica, this.now),
     );
   }
 
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -1,6 +1,6 @@
 /** A worker in this process that speaks with controllers over real connections. */
 import { setTimeout as sleepMs } from "node:timers/promises";
-import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model.js";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { decodeCommands } from "../../src/wire/commands.js";
 import { decodeRedirect } from "../../src/wire/counterpart.js";
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -1,7 +1,7 @@
 /** Protocol rule `wrong_place`: a task is only where its job's constraints allow it, given the other tasks at that moment. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobKind, JobSpec } from "../src/core/model.js";
+import type { JobKind, JobSpec } from "../src/core/model/jobs.js";
 import type { StateReplica } from "../src/core/state/state-replica.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { CONSTRAINTS, type Constraint, placeFaults, without } from "./support/placement-checker.js";
@@ -198,7 +198,11 @@
 test("wrong_place: a worker's heartbeat corrects the record of its machine", () => {
   const leader = leaderWithTwoMachines();
   const request = { type: "small", zone: "a", spot: false, count: 1 };
-  leader.scheduler.scaleOutAnswered(request, { machines: ["m9b"] }, leader.now);
+  leader.scheduler.scaleOutAnswered(
+    request,
+    { kind: "provisioned", machines: ["m9b"] },
+    leader.now,
+  );
   const machine = leader.scheduler.cluster.machines.get("m9b")!;
   assert.equal(machine.zone, "a");
   leader.receiveHeartbeat("m9b", [], { type: "big", zone: "b", spot: true });
