--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -1,80 +1,163 @@
-/** Carries out what the scheduler asks for, and gives it the results while it still leads. */
+/** Carries out the scheduler's effects, and gives it their results while it still leads. */
+import type { Logger } from "pino";
 import type { CloudClient } from "../cloud/client.js";
-import type { Effect, ScaleOutResult } from "../core/effects.js";
+import { assertNever } from "../core/assert-never.js";
+import type { Effect } from "../core/effects.js";
 import type { WorkerClient } from "../workers/client.js";
 import { maxWorkerConnections } from "../workers/sockets.js";
-import type { ActiveLeadership } from "./leadership.js";
+import type { JobTracer } from "./job-tracer.js";
+import type { ActiveLeadership, Leadership } from "./leadership.js";
 
+/** What effects are carried out with. */
 export interface EffectExecutorOptions {
+  readonly workers: WorkerClient;
+  readonly cloud: CloudClient;
+  readonly leadership: Leadership;
+  /** Null: tracing is switched off. */
+  readonly tracer: JobTracer | null;
+  readonly log: Logger;
+  /** Steady time, in seconds. */
   readonly now: () => number;
   readonly heartbeatIntervalS: number;
+  /** Sockets that this process may have open. */
   readonly sockets: number;
-  /** Does it still lead? */
-  readonly isCurrent: (l: ActiveLeadership) => boolean;
-  /** Takes what a result leads to. */
-  readonly onResult: (f: () => Effect[]) => void;
+  /** Hands a result to the scheduler by calling `handle`, and performs the effects that it returns. */
+  readonly onResult: (handle: () => readonly Effect[]) => void;
 }
 
+type EffectOf<Kind extends Effect["kind"]> = Extract<Effect, { readonly kind: Kind }>;
+/** Effects that the node carries out only while it leads. */
+type LeaderEffect = Exclude<Effect, { readonly kind: "log" | "first start" }>;
+
+/** Carries out effects, in their order. */
 export class EffectExecutor {
-  constructor(
-    private readonly workers: WorkerClient,
-    private readonly cloud: CloudClient,
-    private readonly options: EffectExecutorOptions,
-  ) {}
+  constructor(private readonly options: EffectExecutorOptions) {}
 
-  /** All but log lines, traces and what concerns the term itself. */
-  perform(o: Effect, leading: ActiveLeadership): void {
-    const { term, scheduler } = leading;
-    const { now, heartbeatIntervalS: reportS } = this.options;
-    /** Results of a scheduler that leads no more are dropped. */
-    const back = (f: () => Effect[]): void => {
-      if (this.options.isCurrent(leading)) this.options.onResult(f);
-    };
-    const acting = term.mayAct(now());
-    switch (o.kind) {
-      case "send": {
-        if (!acting) {
-          const lost = { kind: "lost", mayArrive: false } as const;
-          setImmediate(() =>
-            back(() => scheduler.commandsAnswered(o.machine, o.commands, lost, now())),
-          );
-          return;
-        }
-        void this.workers
-          .send(o.address, term.epoch, o.incarnation, o.commands)
-          .then((r) => back(() => scheduler.commandsAnswered(o.machine, o.commands, r, now())));
-        return;
-      }
-      case "probe": {
-        const began = now();
-        void this.workers.probe(o.address).then((r) => {
-          const late = now() - began > (1.25 * reportS) / 3;
-          back(() => scheduler.probeAnswered(o.machine, r, now(), late));
-        });
-        return;
-      }
+  /** Carries out effects; those after one that ends the leadership are dropped, but for logs and traces. */
+  perform(effects: readonly Effect[]): void {
+    for (const effect of effects) this.performOne(effect);
+  }
+
+  private performOne(effect: Effect): void {
+    const { log, tracer, leadership } = this.options;
+    switch (effect.kind) {
+      case "log":
+        log[effect.level](effect.fields, effect.message);
+        break;
+      case "first start":
+        tracer?.traceFirstStart(effect.job, effect.submittedAt);
+        break;
+      default:
+        if (leadership.current !== null) this.performAsLeader(effect, leadership.current);
+    }
+  }
+
+  private performAsLeader(effect: LeaderEffect, leading: ActiveLeadership): void {
+    switch (effect.kind) {
+      case "send":
+        this.sendCommands(effect, leading);
+        break;
+      case "probe":
+        this.probeWorker(effect, leading);
+        break;
       case "scale out":
-        void (acting ? this.cloud.scaleOut(o) : refusedScaleOut()).then((r) =>
-          back(() => scheduler.scaleOutAnswered(o, r, now())),
-        );
-        return;
+        this.scaleOut(effect, leading);
+        break;
       case "release machines":
-        void (acting ? this.cloud.releaseMachines(o.machines) : Promise.resolve(false)).then((ok) =>
-          back(() => scheduler.releaseAnswered(o.machines, ok, now())),
-        );
-        return;
+        this.releaseMachines(effect, leading);
+        break;
       case "list machines":
-        void this.cloud.listMachines().then((l) => {
-          back(() => scheduler.machineListAnswered(l, now()));
-          const addresses = scheduler.workerAddresses();
-          this.workers.closeAllExcept(addresses);
-          this.workers.setMaxConnections(
-            maxWorkerConnections(this.options.sockets, addresses.size),
-          );
-        });
-        return;
+        this.listMachines(leading);
+        break;
+      case "advance fencing token":
+        this.options.leadership.fencingTokenAdvanceRequested = true;
+        break;
+      case "step down":
+        this.stepDown(effect);
+        break;
+      default:
+        assertNever(effect);
     }
   }
-}
 
-const refusedScaleOut = (): Promise<ScaleOutResult> => Promise.resolve({ kind: "failed" });
+  private sendCommands(effect: EffectOf<"send">, leading: ActiveLeadership): void {
+    const { workers, now } = this.options;
+    const { term, scheduler } = leading;
+    const { machine, address, incarnation, commands } = effect;
+    if (!term.mayAct(now())) {
+      const notSent = { kind: "lost", mayArrive: false } as const;
+      setImmediate(() =>
+        this.handleResult(leading, () =>
+          scheduler.commandsAnswered(machine, commands, notSent, now()),
+        ),
+      );
+      return;
+    }
+    void workers
+      .send(address, term.epoch, incarnation, commands)
+      .then((outcome) =>
+        this.handleResult(leading, () =>
+          scheduler.commandsAnswered(machine, commands, outcome, now()),
+        ),
+      );
+  }
+
+  private probeWorker({ machine, address }: EffectOf<"probe">, leading: ActiveLeadership): void {
+    const { workers, now, heartbeatIntervalS } = this.options;
+    const startedAt = now();
+    void workers.probe(address).then((heartbeat) => {
+      // Later than the timeout of a request: this node was held up, and the missing answer tells nothing.
+      const isLate = now() - startedAt > (1.25 * heartbeatIntervalS) / 3;
+      this.handleResult(leading, () =>
+        leading.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
+      );
+    });
+  }
+
+  private scaleOut(effect: EffectOf<"scale out">, leading: ActiveLeadership): void {
+    const { cloud, now } = this.options;
+    const request = leading.term.mayAct(now())
+      ? cloud.scaleOut(effect)
+      : Promise.resolve({ kind: "failed" } as const);
+    void request.then((result) =>
+      this.handleResult(leading, () => leading.scheduler.scaleOutAnswered(effect, result, now())),
+    );
+  }
+
+  private releaseMachines(
+    { machines }: EffectOf<"release machines">,
+    leading: ActiveLeadership,
+  ): void {
+    const { cloud, now } = this.options;
+    const request = leading.term.mayAct(now())
+      ? cloud.releaseMachines(machines)
+      : Promise.resolve(false);
+    void request.then((released) =>
+      this.handleResult(leading, () =>
+        leading.scheduler.releaseAnswered(machines, released, now()),
+      ),
+    );
+  }
+
+  private listMachines(leading: ActiveLeadership): void {
+    const { cloud, workers, now, sockets } = this.options;
+    const { scheduler } = leading;
+    void cloud.listMachines().then((machines) => {
+      this.handleResult(leading, () => scheduler.machineListAnswered(machines, now()));
+      const addresses = scheduler.workerAddresses();
+      workers.closeAllExcept(addresses);
+      workers.setMaxConnections(maxWorkerConnections(sockets, addresses.size));
+    });
+  }
+
+  private stepDown({ why }: EffectOf<"step down">): void {
+    const { leadership, heartbeatIntervalS } = this.options;
+    leadership.startElectionCooldown(2 * heartbeatIntervalS);
+    leadership.stepDown(why);
+  }
+
+  /** Results of a scheduler that leads no more are dropped. */
+  private handleResult(leading: ActiveLeadership, handle: () => readonly Effect[]): void {
+    if (this.options.leadership.current === leading) this.options.onResult(handle);
+  }
+}
--- a/src/node/machine-type-catalog.ts
+++ b/src/node/machine-type-catalog.ts
@@ -1,4 +1,5 @@
-/** The machine types: asked of the cloud, and kept in the state service for a start while the cloud is down. */
+/** The machine types that the cloud offers, stored as well for a start while the cloud is down. */
+import { setTimeout as delay } from "node:timers/promises";
 import type { CloudClient } from "../cloud/client.js";
 import type { MachineType } from "../core/model/machines.js";
 import type { ClusterSettings } from "../core/model/settings.js";
@@ -7,61 +8,73 @@
 import type { StateWatcher } from "../state/state-watcher.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Worker leases after which the cloud is asked again, as prices move. */
+/** Worker leases between two requests for the catalog, as prices move. */
 const REFRESH_LEASES = 10;
 
+/** What the catalog is read from and stored with. */
+export interface MachineTypeCatalogOptions {
+  readonly cluster: ClusterSettings;
+  readonly cloud: CloudClient;
+  readonly keyValueClient: KeyValueClient;
+  readonly watcher: StateWatcher;
+  readonly replica: StateReplica;
+  /** The cloud returned its catalog, changed or not. */
+  readonly onChange: (types: readonly MachineType[]) => void;
+}
+
+/** Keeps the machine types up to date. */
 export class MachineTypeCatalog {
+  /** Empty until the cloud or the state service returned some. */
   known: readonly MachineType[] = [];
   private stopped = false;
 
-  constructor(
-    private readonly cluster: ClusterSettings,
-    private readonly cloud: CloudClient,
-    private readonly keyValueClient: KeyValueClient,
-    private readonly watcher: StateWatcher,
-    private readonly replica: StateReplica,
-    private readonly onChange: (types: readonly MachineType[]) => void,
-  ) {}
+  constructor(private readonly options: MachineTypeCatalogOptions) {}
 
+  /** Ends `run` after its current wait. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Takes what is stored, as long as the cloud has told nothing. */
+  /** Uses the stored types for as long as the cloud has returned none. */
   loadFromReplica(): void {
-    if (this.known.length === 0 && this.replica.machineTypes !== null)
-      this.known = this.replica.machineTypes;
+    const { machineTypes } = this.options.replica;
+    if (this.known.length === 0 && machineTypes !== null) this.known = machineTypes;
   }
 
+  /** Requests the catalog again and again until `stop`. */
   async run(): Promise<void> {
-    const { leaseS, cloudRps } = this.cluster;
+    const { cluster, cloud, onChange } = this.options;
+    const { leaseS, cloudRps } = cluster;
     while (!this.stopped) {
-      const types = await this.cloud.fetchCatalog();
+      const types = await cloud.fetchCatalog();
       if (types === null || types.length === 0) {
         await sleepSeconds(this.known.length === 0 ? 4 / cloudRps : leaseS);
         continue;
       }
       this.known = types;
-      this.onChange(types);
+      onChange(types);
       await this.persist(types);
-      // It must not keep a program alive that embeds a controller and has stopped it.
-      const pauseMs = REFRESH_LEASES * 1000 * leaseS;
-      await new Promise((r) => setTimeout(r, pauseMs).unref());
+      // The wait must not keep a program alive that embeds a controller and has stopped it.
+      await delay(REFRESH_LEASES * 1000 * leaseS, undefined, { ref: false });
     }
   }
 
   private async persist(types: readonly MachineType[]): Promise<void> {
-    const fixed = (t: readonly MachineType[]): string =>
-      JSON.stringify(t.map((x) => ({ ...x, spotPrice: 0, price: 0 })));
-    while (!this.watcher.isLoaded && !this.stopped) await sleepSeconds(0.2);
-    const stored = this.replica.machineTypes;
-    if (stored !== null && fixed(stored) === fixed(types)) return;
-    if (JSON.stringify(types).length > this.cluster.valueKb * 1024) return;
-    // Conditional, so that a copy carried out late does not put older ones in their place.
-    const mark = this.replica.machineTypesModRevision;
-    await this.keyValueClient.transact(
-      [{ key: KEY.machineTypes, modRevision: mark }],
+    const { cluster, keyValueClient, watcher, replica } = this.options;
+    while (!watcher.isLoaded && !this.stopped) await sleepSeconds(0.2);
+    const stored = replica.machineTypes;
+    if (stored !== null && withoutPrices(stored) === withoutPrices(types)) return;
+    if (JSON.stringify(types).length > cluster.valueKb * 1024) return;
+    // Conditional, so that a copy of the request that arrives late does not overwrite newer types.
+    const modRevision = replica.machineTypesModRevision;
+    await keyValueClient.transact(
+      [{ key: KEY.machineTypes, modRevision }],
       [{ op: "put", key: KEY.machineTypes, value: types }],
     );
   }
 }
+
+/** A text to compare types by: prices move all the time, and a change of them is not worth a write. */
+function withoutPrices(types: readonly MachineType[]): string {
+  return JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0, price: 0 })));
+}
--- /dev/null
+++ b/src/node/node-composition.ts
@@ -0,0 +1,260 @@
+/** Puts a node together: creates its components and connects their callbacks. */
+import type { Logger } from "pino";
+import type { AdmissionControl } from "../admission/index.js";
+import { CompletionWaiters } from "../api/completion-waiters.js";
+import { SubmissionService } from "../api/submission-service.js";
+import { SubmissionWriter } from "../api/submission-writer.js";
+import type { OperatorSettings } from "../config/operator.js";
+import { LeaseExtension } from "../core/leadership/lease-extension.js";
+import { StandbyResponder } from "../core/leadership/standby-responder.js";
+import { TokenBucket } from "../core/overload/token-bucket.js";
+import type { ReplicaChange } from "../core/state/state-replica.js";
+import { PeerMesh } from "../peers/peer-mesh.js";
+import { StateWatcher } from "../state/state-watcher.js";
+import { steadyNowS } from "../time/steady-clock.js";
+import type { NodeSettings } from "../wire/settings.js";
+import { createAdmissionControl } from "./admission-composition.js";
+import { ACCEPTS_PER_CORE_S } from "./http-server.js";
+import { LeaderComposition } from "./leader-composition.js";
+import { MAXIMUM_TRANSACTION_BYTES } from "./leader-transactions.js";
+import { MachineTypeCatalog } from "./machine-type-catalog.js";
+import { createNodeAdapters, type NodeAdapters } from "./node-adapters.js";
+import { NodeHealth } from "./node-health.js";
+import { ReplicaChanges } from "./replica-changes.js";
+import { StateContact } from "./state-contact.js";
+import { UserRequests } from "./user-requests.js";
+import { WorkerHeartbeats } from "./worker-heartbeats.js";
+
+/**
+ * All components of one node. Each is created after those that it is given; callbacks reach the others once
+ * the node runs.
+ */
+export class NodeComposition {
+  readonly adapters: NodeAdapters;
+  readonly watcher: StateWatcher;
+  readonly machineTypes: MachineTypeCatalog;
+  readonly leader: LeaderComposition;
+  readonly peers: PeerMesh;
+  readonly health: NodeHealth;
+  readonly userRequests: UserRequests;
+  readonly workerHeartbeats: WorkerHeartbeats;
+  private readonly admission: AdmissionControl | null;
+  private readonly stateContact: StateContact;
+  private readonly leaseExtension: LeaseExtension;
+  private readonly standby: StandbyResponder;
+  private readonly completionWaiters: CompletionWaiters;
+  private readonly replicaChanges: ReplicaChanges;
+
+  constructor(
+    private readonly settings: NodeSettings,
+    private readonly operator: OperatorSettings,
+    private readonly log: Logger,
+  ) {
+    this.adapters = createNodeAdapters(settings, operator);
+    this.admission = this.createAdmissionControl();
+    this.watcher = this.createStateWatcher();
+    this.stateContact = this.createStateContact();
+    this.machineTypes = this.createMachineTypeCatalog();
+    this.leader = this.createLeader();
+    this.leaseExtension = this.createLeaseExtension();
+    this.standby = this.createStandbyResponder();
+    this.completionWaiters = this.createCompletionWaiters();
+    this.replicaChanges = this.createReplicaChanges();
+    this.peers = this.createPeerMesh();
+    this.health = this.createNodeHealth();
+    this.userRequests = this.createUserRequests();
+    this.workerHeartbeats = this.createWorkerHeartbeats();
+  }
+
+  private createAdmissionControl(): AdmissionControl | null {
+    const { settings, operator, log } = this;
+    const { keyValueClient } = this.adapters;
+    return createAdmissionControl({
+      settings,
+      operator,
+      log,
+      now: steadyNowS,
+      transact: (preconditions, changes) => keyValueClient.transact(preconditions, changes),
+      readLatest: () => this.watcher.readLatest(),
+      onWrite: (changes) =>
+        this.leader.transactions.writeBudget.takeOnCredit(changes, steadyNowS()),
+    });
+  }
+
+  private createStateWatcher(): StateWatcher {
+    const { keyValueClient, replica, timing } = this.adapters;
+    return new StateWatcher(
+      keyValueClient,
+      replica,
+      steadyNowS,
+      timing.minimumReadIntervalS,
+      timing.requestTimeoutMs,
+      (change) => this.handleReplicaChange(change),
+      this.admission,
+    );
+  }
+
+  private handleReplicaChange(change: ReplicaChange | null): void {
+    this.leader.runSchedulerWork("records", () => {
+      this.replicaChanges.apply(change);
+      this.leader.schedulingLoop.requeue();
+    });
+  }
+
+  private createStateContact(): StateContact {
+    const { keyValueClient, timing } = this.adapters;
+    return new StateContact({
+      keyValueClient,
+      watcher: this.watcher,
+      now: steadyNowS,
+      maximumContactGapS: timing.maximumContactGapS,
+    });
+  }
+
+  private createMachineTypeCatalog(): MachineTypeCatalog {
+    const { cloud, keyValueClient, replica } = this.adapters;
+    return new MachineTypeCatalog({
+      cluster: this.settings.cluster,
+      cloud,
+      keyValueClient,
+      watcher: this.watcher,
+      replica,
+      onChange: (types) => {
+        this.leader.leadership.current?.scheduler.setMachineTypes(types);
+        this.leader.schedulingLoop.requeue();
+      },
+    });
+  }
+
+  private createLeader(): LeaderComposition {
+    const { settings, operator, log, adapters, watcher, machineTypes, admission } = this;
+    return new LeaderComposition({
+      settings,
+      operator,
+      log,
+      adapters,
+      watcher,
+      machineTypes,
+      admission,
+      onPoll: () => this.noteContacts(),
+    });
+  }
+
+  /** What the node may do while it does not lead depends on whom it saw last, and when. */
+  private noteContacts(): void {
+    const { keyValueClient, replica } = this.adapters;
+    if (this.watcher.isLoaded) this.leaseExtension.noteContact(keyValueClient.lastAnswerAt);
+    if (replica.leader !== null) this.standby.noteLeaderSeen(steadyNowS());
+  }
+
+  private createLeaseExtension(): LeaseExtension {
+    const { maximumContactGapS, leaseExtensionS } = this.adapters.timing;
+    return new LeaseExtension(this.settings.cluster.leaseS, maximumContactGapS, leaseExtensionS);
+  }
+
+  private createStandbyResponder(): StandbyResponder {
+    const { cluster, member, zone } = this.settings;
+    const { replica, timing } = this.adapters;
+    const otherNodes = Math.max(1, cluster.nodes - 1);
+    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodes;
+    return new StandbyResponder(
+      cluster,
+      member,
+      zone,
+      replica,
+      this.leaseExtension,
+      new TokenBucket(redirectsPerS, redirectsPerS / 2),
+      timing.gracePeriodS,
+    );
+  }
+
+  private createCompletionWaiters(): CompletionWaiters {
+    const { replica } = this.adapters;
+    return new CompletionWaiters((id) => replica.finalRecords.has(id));
+  }
+
+  private createReplicaChanges(): ReplicaChanges {
+    const { standby, completionWaiters, machineTypes } = this;
+    const { leadership, transactions } = this.leader;
+    return new ReplicaChanges({
+      now: steadyNowS,
+      replica: this.adapters.replica,
+      leadership,
+      standby,
+      completionWaiters,
+      transactions,
+      machineTypes,
+    });
+  }
+
+  private createPeerMesh(): PeerMesh {
+    const { peerAddress, peers, cluster, zone } = this.settings;
+    return new PeerMesh({
+      listenAddress: peerAddress,
+      peerAddresses: peers.map((peer) => peer.address),
+      now: steadyNowS,
+      heartbeatIntervalS: cluster.heartbeatIntervalS / 8,
+      currentHeartbeat: () => ({
+        reachesStateService: this.stateContact.reachesStateService(),
+        holdsLeadership: this.leader.leadership.current !== null,
+        epoch: this.adapters.replica.epoch.value.n,
+        zoneIndex: Math.max(0, cluster.zones.indexOf(zone)),
+      }),
+    });
+  }
+
+  private createNodeHealth(): NodeHealth {
+    const { stateContact, peers, leader } = this;
+    return new NodeHealth({ stateContact, peers, leadership: leader.leadership });
+  }
+
+  private createUserRequests(): UserRequests {
+    const { settings, watcher, stateContact, machineTypes, completionWaiters, admission } = this;
+    const { replica, tracer } = this.adapters;
+    const submissionWriter = this.createSubmissionWriter();
+    return new UserRequests({
+      cluster: settings.cluster,
+      replica,
+      watcher,
+      stateContact,
+      machineTypes,
+      submissions: new SubmissionService(replica, watcher, submissionWriter, admission),
+      submissionWriter,
+      completionWaiters,
+      admission,
+      tracer,
+    });
+  }
+
+  private createSubmissionWriter(): SubmissionWriter {
+    const { cluster } = this.settings;
+    return new SubmissionWriter({
+      keyValueClient: this.adapters.keyValueClient,
+      writeBudget: this.leader.transactions.writeBudget,
+      now: steadyNowS,
+      maxChanges: cluster.txnOps,
+      maxTransactionBytes: MAXIMUM_TRANSACTION_BYTES,
+      maxValueBytes: 1024 * cluster.valueKb,
+      maxWaitS: cluster.heartbeatIntervalS / 3,
+      gate: this.admission ?? undefined,
+    });
+  }
+
+  private createWorkerHeartbeats(): WorkerHeartbeats {
+    const { settings, stateContact, health, standby, leader } = this;
+    const { timing, replica, load } = this.adapters;
+    return new WorkerHeartbeats({
+      member: settings.member,
+      timing,
+      now: steadyNowS,
+      replica,
+      stateContact,
+      health,
+      leadership: leader.leadership,
+      standby,
+      load,
+      performEffects: (effects) => leader.performEffects(effects),
+      onHeartbeatHandled: () => leader.schedulingLoop.requeue(),
+    });
+  }
+}
--- /dev/null
+++ b/src/node/node-cycle.ts
@@ -0,0 +1,66 @@
+/** What a node does in one scheduling cycle. */
+import type { AdmissionControl } from "../admission/index.js";
+import type { Effect } from "../core/effects.js";
+import type { StateWatcher } from "../state/state-watcher.js";
+import type { LeaderTransactions } from "./leader-transactions.js";
+import type { ActiveLeadership, Leadership } from "./leadership.js";
+import type { MachineTypeCatalog } from "./machine-type-catalog.js";
+
+/** Times in a heartbeat interval at which the leader checks whether admission must be limited. */
+const ADMISSION_UPDATES_PER_INTERVAL = 8;
+
+/** What takes part in a cycle. */
+export interface NodeCycleOptions {
+  /** Steady time, in seconds. */
+  readonly now: () => number;
+  readonly heartbeatIntervalS: number;
+  readonly watcher: StateWatcher;
+  readonly machineTypes: MachineTypeCatalog;
+  readonly leadership: Leadership;
+  readonly transactions: LeaderTransactions;
+  /** Null: admission control is switched off. */
+  readonly admission: AdmissionControl | null;
+  readonly performEffects: (effects: readonly Effect[]) => void;
+}
+
+/** Runs cycles: a standby campaigns, the leader schedules, updates admission and writes. */
+export class NodeCycle {
+  private nextAdmissionUpdateAt = Number.NEGATIVE_INFINITY;
+
+  constructor(private readonly options: NodeCycleOptions) {}
+
+  /** Runs one cycle. */
+  run(): void {
+    const { now, watcher, admission, leadership } = this.options;
+    const startedAt = now();
+    if (watcher.isLoaded) admission?.flushRejections();
+    if (leadership.current === null) this.runAsStandby();
+    else this.runAsLeader(leadership.current, startedAt);
+  }
+
+  private runAsStandby(): void {
+    const { watcher, machineTypes, leadership } = this.options;
+    if (watcher.isLoaded && machineTypes.known.length > 0) leadership.campaign();
+  }
+
+  private runAsLeader(leading: ActiveLeadership, startedAt: number): void {
+    const { performEffects, transactions, leadership } = this.options;
+    if (!leading.term.mayAct(startedAt)) return;
+    performEffects(leading.scheduler.tick(startedAt, Date.now()));
+    this.updateAdmission(leading, startedAt);
+    transactions.sendNext(leadership);
+  }
+
+  /** Admission windows follow the load as the leader sees it. */
+  private updateAdmission({ term, scheduler }: ActiveLeadership, now: number): void {
+    const { admission, heartbeatIntervalS } = this.options;
+    if (admission === null || now < this.nextAdmissionUpdateAt) return;
+    this.nextAdmissionUpdateAt = now + heartbeatIntervalS / ADMISSION_UPDATES_PER_INTERVAL;
+    admission.updateWindow({
+      cluster: scheduler.cluster,
+      growing: scheduler.isGrowing(now),
+      epoch: term.epoch,
+      epochModRevision: term.epochModRevision,
+    });
+  }
+}
--- /dev/null
+++ b/src/node/scheduler-factory.ts
@@ -0,0 +1,51 @@
+/** Creates the scheduler of a new term. */
+import type { Logger } from "pino";
+import type { OperatorSettings } from "../config/operator.js";
+import type { SchedulerOptions } from "../core/effects.js";
+import { Scheduler } from "../core/scheduler.js";
+import type { NodeSettings } from "../wire/settings.js";
+import type { MachineTypeCatalog } from "./machine-type-catalog.js";
+import type { NodeTiming } from "./node-timing.js";
+
+/** What schedulers are created from. */
+export interface SchedulerFactoryOptions {
+  readonly settings: NodeSettings;
+  readonly operator: OperatorSettings;
+  readonly timing: NodeTiming;
+  readonly machineTypes: MachineTypeCatalog;
+  readonly log: Logger;
+}
+
+/** Creates schedulers that know the settings and the machine types. */
+export class SchedulerFactory {
+  constructor(private readonly options: SchedulerFactoryOptions) {}
+
+  /** A scheduler of the term with this epoch, whose key has this mod revision. */
+  create(epoch: number, epochModRevision: number, now: number): Scheduler {
+    const { settings, machineTypes } = this.options;
+    const options = this.schedulerOptions();
+    const scheduler = new Scheduler(settings.cluster, options, epoch, epochModRevision, now);
+    scheduler.setMachineTypes(machineTypes.known);
+    return scheduler;
+  }
+
+  private schedulerOptions(): SchedulerOptions {
+    const { settings, operator, timing, log } = this.options;
+    return {
+      spareRatio: operator.spareCapacityRatio,
+      maxMachines: operator.maxMachines,
+      idleReleaseS: operator.maxIdleLeases * settings.cluster.leaseS,
+      gracePeriodS: timing.gracePeriodS,
+      leaseExtensionS: timing.leaseExtensionS,
+      logsTasks: log.isLevelEnabled("debug"),
+      controllersPerZone: controllersPerZone(settings),
+    };
+  }
+}
+
+/** The number of other controllers in each zone. */
+function controllersPerZone({ peers }: NodeSettings): Map<string, number> {
+  const counts = new Map<string, number>();
+  for (const { zone } of peers) counts.set(zone, (counts.get(zone) ?? 0) + 1);
+  return counts;
+}
--- /dev/null
+++ b/src/node/state-contact.ts
@@ -0,0 +1,29 @@
+/** Whether a node is in contact with the state service. */
+import type { KeyValueClient } from "../state/key-value-client.js";
+import type { StateWatcher } from "../state/state-watcher.js";
+
+/** What contact with the state service is judged by. */
+export interface StateContactOptions {
+  readonly keyValueClient: KeyValueClient;
+  readonly watcher: StateWatcher;
+  /** Steady time, in seconds. */
+  readonly now: () => number;
+  /** Longest time between two answers that counts as contact. */
+  readonly maximumContactGapS: number;
+}
+
+/** Tells whether the state service answered lately. */
+export class StateContact {
+  constructor(private readonly options: StateContactOptions) {}
+
+  /** The replica holds the stored state, current or not. */
+  get isLoaded(): boolean {
+    return this.options.watcher.isLoaded;
+  }
+
+  /** A watch ends several times within the longest gap, so silence means that this node is cut off. */
+  reachesStateService(): boolean {
+    const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
+    return watcher.isLoaded && now() - keyValueClient.lastAnswerAt < maximumContactGapS;
+  }
+}
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -191,7 +191,14 @@
   if (!("settings" in decoded)) throw new Error("test settings");
   const cloud = new KnownCloud("127.0.0.1:1", 1);
   const { cluster } = decoded.settings;
-  const types = new MachineTypeCatalog(cluster, cloud, store, follower, records, () => {});
+  const types = new MachineTypeCatalog({
+    cluster,
+    cloud,
+    keyValueClient: store,
+    watcher: follower,
+    replica: records,
+    onChange: () => {},
+  });
   void types.run();
   while (records.machineTypes === null) await nextTurn();
   types.stop();
