--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -18,10 +18,13 @@
   constructor(private readonly options: CycleMonitorOptions) {}
 
   /** A cycle took so long, and began so long after the end of the one before it. */
-  handleCycleEnd(tookS: number, sinceS: number): void {
+  handleCycleEnd(durationS: number, sinceLastCycleS: number): void {
     const { heartbeatIntervalS, replica, log } = this.options;
-    if (tookS <= heartbeatIntervalS / 4) return;
-    log.warn({ tookS, sinceS, jobs: replica.activeJobs.size }, "slow scheduling cycle");
+    if (durationS <= heartbeatIntervalS / 4) return;
+    log.warn(
+      { durationS, sinceLastCycleS, jobs: replica.activeJobs.size },
+      "slow scheduling cycle",
+    );
   }
 
   /** Timers are late by so much. */
--- a/src/node/http-server.ts
+++ b/src/node/http-server.ts
@@ -37,8 +37,10 @@
     cancellationWaitS: heartbeatIntervalS / 3,
     // A peer that vanished without a word must not hold a socket for long.
     idleTimeoutS: Math.max(10, 4 * heartbeatIntervalS),
-    onRequestDone: (what, tookS, status) => {
-      if (tookS > heartbeatIntervalS / 30) log.debug({ what, tookS, status }, "slow answer");
+    onRequestDone: (what, durationS, status) => {
+      if (durationS > heartbeatIntervalS / 30) {
+        log.debug({ what, durationS, status }, "slow request");
+      }
     },
     onFault: (error) => log.error({ err: error }, "request failed"),
   });
--- a/src/node/job-tracer.ts
+++ b/src/node/job-tracer.ts
@@ -1,8 +1,9 @@
 /**
- * Traces of jobs, by the OpenTelemetry API: from the submission over the decision to the first start. Off by default; a
- * program that embeds controllers registers the provider that the spans go to, and without one they go nowhere.
+ * Traces of jobs, by the OpenTelemetry API: from the submission over the admission decision to the first start. Off by
+ * default; a program that embeds controllers registers the provider of the spans, and without one they are dropped.
  *
- * A job's trace follows from its id, so the spans of all controllers join one trace with nothing stored or sent for it.
+ * A job's trace id is derived from the job's id, so the spans of all controllers join one trace with nothing stored or
+ * sent for it.
  */
 import { createHash } from "node:crypto";
 import {
@@ -22,7 +23,7 @@
 const SPAN_ID_DIGITS = 16;
 const TRACER_NAME = "peatsaddle";
 
-/** The context that all spans of a job have as their parent. */
+/** The context that is the parent of all spans of a job. */
 function jobContext(jobId: string): Context {
   const digits = createHash("sha256").update(jobId).digest("hex");
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -33,6 +34,7 @@
   });
 }
 
+/** Records the spans of one controller. */
 export class JobTracer {
   private readonly tracer: Tracer;
 
@@ -40,17 +42,20 @@
     this.tracer = trace.getTracer(TRACER_NAME);
   }
 
-  /** Traces a submission until it is answered. `describe` turns its outcome into the span's attributes. */
-  async traceSubmission<T>(
+  /**
+   * Traces a submission until it is answered; one that throws is marked as an error. `attributesOf` gives the
+   * span's attributes by the outcome.
+   */
+  async traceSubmission<Outcome>(
     job: JobSpec,
-    work: () => Promise<T>,
-    describe: (outcome: T) => Attributes,
-  ): Promise<T> {
+    submit: () => Promise<Outcome>,
+    attributesOf: (outcome: Outcome) => Attributes,
+  ): Promise<Outcome> {
     const span = this.startSpan("job.submission", job.id, SpanKind.SERVER);
     span.setAttributes({ "job.team": job.team, "job.class": job.class, "job.tasks": job.tasks });
     try {
-      const outcome = await work();
-      span.setAttributes(describe(outcome));
+      const outcome = await submit();
+      span.setAttributes(attributesOf(outcome));
       return outcome;
     } catch (error) {
       span.setStatus({ code: SpanStatusCode.ERROR });
@@ -60,7 +65,7 @@
     }
   }
 
-  /** Traces the wait of a job from its submission to the moment when its first task runs. */
+  /** Traces the wait of a job from its submission until its first task runs. */
   traceFirstStart(jobId: string, submittedAtMs: number): void {
     this.startSpan("job.wait", jobId, SpanKind.INTERNAL, submittedAtMs).end();
   }
--- a/src/node/leader-composition.ts
+++ b/src/node/leader-composition.ts
@@ -119,7 +119,7 @@
       heartbeatIntervalS,
       sockets,
       onResult: (handle) => {
-        this.runSchedulerWork("commands", () => this.performEffects(handle()));
+        this.runSchedulerWork("effectResults", () => this.performEffects(handle()));
         this.schedulingLoop.requeue();
       },
     });
@@ -132,8 +132,9 @@
       now: steadyNowS,
       settings: this.options.settings.cluster,
       onPoll: this.options.onPoll,
-      runCycle: () => this.runSchedulerWork("passes", () => cycle.run()),
-      onCycleEnd: (tookS, sinceS) => monitor.handleCycleEnd(tookS, sinceS),
+      runCycle: () => this.runSchedulerWork("cycles", () => cycle.run()),
+      onCycleEnd: (durationS, sinceLastCycleS) =>
+        monitor.handleCycleEnd(durationS, sinceLastCycleS),
       onLag: (lagS, isOverloaded) => monitor.handleLag(lagS, isOverloaded),
     });
   }
--- a/src/node/machine-type-catalog.ts
+++ b/src/node/machine-type-catalog.ts
@@ -1,5 +1,6 @@
 /** The machine types that the cloud offers, stored as well for a start while the cloud is down. */
-import { setTimeout as delay } from "node:timers/promises";
+// The default import, so that tests can mock the timer: a named import is bound before they do.
+import timers from "node:timers/promises";
 import type { CloudClient } from "../cloud/client.js";
 import type { MachineType } from "../core/model/machines.js";
 import type { ClusterSettings } from "../core/model/settings.js";
@@ -55,7 +56,7 @@
       onChange(types);
       await this.persist(types);
       // The wait must not keep a program alive that embeds a controller and has stopped it.
-      await delay(REFRESH_LEASES * 1000 * leaseS, undefined, { ref: false });
+      await timers.setTimeout(REFRESH_LEASES * 1000 * leaseS, undefined, { ref: false });
     }
   }
 
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -95,7 +95,7 @@
   }
 
   private handleReplicaChange(change: ReplicaChange | null): void {
-    this.leader.runSchedulerWork("records", () => {
+    this.leader.runSchedulerWork("replicaChanges", () => {
       this.replicaChanges.apply(change);
       this.leader.schedulingLoop.requeue();
     });
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -1,111 +1,134 @@
 /**
- * What this node spends its time on, for operators who size it: a line in the log every few report intervals
+ * What this node spends its time on, for operators who size it: a line in the log every few heartbeat intervals
  * (docs/operations-sizing.md).
  */
 import type { ClusterSettings } from "../core/model/settings.js";
+import { steadyNowS } from "../time/steady-clock.js";
 
-/** Report intervals between two lines. */
+/** Heartbeat intervals between two lines. */
 const LINE_INTERVALS = 5;
 
-export const ACTIVITIES = ["reports", "passes", "commands", "records"] as const;
+/** What is counted: heartbeats answered, scheduling cycles, results of effects, and changes of the replica. */
+export const ACTIVITIES = ["heartbeats", "cycles", "effectResults", "replicaChanges"] as const;
+/** Something that a node spends its time on. */
 export type Activity = (typeof ACTIVITIES)[number];
 
-/** How often something was done, and the seconds that it took. */
+/** How often something was done, and for how many seconds in all. */
 interface ActivityTotals {
   count: number;
   seconds: number;
 }
 
-/** One line: processor time used, as a share of a core, and what was done in the time since the last one. */
+/** How often something was done in a second, and the share of the time that it took. */
+export interface ActivityRate {
+  readonly perSecond: number;
+  readonly share: number;
+}
+
+/** One line: the processor time used since the last one, and what was done in it. */
 export interface LoadLine {
-  readonly overS: number;
+  /** Seconds since the last line. */
+  readonly intervalS: number;
+  /** Processor time used, as a share of a core. */
   readonly cpu: number;
-  readonly cpuGiven: number;
-  readonly behindMs: number;
+  /** The share of a core that the settings give. */
+  readonly cpuShare: number;
+  /** How late timers fire. */
+  readonly lagMs: number;
   readonly heapMb: number;
   readonly residentMb: number;
-  readonly activities: Readonly<Record<Activity, { perSecond: number; share: number }>>;
+  readonly activities: Readonly<Record<Activity, ActivityRate>>;
 }
 
+/** What the load is measured by. */
 export interface NodeLoadOptions {
   /** Steady time, in seconds. */
   readonly now: () => number;
   /** Processor time that this process has used, in seconds. */
   readonly cpuS: () => number;
+  /** Memory of this process, in bytes. */
   readonly memory: () => { readonly heapUsed: number; readonly rss: number };
   /** The share of a core that the settings give. */
   readonly cpuShare: number;
   /** Seconds between two lines. */
-  readonly everyS: number;
+  readonly lineIntervalS: number;
 }
 
-const MB = 2 ** 20;
-const rounded = (n: number): number => Math.round(n * 1000) / 1000;
+const BYTES_PER_MB = 2 ** 20;
+const rounded = (value: number): number => Math.round(value * 1000) / 1000;
 
+/** Counts and times the activities of a node. */
 export class NodeLoad {
-  private readonly spent = new Map<Activity, ActivityTotals>();
-  private since: number;
-  private cpuSince: number;
+  private readonly totals = new Map<Activity, ActivityTotals>();
+  private lastLineAt: number;
+  private cpuSAtLastLine: number;
 
   constructor(private readonly options: NodeLoadOptions) {
-    this.since = options.now();
-    this.cpuSince = options.cpuS();
-    this.clear();
+    this.lastLineAt = options.now();
+    this.cpuSAtLastLine = options.cpuS();
+    this.resetTotals();
   }
 
-  /** Does the work, and counts it as that activity. */
-  measure<T>(activity: Activity, work: () => T): T {
-    const began = this.options.now();
+  /** Does the work, and counts it as that activity, also when it throws. */
+  measure<Result>(activity: Activity, work: () => Result): Result {
+    const startedAt = this.options.now();
     try {
       return work();
     } finally {
-      const spent = this.spent.get(activity)!;
-      spent.count++;
-      spent.seconds += this.options.now() - began;
+      const totals = this.totals.get(activity)!;
+      totals.count++;
+      totals.seconds += this.options.now() - startedAt;
     }
   }
 
-  /** The line that is due, or null. `behindS`: how late timers come back. */
-  line(behindS: number): LoadLine | null {
-    const { now, cpuS, memory, cpuShare, everyS } = this.options;
-    const overS = now() - this.since;
-    if (overS < everyS) return null;
-    const cpu = cpuS();
+  /** The line that is due, or null. `lagS`: how late timers fire. */
+  line(lagS: number): LoadLine | null {
+    const { now, cpuS, memory, cpuShare, lineIntervalS } = this.options;
+    const intervalS = now() - this.lastLineAt;
+    if (intervalS < lineIntervalS) return null;
+    const cpuSNow = cpuS();
     const { heapUsed, rss } = memory();
-    const activities = {} as Record<Activity, { perSecond: number; share: number }>;
-    for (const [activity, { count, seconds }] of this.spent) {
-      activities[activity] = { perSecond: rounded(count / overS), share: rounded(seconds / overS) };
-    }
     const line: LoadLine = {
-      overS: rounded(overS),
-      cpu: rounded((cpu - this.cpuSince) / overS),
-      cpuGiven: cpuShare,
-      behindMs: Math.round(1000 * behindS),
-      heapMb: Math.round(heapUsed / MB),
-      residentMb: Math.round(rss / MB),
-      activities,
+      intervalS: rounded(intervalS),
+      cpu: rounded((cpuSNow - this.cpuSAtLastLine) / intervalS),
+      cpuShare,
+      lagMs: Math.round(1000 * lagS),
+      heapMb: Math.round(heapUsed / BYTES_PER_MB),
+      residentMb: Math.round(rss / BYTES_PER_MB),
+      activities: this.activityRates(intervalS),
     };
-    this.since = now();
-    this.cpuSince = cpu;
-    this.clear();
+    this.lastLineAt = now();
+    this.cpuSAtLastLine = cpuSNow;
+    this.resetTotals();
     return line;
   }
 
-  private clear(): void {
-    for (const activity of ACTIVITIES) this.spent.set(activity, { count: 0, seconds: 0 });
+  private activityRates(intervalS: number): Record<Activity, ActivityRate> {
+    const rates = {} as Record<Activity, ActivityRate>;
+    for (const [activity, { count, seconds }] of this.totals) {
+      rates[activity] = {
+        perSecond: rounded(count / intervalS),
+        share: rounded(seconds / intervalS),
+      };
+    }
+    return rates;
+  }
+
+  private resetTotals(): void {
+    for (const activity of ACTIVITIES) this.totals.set(activity, { count: 0, seconds: 0 });
   }
 }
 
 /** The load of this process. */
-export function newNodeLoad({ cpuShare, heartbeatIntervalS: reportS }: ClusterSettings): NodeLoad {
+export function newNodeLoad({ cpuShare, heartbeatIntervalS }: ClusterSettings): NodeLoad {
   return new NodeLoad({
-    now: () => performance.now() / 1000,
+    now: steadyNowS,
     cpuS: () => {
       const { user, system } = process.cpuUsage();
       return (user + system) / 1e6;
     },
     memory: process.memoryUsage,
     cpuShare,
-    everyS: LINE_INTERVALS * reportS,
+    lineIntervalS: LINE_INTERVALS * heartbeatIntervalS,
   });
 }
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -1,34 +1,37 @@
-/** When a node looks at what there is to do: at intervals, and soon after something came in, with time left for answers. */
+/** When a node runs scheduling cycles: at intervals, and soon after an input, with time left for answers in between. */
 import type { ClusterSettings } from "../core/model/settings.js";
+import { sleepSeconds } from "../time/sleep.js";
 
-/** Looks in a report interval when nothing comes in. */
+/** Polls in a heartbeat interval when nothing comes in. */
 const POLLS_PER_INTERVAL = 20;
-/** Part of a report interval that is left between two passes at the least. */
+/** Least rest between two cycles, as a share of the heartbeat interval. */
 const MINIMUM_REST_SHARE = 1 / 100;
-/** Rest after a pass, as a ratio to what it took; and while more comes in than can be done. */
+/** Rest after a cycle, as a ratio to its duration; and the same while more comes in than can be done. */
 const REST_RATIO = 2;
 const OVERLOADED_REST_RATIO = 8;
-/** Lateness of timers from which a node is overloaded, as a ratio to the report interval. */
+/** Lag of timers from which a node is overloaded, as a share of the heartbeat interval. */
 const OVERLOADED_LAG_SHARE = 1 / 30;
-/** Weight of the last measurement of lateness. */
+/** Weight of the last measurement of the lag in its moving average. */
 const LAG_SMOOTHING = 0.3;
 
+/** What the loop runs, and who is told of its measurements. */
 export interface SchedulingLoopOptions {
   /** Steady time, in seconds. */
   readonly now: () => number;
   readonly settings: Pick<ClusterSettings, "heartbeatIntervalS">;
-  /** Done at each look, before a pass that is due. */
+  /** Called at each poll, before the cycle that may be due. */
   readonly onPoll: () => void;
+  /** Runs one scheduling cycle. */
   readonly runCycle: () => void;
-  /** Told how long each pass took, and how long after the one before it began, in seconds. */
-  readonly onCycleEnd: (tookS: number, sinceS: number) => void;
-  /** Told after each look how late timers come back, in seconds, and whether that is too much. */
-  readonly onLag: (behindS: number, overloaded: boolean) => void;
+  /** Told the duration of each cycle, and how long after the end of the last one it began, in seconds. */
+  readonly onCycleEnd: (durationS: number, sinceLastCycleS: number) => void;
+  /** Told after each poll how late timers fire on average, in seconds, and whether that is too much. */
+  readonly onLag: (lagS: number, isOverloaded: boolean) => void;
 }
 
+/** Spaces the scheduling cycles of a node. */
 export class SchedulingLoop {
   private isQueued = false;
-  /** No further pass is made before then. */
   private nextCycleAt = Number.NEGATIVE_INFINITY;
   private lastCycleEndedAt = 0;
   private lagS = 0;
@@ -37,46 +40,54 @@
 
   constructor(private readonly options: SchedulingLoopOptions) {}
 
-  stop(): void {
-    this.stopped = true;
-  }
-
+  /** Polls until `stop`, and runs a cycle at each poll unless the rest after the last one still lasts. */
   async run(): Promise<void> {
-    const { now, settings, onPoll: look, onLag: behind } = this.options;
-    const everyS = settings.heartbeatIntervalS / POLLS_PER_INTERVAL;
+    const { now, settings, onPoll, onLag } = this.options;
+    const pollIntervalS = settings.heartbeatIntervalS / POLLS_PER_INTERVAL;
     while (!this.stopped) {
-      look();
+      onPoll();
       if (now() >= this.nextCycleAt) this.runCycle();
-      const before = now();
-      await new Promise((resolve) => setTimeout(resolve, 1000 * everyS));
-      // A pause that took far longer than asked for: more comes in than can be done.
-      const lateS = now() - before - everyS;
-      this.lagS = (1 - LAG_SMOOTHING) * this.lagS + LAG_SMOOTHING * lateS;
-      this.isOverloaded = this.lagS > OVERLOADED_LAG_SHARE * settings.heartbeatIntervalS;
-      behind(this.lagS, this.isOverloaded);
+      const sleptFrom = now();
+      await sleepSeconds(pollIntervalS);
+      this.updateLag(now() - sleptFrom - pollIntervalS);
+      onLag(this.lagS, this.isOverloaded);
     }
   }
 
-  /** Something came in: a pass follows as soon as the rest after the last one is over. */
+  /** Ends the loop. No cycle begins after this. */
+  stop(): void {
+    this.stopped = true;
+  }
+
+  /** Something came in: a cycle follows as soon as the rest after the last one is over. */
   requeue(): void {
     if (this.isQueued) return;
     this.isQueued = true;
-    const inS = Math.max(0, this.nextCycleAt - this.options.now());
+    const delayS = Math.max(0, this.nextCycleAt - this.options.now());
     setTimeout(() => {
       this.isQueued = false;
       if (!this.stopped) this.runCycle();
-    }, 1000 * inS);
+    }, 1000 * delayS);
+  }
+
+  /** A sleep that took far longer than asked for means that more comes in than can be done. */
+  private updateLag(measuredS: number): void {
+    this.lagS = (1 - LAG_SMOOTHING) * this.lagS + LAG_SMOOTHING * measuredS;
+    const { heartbeatIntervalS } = this.options.settings;
+    this.isOverloaded = this.lagS > OVERLOADED_LAG_SHARE * heartbeatIntervalS;
   }
 
-  /** Passes are spaced, so that whatever they cost, as much time is left for answers. */
+  /** Cycles are spaced, so that whatever they cost, as much time is left for answers. */
   private runCycle(): void {
-    const { now, settings, runCycle: pass, onCycleEnd: took } = this.options;
-    const began = now();
-    pass();
-    const ended = now();
-    took(ended - began, began - this.lastCycleEndedAt);
-    this.lastCycleEndedAt = ended;
-    const rest = (this.isOverloaded ? OVERLOADED_REST_RATIO : REST_RATIO) * (ended - began);
-    this.nextCycleAt = ended + Math.max(MINIMUM_REST_SHARE * settings.heartbeatIntervalS, rest);
+    const { now, settings, runCycle, onCycleEnd } = this.options;
+    const startedAt = now();
+    runCycle();
+    const endedAt = now();
+    const durationS = endedAt - startedAt;
+    onCycleEnd(durationS, startedAt - this.lastCycleEndedAt);
+    this.lastCycleEndedAt = endedAt;
+    const restS = durationS * (this.isOverloaded ? OVERLOADED_REST_RATIO : REST_RATIO);
+    const minimumRestS = MINIMUM_REST_SHARE * settings.heartbeatIntervalS;
+    this.nextCycleAt = endedAt + Math.max(minimumRestS, restS);
   }
 }
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -39,7 +39,7 @@
     const receivedAt = now();
     const leading = leadership.current;
     if (leading !== null) {
-      return load.measure("reports", () => this.handleAsLeader(leading, heartbeat, receivedAt));
+      return load.measure("heartbeats", () => this.handleAsLeader(leading, heartbeat, receivedAt));
     }
     if (standby.mayAnswer(heartbeat, health.connectivity(), receivedAt, Date.now())) {
       return { kind: "answer", fencingToken: replica.epoch.value.n, commands: [] };
--- a/tests/scheduling-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -1,85 +1,90 @@
-/** When passes are made: in simulated time, with passes that take a while and timers that come back late. */
+/** When scheduling cycles run: in simulated time, with cycles that take a while and timers that fire late. */
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { type TestContext, test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { SchedulingLoop } from "../src/node/scheduling-loop.js";
 
-/** A loop on a clock of its own; `passS`: what each pass takes. */
+const HEARTBEAT_INTERVAL_S = 3;
+const POLL_INTERVAL_MS = 150;
+
+/** A loop on a clock of its own, whose cycles all take `cycleS`. */
 class SimulatedLoop {
   now = 100;
-  readonly passes: number[] = [];
-  overloaded = false;
+  readonly cycleStarts: number[] = [];
+  isOverloaded = false;
   readonly loop: SchedulingLoop;
 
-  constructor(readonly passS: number) {
+  constructor(private readonly cycleS: number) {
     this.loop = new SchedulingLoop({
       now: () => this.now,
-      settings: { heartbeatIntervalS: 3 },
+      settings: { heartbeatIntervalS: HEARTBEAT_INTERVAL_S },
       onPoll: () => {},
       runCycle: () => {
-        this.passes.push(this.now);
-        this.now += this.passS;
+        this.cycleStarts.push(this.now);
+        this.now += this.cycleS;
       },
       onCycleEnd: () => {},
-      onLag: (_, overloaded) => {
-        this.overloaded = overloaded;
+      onLag: (_lagS, isOverloaded) => {
+        this.isOverloaded = isOverloaded;
       },
     });
   }
-}
 
-test("after a pass twice its own time is left for answers, and eight times while overloaded", async (t) => {
-  t.mock.timers.enable({ apis: ["setTimeout"] });
-  const gap = async (lateS: number): Promise<number> => {
-    const simulated = new SimulatedLoop(0.3);
-    void simulated.loop.run();
-    for (let i = 0; i < 60; i++) {
-      simulated.now += 0.15 + lateS;
-      t.mock.timers.tick(150);
+  /** Runs the loop for so many polls, each of whose timers fires late by `lagS`. */
+  async runPolls(context: TestContext, polls: number, lagS: number): Promise<void> {
+    const running = this.loop.run();
+    for (let poll = 1; poll <= polls; poll++) {
+      if (poll === polls) this.loop.stop();
+      this.now += POLL_INTERVAL_MS / 1000 + lagS;
+      context.mock.timers.tick(POLL_INTERVAL_MS);
       await nextTurn();
     }
-    simulated.loop.stop();
-    const [before, last] = simulated.passes.slice(-2) as [number, number];
-    return last - before - 0.3;
+    await running;
+  }
+}
+
+test("after a cycle twice its duration is left for answers, and eight times while overloaded", async (t) => {
+  t.mock.timers.enable({ apis: ["setTimeout"] });
+  const cycleS = 0.3;
+  const restS = async (lagS: number): Promise<number> => {
+    const simulated = new SimulatedLoop(cycleS);
+    await simulated.runPolls(t, 60, lagS);
+    const [secondLast, last] = simulated.cycleStarts.slice(-2) as [number, number];
+    return last - secondLast - cycleS;
   };
-  const [quiet, late] = [await gap(0), await gap(0.2)];
-  assert.ok(quiet >= 0.6 && quiet < 0.6 + 0.2, `${quiet} s`);
-  assert.ok(late >= 2.4 && late < 2.4 + 0.4, `${late} s`);
+  const restOnTimeS = await restS(0);
+  const restOverloadedS = await restS(0.2);
+  assert.ok(restOnTimeS >= 0.6 && restOnTimeS < 0.6 + 0.2, `${restOnTimeS} s`);
+  assert.ok(restOverloadedS >= 2.4 && restOverloadedS < 2.4 + 0.4, `${restOverloadedS} s`);
 });
 
-test("a node is overloaded once timers come back late by a thirtieth of a report interval", async (t) => {
+test("a node is overloaded once the lag of its timers exceeds a thirtieth of a heartbeat interval", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
-  const overloadedAt = async (lateS: number): Promise<boolean> => {
+  const isOverloadedAt = async (lagS: number): Promise<boolean> => {
     const simulated = new SimulatedLoop(0);
-    void simulated.loop.run();
-    for (let i = 0; i < 40; i++) {
-      simulated.now += 0.15 + lateS;
-      t.mock.timers.tick(150);
-      await nextTurn();
-    }
-    simulated.loop.stop();
-    return simulated.overloaded;
+    await simulated.runPolls(t, 40, lagS);
+    return simulated.isOverloaded;
   };
-  assert.equal(await overloadedAt(0.05), false);
-  assert.equal(await overloadedAt(0.15), true);
+  assert.equal(await isOverloadedAt(0.05), false);
+  assert.equal(await isOverloadedAt(0.15), true);
 });
 
-test("what comes in during the rest makes one pass once the rest is over", async (t) => {
+test("inputs during the rest after a cycle cause one cycle once the rest is over", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
   const simulated = new SimulatedLoop(0.5);
   simulated.loop.requeue();
   t.mock.timers.tick(0);
-  assert.equal(simulated.passes.length, 1);
+  assert.equal(simulated.cycleStarts.length, 1);
   for (let i = 0; i < 5; i++) simulated.loop.requeue();
   simulated.now += 0.9;
   t.mock.timers.tick(900);
-  assert.equal(simulated.passes.length, 1, "it rests for twice its own time");
+  assert.equal(simulated.cycleStarts.length, 1, "it rests for twice the cycle's duration");
   simulated.now += 0.2;
   t.mock.timers.tick(200);
-  assert.equal(simulated.passes.length, 2);
+  assert.equal(simulated.cycleStarts.length, 2);
   simulated.loop.requeue();
   simulated.loop.stop();
   simulated.now += 5;
   t.mock.timers.tick(5000);
-  assert.equal(simulated.passes.length, 2, "none after it was stopped");
+  assert.equal(simulated.cycleStarts.length, 2, "none after it was stopped");
 });
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -113,16 +113,16 @@
     cpuS: () => cpuS,
     memory: () => ({ heapUsed: 20 * 2 ** 20, rss: 90 * 2 ** 20 }),
     cpuShare: SMALL_SHARE,
-    everyS: 15,
+    lineIntervalS: 15,
   });
   const measureHeartbeats = (): string =>
-    load.measure("reports", () => {
+    load.measure("heartbeats", () => {
       now += 0.5;
       return "answered";
     });
   assert.equal(measureHeartbeats(), "answered");
   assert.throws(() =>
-    load.measure("passes", () => {
+    load.measure("cycles", () => {
       now += 1;
       throw new Error("a fault is counted too");
     }),
@@ -132,10 +132,10 @@
   cpuS = 3;
   const line = load.line(0.25);
   assert.deepEqual(
-    [line?.overS, line?.cpu, line?.cpuGiven, line?.behindMs, line?.heapMb, line?.residentMb],
+    [line?.intervalS, line?.cpu, line?.cpuShare, line?.lagMs, line?.heapMb, line?.residentMb],
     [20, 0.1, SMALL_SHARE, 250, 20, 90],
   );
-  assert.deepEqual(line?.activities.reports, { perSecond: 0.05, share: 0.025 });
-  assert.deepEqual(line?.activities.passes, { perSecond: 0.05, share: 0.05 });
+  assert.deepEqual(line?.activities.heartbeats, { perSecond: 0.05, share: 0.025 });
+  assert.deepEqual(line?.activities.cycles, { perSecond: 0.05, share: 0.05 });
   assert.equal(load.line(0), null, "counted anew");
 });
