--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -1,4 +1,4 @@
-/** New machines that come up late, never, or before anybody has heard of them. */
+/** New machines that boot late, never, or send heartbeats before the cloud lists them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -12,12 +12,13 @@
 import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
 
 const CLUSTER = (() => {
-  const s = decodeSettings(settingsText());
-  if (!("settings" in s)) throw new Error("test settings");
-  return s.settings.cluster;
+  const decoded = decodeSettings(settingsText());
+  if (!("settings" in decoded)) throw new Error("test settings");
+  return decoded.settings.cluster;
 })();
 
-const listed = (
+/** A machine as the cloud lists it, booting unless changed. */
+const listedMachine = (
   name: string,
   ageS: number,
   change: Partial<ListedMachine> = {},
@@ -32,94 +33,112 @@
   ...change,
 });
 
-function next(h: TestLeader): ScaleOutRequest | null {
+/** The scheduler receives the cloud's list of machines. */
+function receiveMachineList(leader: TestLeader, machines: readonly ListedMachine[]): void {
+  leader.performEffects(leader.scheduler.machineListAnswered(machines, leader.now));
+}
+
+/** What would be requested of the cloud now. */
+function nextScaleOut(leader: TestLeader): ScaleOutRequest | null {
+  const { cluster } = leader.scheduler;
   return planScaleOut(
     {
-      cluster: h.scheduler.cluster,
+      cluster,
       settings: CLUSTER,
       types: MACHINE_TYPES,
-      now: h.now,
+      now: leader.now,
       capacityBackoffUntil: new Map(),
       spareRatio: 1,
       maxMachines: 1000,
-      machinesByZone: countMachinesByZone(h.scheduler.cluster),
-      lateBootsByOffer: countLateBootsByOffer(h.scheduler.cluster, h.now),
+      machinesByZone: countMachinesByZone(cluster),
+      lateBootsByOffer: countLateBootsByOffer(cluster, leader.now),
     },
-    [...h.scheduler.cluster.jobs.values()],
+    [...cluster.jobs.values()],
     [],
   );
 }
 
-test("room that is late is not waited for: another is rented, of another kind", () => {
-  const h = new TestLeader();
-  h.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
-  assert.equal(next(h)?.zone, "a");
-  h.performEffects(h.scheduler.machineListAnswered([listed("m1a", 1)], h.now));
-  assert.equal(next(h), null, "one is coming");
-  // It boots in 15 s as a rule.
-  h.tick(31);
-  const r = next(h);
-  assert.deepEqual([r?.count, r?.zone], [1, "b"]);
-  h.performEffects(
-    h.scheduler.machineListAnswered([listed("m1a", 32), listed("m2b", 1, { zone: "b" })], h.now),
-  );
-  assert.equal(next(h), null, "no more than one for each that is late");
-});
+/** A cloud whose machines never boot. */
+class StuckCloud {
+  private readonly agesS = new Map<string, number>();
+  /** How old each machine was when it was released, in the order of the releases. */
+  readonly agesAtReleaseS: number[] = [];
+
+  constructor(private readonly leader: TestLeader) {}
 
-test("what never comes up goes back; where all take longer, they are given longer", () => {
-  const h = new TestLeader();
-  const ages = new Map<string, number>();
-  const back: [string, number][] = [];
-  for (let i = 0; i < 400; i++) {
-    h.tick(1);
-    if (i % 4 === 0) ages.set(`m${i}a`, 0);
-    for (const [n, age] of ages) ages.set(n, age + 1);
-    for (const [, name] of h.takeTrace().matchAll(/cloud return (.*)/g)) {
-      for (const n of name!.split(" ")) {
-        back.push([n, ages.get(n)!]);
-        ages.delete(n);
-      }
-      h.performEffects(h.scheduler.releaseAnswered(name!.split(" "), true, h.now));
+  /** A second passes; with a name, the cloud has one more machine. */
+  advance(newMachine: string | null): void {
+    this.leader.tick(1);
+    if (newMachine !== null) this.agesS.set(newMachine, 0);
+    for (const [name, ageS] of this.agesS) this.agesS.set(name, ageS + 1);
+    for (const [, names] of this.leader.takeTrace().matchAll(/cloud return (.*)/g)) {
+      this.release(names!.split(" "));
     }
-    h.performEffects(
-      h.scheduler.machineListAnswered(
-        [...ages].map(([n, age]) => listed(n, age)),
-        h.now,
-      ),
-    );
+    const machines = [...this.agesS].map(([name, ageS]) => listedMachine(name, ageS));
+    receiveMachineList(this.leader, machines);
   }
-  assert.ok(back[0]![1] >= 60 && back[0]![1] <= 64, `the first after ${back[0]![1]} s`);
-  const last = back[back.length - 1]![1];
-  assert.ok(last > 120 && last <= 184, `the last after ${last} s`);
-  // One comes up in time: the others are held to that again.
-  for (let i = 0; i < 20; i++) {
-    h.receiveHeartbeat(`up${i}a`, []);
+
+  private release(names: readonly string[]): void {
+    const { leader } = this;
+    for (const name of names) {
+      this.agesAtReleaseS.push(this.agesS.get(name)!);
+      this.agesS.delete(name);
+    }
+    leader.performEffects(leader.scheduler.releaseAnswered(names, true, leader.now));
   }
-  h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70)], h.now));
+}
+
+test("capacity that boots late is replaced by a machine of another zone, one for one", () => {
+  const leader = new TestLeader();
+  leader.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
+  assert.equal(nextScaleOut(leader)?.zone, "a");
+  receiveMachineList(leader, [listedMachine("m1a", 1)]);
+  assert.equal(nextScaleOut(leader), null, "one is booting");
+  // It boots in 15 s as a rule.
+  leader.tick(31);
+  const replacement = nextScaleOut(leader);
+  assert.deepEqual([replacement?.count, replacement?.zone], [1, "b"]);
+  receiveMachineList(leader, [listedMachine("m1a", 32), listedMachine("m2b", 1, { zone: "b" })]);
+  assert.equal(nextScaleOut(leader), null, "no more than one for each that is late");
+});
+
+test("machines that never boot are released, after a longer timeout if no other boots in time either", () => {
+  const leader = new TestLeader();
+  const cloud = new StuckCloud(leader);
+  for (let second = 0; second < 400; second++) {
+    cloud.advance(second % 4 === 0 ? `m${second}a` : null);
+  }
+  const firstS = cloud.agesAtReleaseS[0]!;
+  assert.ok(firstS >= 60 && firstS <= 64, `the first after ${firstS} s`);
+  const lastS = cloud.agesAtReleaseS.at(-1)!;
+  assert.ok(lastS > 120 && lastS <= 184, `the last after ${lastS} s`);
+  // Others boot in time: the shorter timeout holds again.
+  for (let i = 0; i < 20; i++) leader.receiveHeartbeat(`up${i}a`, []);
+  receiveMachineList(leader, [listedMachine("m999a", 70)]);
   for (let i = 0; i < 30; i++) {
-    const up = Array.from({ length: i + 1 }, (_, n) => listed(`new${n}a`, 10 + i));
-    h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70 + i), ...up], h.now));
-    h.receiveHeartbeat(`new${i}a`, []);
+    const booted = Array.from({ length: i + 1 }, (_, n) => listedMachine(`new${n}a`, 10 + i));
+    receiveMachineList(leader, [listedMachine("m999a", 70 + i), ...booted]);
+    leader.receiveHeartbeat(`new${i}a`, []);
   }
-  assert.equal(h.scheduler.cluster.machines.get("m999a")!.drainReason, "boot timeout");
+  assert.equal(leader.scheduler.cluster.machines.get("m999a")!.drainReason, "boot timeout");
 });
 
-test("a machine that reports before it is listed is used, and neither rented again nor given up", () => {
-  const h = new TestLeader();
-  h.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
-  for (let i = 0; h.unansweredRequests.length === 0 && i < 4; i++) h.receiveHeartbeat("m1a", []);
-  h.answerRequest([0, 1, 2, 3].map((n) => taskStatus("j", n, 1)));
-  assert.equal(next(h), null);
+test("a machine that sends heartbeats before it is listed is used, not provisioned again nor drained", () => {
+  const leader = new TestLeader();
+  leader.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
+  for (let i = 0; leader.unansweredRequests.length === 0 && i < 4; i++) {
+    leader.receiveHeartbeat("m1a", []);
+  }
+  const statuses = [0, 1, 2, 3].map((task) => taskStatus("j", task, 1));
+  leader.answerRequest(statuses);
+  assert.equal(nextScaleOut(leader), null);
   // The list is late: it does not show the machine, then shows it as booting.
   for (let i = 0; i < 10; i++) {
-    h.performEffects(h.scheduler.machineListAnswered(i < 5 ? [] : [listed("m1a", i)], h.now));
-    h.receiveHeartbeat(
-      "m1a",
-      [0, 1, 2, 3].map((n) => taskStatus("j", n, 1)),
-    );
-    h.tick(3);
+    receiveMachineList(leader, i < 5 ? [] : [listedMachine("m1a", i)]);
+    leader.receiveHeartbeat("m1a", statuses);
+    leader.tick(3);
   }
-  const m = h.scheduler.cluster.machines.get("m1a")!;
-  assert.deepEqual([m.state, m.drainReason, m.placements.size], ["up", null, 4]);
-  assert.doesNotMatch(h.takeTrace(), /cloud return/);
+  const machine = leader.scheduler.cluster.machines.get("m1a")!;
+  assert.deepEqual([machine.state, machine.drainReason, machine.placements.size], ["up", null, 4]);
+  assert.doesNotMatch(leader.takeTrace(), /cloud return/);
 });
