--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -5,62 +5,85 @@
 import { sleepSeconds } from "./support/in-process-cluster.js";
 import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
 
+/** Submits six jobs, kills the leader while their tasks run, and expects each to complete once. */
+async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
+  const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
+  for (const [i, id] of ids.entries()) {
+    // 200 if the answer to a first try was late and it was asked again.
+    assert.ok((await site.submitJob(i % 3, id, { strides: 8 })).status <= 201);
+  }
+  await waitUntil("tasks run", () => site.ruleChecker.startCount >= 8);
+  const killed = site.leaderIndex();
+  site.signalNode(killed, "SIGKILL");
+  const leader = await site.awaitOtherLeader(killed);
+  for (const id of ids) await awaitDone(site, leader, id);
+  assert.ok(site.ruleChecker.startCount >= 48);
+  const again = await site.submitJob(leader, ids[0]!, { strides: 1 });
+  assert.deepEqual(again, { status: 200, state: "done" });
+  site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
+  assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
+  return { killed, ids };
+}
+
+/**
+ * A leader is paused while its clocks run, and another acquires leadership. What is in its buffers when it
+ * continues (due timers, heartbeats, answers) must start nothing.
+ */
+async function leaderIsPaused(site: MultiProcessCluster): Promise<void> {
+  const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
+  for (const id of held) await site.submitJob(1, id, { strides: 8 });
+  const paused = site.leaderIndex();
+  const others = [0, 1, 2].filter((i) => i !== paused);
+  site.signalNode(paused, "SIGSTOP");
+  await site.awaitOtherLeader(paused);
+  await sleepSeconds(1.5);
+  const epoch = storedEpoch(site);
+  site.signalNode(paused, "SIGCONT");
+  for (const id of held) await awaitDone(site, others[0]!, id);
+  assert.ok(storedEpoch(site) >= epoch);
+}
+
+/**
+ * All processes restart in the middle of an election, each at once, while requests of its predecessor are still
+ * under way: after the election every node answers about every job.
+ */
+async function allProcessesRestart(
+  site: MultiProcessCluster,
+  earlierIds: readonly string[],
+): Promise<void> {
+  const late = Array.from({ length: 4 }, (_, i) => `late-${i}`);
+  for (const id of late) await site.submitJob(0, id);
+  for (let round = 0; round < 2; round++) {
+    for (let i = 0; i < 3; i++) site.replaceNode(i);
+    await sleepSeconds(round === 0 ? 0.7 : 0);
+  }
+  for (const id of [...earlierIds, ...late]) await site.awaitJobState(id, "done");
+}
+
+interface KilledLeader {
+  readonly killed: number;
+  /** The jobs that ran meanwhile. */
+  readonly ids: readonly string[];
+}
+
+async function awaitDone(site: MultiProcessCluster, node: number, id: string): Promise<void> {
+  await waitUntil(`${id} is done`, async () => (await site.queryJob(node, id)).state === "done");
+}
+
+const storedEpoch = (site: MultiProcessCluster): number =>
+  (site.stateService.entries.get("epoch")!.value as { n: number }).n;
+
 test("no job is lost and no task runs twice when the leader is killed or paused, or all processes restart", {
   timeout: 120_000,
 }, async () => {
   const site = await MultiProcessCluster.open({ taskMs: () => 1500 });
   try {
     for (let i = 0; i < 3; i++) site.startNode(i);
-    const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
-    for (const [i, id] of ids.entries()) {
-      // 200 if the answer to a first try was late and it was asked again.
-      assert.ok((await site.submitJob(i % 3, id, { strides: 8 })).status <= 201);
-    }
-    await waitUntil("tasks run", () => site.ruleChecker.startCount >= 8);
-    const killed = site.leaderIndex();
-    site.signalNode(killed, "SIGKILL");
-    const leader = await site.awaitOtherLeader(killed);
-    for (const id of ids) {
-      await waitUntil(
-        `${id} is done`,
-        async () => (await site.queryJob(leader, id)).state === "done",
-      );
-    }
-    assert.ok(site.ruleChecker.startCount >= 48);
-    const again = await site.submitJob(leader, ids[0]!, { strides: 1 });
-    assert.deepEqual(again, { status: 200, state: "done" });
-    site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
-    assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
-
-    // A leader is paused while its clocks run, and another acquires leadership. What is in its buffers when it
-    // continues (due timers, heartbeats, answers) must start nothing.
+    const { killed, ids } = await leaderIsKilled(site);
     site.startNode(killed);
     await site.awaitHealthy(killed);
-    const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
-    for (const id of held) await site.submitJob(1, id, { strides: 8 });
-    const paused = site.leaderIndex();
-    const others = [0, 1, 2].filter((i) => i !== paused);
-    site.signalNode(paused, "SIGSTOP");
-    await site.awaitOtherLeader(paused);
-    await sleepSeconds(1.5);
-    const epoch = (site.stateService.entries.get("epoch")!.value as { n: number }).n;
-    site.signalNode(paused, "SIGCONT");
-    for (const id of held) {
-      await waitUntil(`${id} is done`, async () => {
-        return (await site.queryJob(others[0]!, id)).state === "done";
-      });
-    }
-    assert.ok((site.stateService.entries.get("epoch")!.value as { n: number }).n >= epoch);
-
-    // All processes restart in the middle of an election, each at once, while requests of its predecessor are still
-    // under way: after the election every node answers about every job.
-    const late = Array.from({ length: 4 }, (_, i) => `late-${i}`);
-    for (const id of late) await site.submitJob(0, id);
-    for (let round = 0; round < 2; round++) {
-      for (let i = 0; i < 3; i++) site.replaceNode(i);
-      await sleepSeconds(round === 0 ? 0.7 : 0);
-    }
-    for (const id of [...ids, ...late]) await site.awaitJobState(id, "done");
+    await leaderIsPaused(site);
+    await allProcessesRestart(site, ids);
     assert.deepEqual(site.ruleChecker.violations, []);
   } finally {
     site.close();
