--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -7,12 +7,13 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { decodeLedger, decodeWindow } from "../src/admission/index.js";
 import { START_BOUND_S } from "../src/core/model/constants.js";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { decodeJobState, encodeJob } from "../src/wire/counterpart.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { compareDecisionLogs } from "./decision-logs.js";
 import { submittedJob } from "./support/job-builders.js";
 import { MultiProcessCluster } from "./support/multi-process-cluster.js";
-import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
+import { waitForProcesses } from "./support/waiting.js";
 
 const NODES = 3;
 const WORKERS = 8;
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -1,10 +1,11 @@
 /** Admission by whole controllers that meet a burst, lose their leader, the state service or each other. */
 import assert from "node:assert/strict";
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { compareDecisionLogs } from "./decision-logs.js";
 import type { InProcessCluster } from "./support/in-process-cluster.js";
 import { clusterTest } from "./support/in-process-cluster.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 const ON = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 const FIGURES = { operatorIni: ON, leaseS: 6 };
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,9 +1,10 @@
 /** Real processes on loopback: the leader is killed, or stopped and continued, while tasks run. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { jobSpec } from "./support/job-builders.js";
 import { MultiProcessCluster } from "./support/multi-process-cluster.js";
-import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
+import { waitForProcesses } from "./support/waiting.js";
 
 /** Submits six jobs, kills the leader while their tasks run, and expects each to complete once. */
 async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -6,10 +6,11 @@
 import type { WorkerHeartbeat } from "../src/core/model/workers.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeWorkerHeartbeat, encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
 import { taskStatus } from "./support/job-builders.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 const HEARTBEAT: WorkerHeartbeat = {
   machine: "m-1",
--- a/tests/joined-faults.test.ts
+++ b/tests/joined-faults.test.ts
@@ -3,10 +3,11 @@
  * The order of events is set by the tests; only what follows from it is waited for.
  */
 import assert from "node:assert/strict";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { encodeJob } from "../src/wire/counterpart.js";
 import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
 import { clusterJob } from "./support/job-builders.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 /** Whoever is told that a job is cancelled finds nothing of it on any machine, then and later. */
 async function toldOnlyWhenGone(
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -6,6 +6,7 @@
 import type { WorkerHeartbeat } from "../src/core/model/workers.js";
 import { HttpConnectionPool } from "../src/net/http-connection-pool.js";
 import { encodePeerHeartbeat } from "../src/peers/codec.js";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { encodeCommands, encodeRedirect } from "../src/wire/commands.js";
 import { decodeRedirect } from "../src/wire/counterpart.js";
 import { decode, encode } from "../src/wire/msgpack.js";
@@ -21,7 +22,7 @@
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { freeAddress, freeAddresses } from "./support/ports.js";
 import { StateServiceStandIn } from "./support/state-service-stand-in.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 const MAX_CONNECTIONS = 8;
 const REQUEST_TIMEOUT_MS = 2000;
--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -4,10 +4,11 @@
  * that it needs is cancelled).
  */
 import assert from "node:assert/strict";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { encodeJob } from "../src/wire/counterpart.js";
 import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
 import { clusterJob } from "./support/job-builders.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 const stance = async (site: InProcessCluster, node: number, id: string) =>
   (await site.queryJob(node, id)).state;
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -7,9 +7,10 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { Command } from "commander";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { MultiProcessCluster } from "./support/multi-process-cluster.js";
 import type { ProcessProfile } from "./support/profile-hook.js";
-import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
+import { waitForProcesses } from "./support/waiting.js";
 
 /** The program in many files, so that each sample names its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -8,6 +8,7 @@
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
+import { sleepSeconds } from "../../src/time/sleep.js";
 import { decodeJobState, encodeJob } from "../../src/wire/counterpart.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { CloudStandIn } from "./cloud-stand-in.js";
@@ -17,7 +18,7 @@
 import { freeAddresses } from "./ports.js";
 import { ProtocolRuleChecker } from "./protocol-rule-checker.js";
 import { StateServiceStandIn } from "./state-service-stand-in.js";
-import { sleepSeconds, waitForProcesses } from "./waiting.js";
+import { waitForProcesses } from "./waiting.js";
 import { WorkerStandIn } from "./worker-stand-in.js";
 
 /** The program as this version's build leaves it. */
--- a/tests/support/production-build.ts
+++ b/tests/support/production-build.ts
@@ -5,20 +5,27 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 
+/** Thrown when the version in production cannot be named or built. */
+export class ProductionBuildError extends Error {
+  override readonly name = "ProductionBuildError";
+}
+
 const REPOSITORY = fileURLToPath(new URL("../../../../", import.meta.url));
 
+/** Runs a program and returns its output; throws if it fails. */
 const runCommand = (command: string, args: readonly string[], cwd: string): string =>
   execFileSync(command, args, { cwd, encoding: "utf8", stdio: ["ignore", "pipe", "pipe"] });
 
 /** The commit that `deploy/service.toml` names as the version in production. */
 function productionCommit(): string {
   const text = readFileSync(join(REPOSITORY, "deploy/service.toml"), "utf8");
-  const found = /^production = "([0-9a-f]{40})"$/m.exec(text);
-  if (found === null) throw new Error("deploy/service.toml names no version in production");
-  return found[1]!;
+  const match = /^production = "([0-9a-f]{40})"$/m.exec(text);
+  if (match === null)
+    throw new ProductionBuildError("deploy/service.toml names no version in production");
+  return match[1]!;
 }
 
-/** Is that commit in the history that is at hand? A copy of the files alone, or a shallow clone, has none. */
+/** Whether the history at hand holds that commit. A copy of the files alone, or a shallow clone, does not. */
 export function isProductionCommitAvailable(): boolean {
   try {
     runCommand("git", ["cat-file", "-e", `${productionCommit()}^{commit}`], REPOSITORY);
@@ -37,6 +44,7 @@
   runCommand("npm", ["ci", "--silent"], folder);
   runCommand("npm", ["run", "--silent", "build"], folder);
   const program = join(folder, "target/peatsaddle.js");
-  if (!existsSync(program)) throw new Error("the version in production left no program");
+  if (!existsSync(program))
+    throw new ProductionBuildError("the version in production left no program");
   return program;
 }
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -1,22 +1,23 @@
-/** The sites that the simulation plays: zones, machine types, machines and the kinds of jobs that users submit. */
+/** The clusters of simulations: zones, machine types, machines and the kinds of jobs that users submit. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { MachineType } from "../../src/core/model/machines.js";
 import type { ClusterSettings } from "../../src/core/model/settings.js";
-import { decodeSettings } from "../../src/wire/settings.js";
 import { MACHINE_TYPES } from "./machine-types.js";
-import { settingsText } from "./node-settings.js";
+import { readSettings, settingsText, sharedSettings } from "./node-settings.js";
 
+/** What a machine is and where. */
 export interface MachineKind {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
+/** Settings, machines and users of one simulation. */
 export interface SimulatedCluster {
   readonly settings: ClusterSettings;
   readonly types: readonly MachineType[];
   readonly machines: readonly MachineKind[];
-  /** No more than these are rented; 0: none. */
+  /** Machines that scaling out never exceeds; 0: it provisions none. */
   readonly maxMachines: number;
   readonly jobs: readonly Partial<JobSpec>[];
 }
@@ -50,7 +51,7 @@
   { kind: "service", tasks: 2, spot: false },
 ];
 
-/** Larger ones for sites of tens of machines: some stand in parts. */
+/** Larger ones for clusters of tens of machines: some are stored in shards. */
 const LARGE_JOBS: readonly Partial<JobSpec>[] = [
   { kind: "array", tasks: 16, oneZone: true },
   { kind: "array", tasks: 70, oneZone: true, team: "maps" },
@@ -61,19 +62,17 @@
   { kind: "service", tasks: 6, oneZone: true, spot: false },
 ];
 
-/** Values of this size put jobs of some tens of tasks into parts. */
+/** Values of this size divide jobs of some tens of tasks into shards. */
 const SHARDING_VALUE_KB = 2;
 
 function clusterSettings(zones: readonly string[], valueKb: number): ClusterSettings {
-  const base = JSON.parse(settingsText()) as { settings: { state: object } };
-  const state = { ...base.settings.state, value_kb: valueKb };
-  const s = decodeSettings(settingsText({ settings: { ...base.settings, zones, state } }));
-  if (!("settings" in s)) throw new Error("test settings");
-  return s.settings.cluster;
+  const shared = sharedSettings();
+  const state = { ...shared.state, value_kb: valueKb };
+  return readSettings(settingsText({ settings: { ...shared, zones, state } })).cluster;
 }
 
 const machineTypesIn = (zones: readonly string[]): MachineType[] =>
-  MACHINE_TYPES.map((t) => ({ ...t, zones: [...zones] }));
+  MACHINE_TYPES.map((type) => ({ ...type, zones: [...zones] }));
 
 /** Five ordinary machines of one type in two zones. */
 function minimalCluster(jobs: readonly Partial<JobSpec>[]): SimulatedCluster {
@@ -104,27 +103,26 @@
   return { settings, types: machineTypesIn(zones), machines, maxMachines, jobs };
 }
 
-/** Sites of several sizes in turn; `pick` chooses one of so many. */
-export function clusterForSeed(seed: number, pick: (n: number) => number): SimulatedCluster {
-  if (seed % 4 === 0) return minimalCluster(UNCONSTRAINED_JOBS);
-  if (seed % 4 === 1)
-    return minimalCluster([
-      ...UNCONSTRAINED_JOBS,
-      ...CONSTRAINED_JOBS.filter((j) => !requiresBigMachine(j)),
-    ]);
-  if (seed % 4 === 2)
-    return mixedCluster(10 + pick(8), 0, [...UNCONSTRAINED_JOBS, ...CONSTRAINED_JOBS]);
-  const count = 12 + pick(40);
-  return mixedCluster(count, count + 10, [
-    ...UNCONSTRAINED_JOBS,
-    ...CONSTRAINED_JOBS,
-    ...LARGE_JOBS,
-  ]);
+/** Clusters of several sizes in turn; `choose` draws a whole number below its argument. */
+export function clusterForSeed(seed: number, choose: (limit: number) => number): SimulatedCluster {
+  const jobs = [...UNCONSTRAINED_JOBS, ...CONSTRAINED_JOBS];
+  switch (seed % 4) {
+    case 0:
+      return minimalCluster(UNCONSTRAINED_JOBS);
+    case 1:
+      return minimalCluster(jobs.filter((job) => !requiresBigMachine(job)));
+    case 2:
+      return mixedCluster(10 + choose(8), 0, jobs);
+    default: {
+      const machineCount = 12 + choose(40);
+      return mixedCluster(machineCount, machineCount + 10, [...jobs, ...LARGE_JOBS]);
+    }
+  }
 }
 
 const requiresBigMachine = (job: Partial<JobSpec>): boolean =>
   job.types?.includes("small") === false;
 
-/** A site for one sort of job, with little else in its way. */
+/** A cluster for one sort of job, with little else in its way. */
 export const clusterForJob = (job: Partial<JobSpec>): SimulatedCluster =>
   mixedCluster(18, 0, [job, { tasks: 2 }]);
--- a/tests/support/simulated-key-value-store.ts
+++ b/tests/support/simulated-key-value-store.ts
@@ -1,5 +1,4 @@
 /** The state service of the simulation: conditional transactions and what changed since a revision. */
-
 import type {
   Change,
   ChangeEvent,
@@ -8,43 +7,52 @@
 } from "../../src/core/state/key-value.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
 
+/** A key-value store in memory, without leases; it never fails. */
 export class SimulatedKeyValueStore {
   private readonly entries = new Map<string, { value: unknown; modRevision: number }>();
   private readonly changeLog: ChangeEvent[] = [];
   revision = 1;
-  /** What is stored now, as a node sees it that has caught up. */
+  /** What is stored now, as an up-to-date node sees it. */
   readonly replica = new StateReplica();
 
   constructor() {
     this.replica.reset([], 0);
   }
 
-  /** Carries the changes out if all conditions hold. */
-  commit(conditions: readonly Precondition[], changes: readonly Change[]): boolean {
-    for (const c of conditions) {
-      if ((this.entries.get(c.key)?.modRevision ?? 0) !== c.modRevision) return false;
+  /** Carries the changes out if all preconditions hold, and says whether they did. */
+  commit(preconditions: readonly Precondition[], changes: readonly Change[]): boolean {
+    for (const { key, modRevision } of preconditions) {
+      if ((this.entries.get(key)?.modRevision ?? 0) !== modRevision) return false;
     }
     this.revision++;
-    const events = changes.map((c) => this.applyChange(c));
+    const events = changes.map((change) => this.applyChange(change));
     this.changeLog.push(...events);
     this.replica.apply(events, this.revision);
     return true;
   }
 
-  private applyChange(c: Change): ChangeEvent {
-    const value = c.op === "put" ? JSON.parse(JSON.stringify(c.value)) : null;
-    if (c.op === "put") this.entries.set(c.key, { value, modRevision: this.revision });
-    else this.entries.delete(c.key);
-    return { key: c.key, value, removed: c.op === "delete", modRevision: this.revision };
-  }
-
+  /** Changes after the revision, in their order. */
   changesSince(revision: number): ChangeEvent[] {
     let from = this.changeLog.length;
     while (from > 0 && this.changeLog[from - 1]!.modRevision > revision) from--;
     return this.changeLog.slice(from);
   }
 
+  /** All that is stored. */
   items(): KeyValueItem[] {
     return [...this.entries].map(([key, entry]) => ({ key, ...entry }));
   }
+
+  private applyChange(change: Change): ChangeEvent {
+    const { key } = change;
+    const modRevision = this.revision;
+    if (change.op === "delete") {
+      this.entries.delete(key);
+      return { key, value: null, removed: true, modRevision };
+    }
+    // Readers have a copy, as over a connection.
+    const value: unknown = JSON.parse(JSON.stringify(change.value));
+    this.entries.set(key, { value, modRevision });
+    return { key, value, removed: false, modRevision };
+  }
 }
--- a/tests/support/simulated-machine.ts
+++ b/tests/support/simulated-machine.ts
@@ -1,64 +1,68 @@
-/** A machine of the simulation with its worker: its session and lease, the tasks on it, and what it reports. */
+/** A machine of the simulation with its worker: incarnation, lease, tasks and heartbeats. Times are simulated seconds. */
 import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Place } from "./placement-checker.js";
 
 /** A worker's lease, in seconds. */
 export const WORKER_LEASE_S = 21;
 
-/** A task on a machine: it fetches its image until `imageAt`. */
+/** A task on a machine: its image is pulled until `imagePulledAt`. */
 export interface SimulatedTask {
   status: TaskStatus;
   endsAt: number;
   readonly imagePulledAt: number;
 }
 
+/** The worker's own state; faults are set on it from outside. */
 export class SimulatedMachine {
+  readonly name: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
   incarnation = 1;
   /** Highest fencing token that the worker has seen. */
   fencingToken = 0;
   leaseExpiresAt: number;
   nextHeartbeatAt: number;
-  /** Its reports reach nobody until then. */
+  /** Its heartbeats reach nobody until then. */
   dropsOutboundUntil = 0;
   /** Nothing that is sent to it arrives until then. */
   dropsInboundUntil = 0;
-  /** It stands still until then. */
+  /** It is paused until then. */
   hungUntil = 0;
-  /** It is cut off with former leaders until then: the present one neither hears nor reaches it. */
+  /** It is partitioned off with former leaders until then: the present one gets nothing from it and does not reach it. */
   partitionedUntil = 0;
   readonly tasks = new Map<string, SimulatedTask>();
   private sequence = 0;
 
+  /** Its name, machine type and zone, as its job's placement constraints see them. */
   constructor(
-    readonly name: string,
-    readonly type: string,
-    readonly zone: string,
-    readonly spot: boolean,
+    readonly place: Place,
     now: number,
   ) {
+    this.name = place.machine;
+    this.type = place.type;
+    this.zone = place.zone;
+    this.spot = place.spot;
     this.leaseExpiresAt = now + WORKER_LEASE_S;
     this.nextHeartbeatAt = now;
   }
 
-  get place(): Place {
-    return { machine: this.name, type: this.type, zone: this.zone, spot: this.spot };
-  }
-
-  /** A direct request gets there and its answer back. */
+  /** A direct request arrives, and its answer too. */
   isReachable(now: number): boolean {
     return now >= Math.max(this.dropsInboundUntil, this.hungUntil, this.partitionedUntil);
   }
 
-  /** Ends the session if its lease is over, and says whether tasks went with it. */
+  /** Ends the incarnation if its lease has expired, and says whether tasks ended with it. */
   expireLease(now: number): boolean {
     if (now <= this.leaseExpiresAt) return false;
-    const lost = this.tasks.size > 0;
+    const hasTasks = this.tasks.size > 0;
     this.tasks.clear();
     this.incarnation++;
     this.leaseExpiresAt = now + WORKER_LEASE_S;
-    return lost;
+    return hasTasks;
   }
 
+  /** The next heartbeat; its statuses are copies. */
   heartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
@@ -70,7 +74,7 @@
       sequence: ++this.sequence,
       fencingToken: this.fencingToken,
       interruptionNoticeS: null,
-      tasks: [...this.tasks.values()].map((t) => ({ ...t.status })),
+      tasks: [...this.tasks.values()].map(({ status }) => ({ ...status })),
     };
   }
 }
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -21,7 +21,7 @@
 
   boot(type: string, zone: string, spot: boolean, name = this.newName(zone)): void {
     const { clock, trace } = this.context;
-    this.byName.set(name, new SimulatedMachine(name, type, zone, spot, clock.now));
+    this.byName.set(name, new SimulatedMachine({ machine: name, type, zone, spot }, clock.now));
     trace.add(`${name} is up: ${type}, ${zone}${spot ? ", spot" : ""}`);
   }
 
--- a/tests/support/waiting.ts
+++ b/tests/support/waiting.ts
@@ -1,6 +1,6 @@
 /** Waiting for what a test expects to come about. */
 import assert from "node:assert/strict";
-import { setTimeout as sleepMs } from "node:timers/promises";
+import { sleepSeconds } from "../../src/time/sleep.js";
 
 /** How often a condition is looked at, and for how long, beside the time that looking takes. */
 export interface WaitOptions {
@@ -8,8 +8,6 @@
   readonly intervalS?: number;
 }
 
-export const sleepSeconds = (seconds: number): Promise<void> => sleepMs(seconds * 1000);
-
 /** Returns once the condition holds; fails the test, with what it waited for, if it never does. */
 export async function waitUntil(
   what: string,
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -1,7 +1,7 @@
 /** A worker in this process that speaks with controllers over real connections. */
-import { setTimeout as sleepMs } from "node:timers/promises";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
+import { sleepSeconds } from "../../src/time/sleep.js";
 import { decodeCommands } from "../../src/wire/commands.js";
 import { decodeRedirect } from "../../src/wire/counterpart.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
@@ -161,7 +161,7 @@
 
   private async sendHeartbeats(): Promise<void> {
     while (!this.isStopped) {
-      await sleepMs(this.options.heartbeatIntervalMs);
+      await sleepSeconds(this.options.heartbeatIntervalMs / 1000);
       if (this.isStopped) return;
       this.expireLease();
       if (this.dropsOutbound) continue;
