--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -128,7 +128,7 @@
     } finally {
       const durationS = this.options.now() - startedAt;
       limit.release(durationS);
-      const what = limit === this.options.queryLimit ? "question" : "mutation";
+      const what = limit === this.options.queryLimit ? "query" : "mutation";
       this.options.onRequestDone(what, durationS, reply.statusCode);
     }
   }
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -11,21 +11,28 @@
 const invert = <Term extends string>(names: Record<Term, string>): Record<string, Term> =>
   Object.fromEntries(Object.entries(names).map(([term, name]) => [name as string, term as Term]));
 
+/** Kinds of jobs. */
 export const WIRE_KIND: Record<JobKind, string> = {
   array: "array",
   gang: "ensemble",
   service: "service",
 };
+
+/** The inverse of `WIRE_KIND`. */
 export const KIND_FROM_WIRE = invert(WIRE_KIND);
 
+/** Priorities of jobs. */
 export const WIRE_PRIORITY: Record<Priority, string> = {
   production: "production",
   high: "high",
   normal: "normal",
   low: "idle",
 };
+
+/** The inverse of `WIRE_PRIORITY`. */
 export const PRIORITY_FROM_WIRE = invert(WIRE_PRIORITY);
 
+/** States of tasks. */
 export const WIRE_TASK_STATE: Record<TaskState, string> = {
   "pulling image": "pulling",
   waiting: "waiting",
@@ -33,8 +40,11 @@
   checkpointing: "saving",
   exited: "ended",
 };
+
+/** The inverse of `WIRE_TASK_STATE`. */
 export const TASK_STATE_FROM_WIRE = invert(WIRE_TASK_STATE);
 
+/** Why tasks exited. */
 export const WIRE_EXIT_CAUSE: Record<ExitCause, string> = {
   done: "done",
   stopped: "halted",
@@ -45,9 +55,14 @@
   busy: "in_use",
   unknown: "no_such",
 };
+
+/** The inverse of `WIRE_EXIT_CAUSE`. */
 export const EXIT_CAUSE_FROM_WIRE = invert(WIRE_EXIT_CAUSE);
 
+/** Commands to workers. */
 export const WIRE_COMMAND = { start: "run", stop: "halt", forget: "forget" } as const;
+
+/** The inverse of `WIRE_COMMAND`. */
 export const COMMAND_FROM_WIRE = invert(WIRE_COMMAND);
 
 /** Paths of all services, and the last segments of some. */
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -47,9 +47,9 @@
         this.timeoutMs,
       );
       const isAnswered = status === 200 || status === 409;
-      const report = isAnswered ? decodeWorkerHeartbeat(decode(answer)) : null;
-      if (report === null) return { kind: "lost", mayArrive: status !== 400 };
-      return { kind: "answered", executed: status === 200, heartbeat: report };
+      const heartbeat = isAnswered ? decodeWorkerHeartbeat(decode(answer)) : null;
+      if (heartbeat === null) return { kind: "lost", mayArrive: status !== 400 };
+      return { kind: "answered", executed: status === 200, heartbeat };
     } catch (error) {
       return {
         kind: "lost",
