--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -1,7 +1,8 @@
 /**
- * Claims of one transaction: which submissions may go into it, and what it must hold beside them. It is conditional on the
- * window and on the ledger of each team that is charged, so it is carried out only if the verdicts still hold.
+ * Claims of one transaction: which submissions it may contain, and what it must contain beside them. Its preconditions are
+ * the window and the ledger of each team that is charged, so it commits only if the verdicts still hold.
  */
+import type { GateBatch } from "../api/submission-writer.js";
 import type { JobSpec } from "../core/model.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
 import { ADMISSION_KEY, encodeLedger } from "./codec.js";
@@ -9,8 +10,11 @@
 import type { TeamLedger } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
 
-export class ClaimBatch {
+/** Admits jobs to one transaction and accumulates the ledger changes that charge them. */
+export class ClaimBatch implements GateBatch {
+  /** Ledgers of the teams charged so far, with the claims of this batch added. */
   private readonly ledgers = new Map<string, TeamLedger>();
+  /** Mod revisions at which those ledgers were read. */
   private readonly ledgerModRevisions = new Map<string, number>();
   private readonly windowModRevision: number;
 
@@ -18,16 +22,12 @@
     this.windowModRevision = replica.windowModRevision;
   }
 
-  private ledgerOf(team: string): TeamLedger | null {
-    return this.ledgers.get(team) ?? this.replica.ledgerOf(team);
-  }
-
-  /** Changes that the transaction gets beside the job itself, if it is admitted. */
+  /** Number of changes that admitting the job would add to the transaction beside the job itself. */
   extraChanges(job: JobSpec): number {
     return this.replica.isLimited && !this.ledgers.has(job.team) ? 1 : 0;
   }
 
-  /** False: by what this controller has read, the job's class has used its grant. */
+  /** Admits the job; false: as far as this controller has read, the grant of its class is used up. */
   tryAdmit(job: JobSpec): boolean {
     const { replica } = this;
     const window = replica.window?.value ?? null;
@@ -35,13 +35,15 @@
     const verdict = decide(window, replica.epoch, ledger, job);
     if (!verdict.admitted) return false;
     if (verdict.claim > 0 && window !== null) {
-      if (!this.ledgerModRevisions.has(job.team))
+      if (!this.ledgerModRevisions.has(job.team)) {
         this.ledgerModRevisions.set(job.team, replica.ledgerModRevisionOf(job.team));
+      }
       this.ledgers.set(job.team, charge(window, ledger, job, verdict.claim));
     }
     return true;
   }
 
+  /** The window and each charged ledger, unchanged since they were read. */
   get preconditions(): Precondition[] {
     const ledgers = [...this.ledgerModRevisions].map(([team, modRevision]) => ({
       key: ADMISSION_KEY.ledger(team),
@@ -50,6 +52,7 @@
     return [{ key: ADMISSION_KEY.window, modRevision: this.windowModRevision }, ...ledgers];
   }
 
+  /** The charged ledgers. */
   get changes(): Change[] {
     return [...this.ledgers].map(([team, ledger]) => ({
       op: "put",
@@ -57,4 +60,8 @@
       value: encodeLedger(ledger),
     }));
   }
+
+  private ledgerOf(team: string): TeamLedger | null {
+    return this.ledgers.get(team) ?? this.replica.ledgerOf(team);
+  }
 }
--- a/src/admission/codec.ts
+++ b/src/admission/codec.ts
@@ -1,4 +1,7 @@
-/** How windows, ledgers and rejections are stored. Values that do not have these forms are ignored. */
+/**
+ * Stored forms of windows, ledgers and rejection records, and the keys that hold them. The one-letter field names are the
+ * stored format. A value that does not have one of these forms decodes to null.
+ */
 import * as z from "zod";
 import type {
   AdmissionWindow,
@@ -9,17 +12,19 @@
   TeamLedger,
 } from "./model.js";
 
-/** All keys of admission control begin so. */
+/** Prefix of all keys of admission control. */
 const KEY_PREFIX = "a/";
 const LEDGER_PREFIX = `${KEY_PREFIX}t/`;
 const REJECTIONS_PREFIX = `${KEY_PREFIX}r/`;
 
+/** The keys of admission control: the window, the ledger of a team, and the rejection record of a controller. */
 export const ADMISSION_KEY = {
   window: `${KEY_PREFIX}w`,
   ledger: (team: string) => `${LEDGER_PREFIX}${encodeURIComponent(team)}`,
   rejections: (member: string) => `${REJECTIONS_PREFIX}${encodeURIComponent(member)}`,
 } as const;
 
+/** A key of admission control, decoded. */
 export type AdmissionKey =
   | { readonly kind: "window" }
   | { readonly kind: "ledger"; readonly team: string }
@@ -33,7 +38,7 @@
   }
 }
 
-/** What a key holds; null: nothing of admission control. */
+/** Decodes a key; null: not a key of admission control. */
 export function parseAdmissionKey(key: string): AdmissionKey | null {
   if (key === ADMISSION_KEY.window) return { kind: "window" };
   if (key.startsWith(LEDGER_PREFIX)) {
@@ -52,11 +57,10 @@
 const resourcesSchema = z
   .tuple([amountSchema, amountSchema, amountSchema])
   .transform(([cpus, gpus, memoryGb]): ResourceVector => ({ cpus, gpus, memoryGb }));
-const encodeResources = (a: ResourceVector): [number, number, number] => [
-  a.cpus,
-  a.gpus,
-  a.memoryGb,
-];
+
+function encodeResources({ cpus, gpus, memoryGb }: ResourceVector): [number, number, number] {
+  return [cpus, gpus, memoryGb];
+}
 
 const grantSchema = z
   .tuple([z.string(), z.string().nullable(), countSchema, countSchema])
@@ -78,27 +82,34 @@
     p: z.array(z.string()),
   })
   .transform(
-    (w): AdmissionWindow => ({
-      version: w.n,
-      epoch: w.e,
-      mode: w.m,
-      capacity: w.c,
-      grants: w.g,
-      periods: w.p,
+    (stored): AdmissionWindow => ({
+      version: stored.n,
+      epoch: stored.e,
+      mode: stored.m,
+      capacity: stored.c,
+      grants: stored.g,
+      periods: stored.p,
     }),
   );
 
-export function encodeWindow(w: AdmissionWindow) {
+/** The stored form of a window. */
+export function encodeWindow(window: AdmissionWindow) {
   return {
-    n: w.version,
-    e: w.epoch,
-    m: w.mode,
-    c: encodeResources(w.capacity),
-    g: w.grants.map((g) => [g.team, g.class, g.lanes.new, g.lanes.follower]),
-    p: [...w.periods],
+    n: window.version,
+    e: window.epoch,
+    m: window.mode,
+    c: encodeResources(window.capacity),
+    g: window.grants.map(({ team, class: className, lanes }) => [
+      team,
+      className,
+      lanes.new,
+      lanes.follower,
+    ]),
+    p: [...window.periods],
   };
 }
 
+/** The window in a stored value; null: it has another form. */
 export function decodeWindow(value: unknown): AdmissionWindow | null {
   return windowSchema.safeParse(value).data ?? null;
 }
@@ -106,16 +117,21 @@
 const ledgerSchema = z
   .object({ w: countSchema, u: z.array(z.tuple([z.string(), countSchema, countSchema])) })
   .transform(
-    (l): TeamLedger => ({
-      window: l.w,
-      used: new Map(l.u.map(([name, fresh, follower]) => [name, { new: fresh, follower }])),
+    (stored): TeamLedger => ({
+      window: stored.w,
+      used: new Map(stored.u.map(([name, fresh, follower]) => [name, { new: fresh, follower }])),
     }),
   );
 
-export function encodeLedger(l: TeamLedger) {
-  return { w: l.window, u: [...l.used].map(([name, used]) => [name, used.new, used.follower]) };
+/** The stored form of a ledger. */
+export function encodeLedger(ledger: TeamLedger) {
+  return {
+    w: ledger.window,
+    u: [...ledger.used].map(([name, used]) => [name, used.new, used.follower]),
+  };
 }
 
+/** The ledger in a stored value; null: it has another form. */
 export function decodeLedger(value: unknown): TeamLedger | null {
   return ledgerSchema.safeParse(value).data ?? null;
 }
@@ -130,12 +146,12 @@
     z.array(z.string()),
   ])
   .transform(
-    ([team, className, lane, jobs, of, ids]): RefusedClass => ({
+    ([team, className, lane, jobs, resources, ids]): RefusedClass => ({
       team,
       class: className,
       lane,
       jobs,
-      resources: of,
+      resources,
       ids,
     }),
   );
@@ -145,23 +161,25 @@
   r: z.array(refusedClassSchema),
 });
 
+/** The stored form of a rejection record. */
 export function encodeRejections(record: RejectionRecord) {
   return {
     w: record.window,
     s: record.sequence,
-    r: record.classes.map((c) => [
-      c.team,
-      c.class,
-      c.lane,
-      c.jobs,
-      encodeResources(c.resources),
-      c.ids,
+    r: record.classes.map((refused) => [
+      refused.team,
+      refused.class,
+      refused.lane,
+      refused.jobs,
+      encodeResources(refused.resources),
+      refused.ids,
     ]),
   };
 }
 
+/** The rejection record of controller `member` in a stored value; null: it has another form. */
 export function decodeRejections(member: string, value: unknown): RejectionRecord | null {
-  const read = rejectionsSchema.safeParse(value).data;
-  if (read === undefined) return null;
-  return { member, window: read.w, sequence: read.s, classes: read.r };
+  const stored = rejectionsSchema.safeParse(value).data;
+  if (stored === undefined) return null;
+  return { member, window: stored.w, sequence: stored.s, classes: stored.r };
 }
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,12 +1,14 @@
 /**
- * A queue that serves groups in turn (round robin), each first come, first served. Until a window limits a team, its
- * burst must not hold up the submissions of others that wait for their transaction at the same node.
+ * A queue that serves groups in turn (round robin), and each group first come, first served. Until a window limits a team,
+ * its burst must not delay other teams' submissions that wait for their transaction at the same controller.
  */
 import type { PendingQueue } from "../api/pending-queue.js";
 
+/** Round-robin queue over groups of items. */
 export class FairQueue<T> implements PendingQueue<T> {
-  /** Groups with anything in them; the first is served next. */
+  /** Non-empty groups; the first is served next. */
   private readonly groups = new Map<string, T[]>();
+  /** Items put back after a failed transaction: served before all groups, in this order. */
   private requeued: T[] = [];
 
   constructor(private readonly groupOf: (item: T) => string) {}
@@ -20,8 +22,11 @@
   push(item: T): void {
     const name = this.groupOf(item);
     const items = this.groups.get(name);
-    if (items === undefined) this.groups.set(name, [item]);
-    else items.push(item);
+    if (items === undefined) {
+      this.groups.set(name, [item]);
+    } else {
+      items.push(item);
+    }
   }
 
   requeue(items: readonly T[]): void {
@@ -38,22 +43,25 @@
     if (first === undefined) return undefined;
     const [name, items] = first;
     const item = items.shift();
-    // Served: its group goes behind the others.
+    // Its group had its turn: it goes to the end.
     this.groups.delete(name);
     if (items.length > 0) this.groups.set(name, items);
     return item;
   }
 
-  removeWhere(test: (item: T) => boolean): T[] {
-    const taken = this.requeued.filter(test);
-    this.requeued = this.requeued.filter((item) => !test(item));
+  removeWhere(matches: (item: T) => boolean): T[] {
+    const removed = this.requeued.filter(matches);
+    this.requeued = this.requeued.filter((item) => !matches(item));
     for (const [name, items] of [...this.groups]) {
-      const left = items.filter((item) => !test(item));
-      if (left.length === items.length) continue;
-      taken.push(...items.filter(test));
-      if (left.length === 0) this.groups.delete(name);
-      else this.groups.set(name, left);
+      const remaining = items.filter((item) => !matches(item));
+      if (remaining.length === items.length) continue;
+      removed.push(...items.filter(matches));
+      if (remaining.length === 0) {
+        this.groups.delete(name);
+      } else {
+        this.groups.set(name, remaining);
+      }
     }
-    return taken;
+    return removed;
   }
 }
