--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,4 +1,7 @@
-/** Fair admission under overload: what other packages and programs may use of it. */
+/**
+ * Fair admission under overload: the interface for embedding programs (`peatsaddle/admission`) and for the rest of the
+ * program. A program that only wants shares and verdicts needs `limitedWindow`, `decide` and `charge`, which are pure.
+ */
 export { activePeriods, type Calendar, isTimeZone, type Period } from "./calendar.js";
 export { ClaimBatch } from "./claims.js";
 export {
@@ -38,4 +41,4 @@
   openWindow,
   type WindowInput,
 } from "./window.js";
-export { type PlannerInput, WindowPlanner } from "./window-planner.js";
+export { type PlannerInput, type PlannerState, WindowPlanner } from "./window-planner.js";
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -139,7 +139,13 @@
     };
     const stored = this.windows.at(-1) ?? null;
     const refusing = now - this.refusedAt < 2 * WINDOW_S;
-    const next = this.planner.nextWindow(now, stored, 1, refusing, input);
+    const next = this.planner.nextWindow({
+      now,
+      stored,
+      epoch: 1,
+      hasRecentRejections: refusing,
+      input,
+    });
     if (next === null) return;
     this.model.writeWindow(() => next);
     for (let i = 0; i < 3; i++) this.model.read(i);
