--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -1,4 +1,4 @@
-/** What this controller refused, gathered into one small record a window, so that a flood costs few writes. */
+/** The rejections of this controller, aggregated into one small record per window, so that a flood costs few writes. */
 import { createHash } from "node:crypto";
 import type { JobSpec } from "../core/model.js";
 import {
@@ -12,9 +12,9 @@
   resourcesOf,
 } from "./model.js";
 
-/** Different jobs that are remembered in a window; further ones are counted each time they are refused. */
+/** Distinct jobs remembered in a window; any further job is counted each time that it is rejected. */
 const MAX_REMEMBERED_JOBS = 100_000;
-/** Size of a class in the record, beside its ids and names. */
+/** Size of a class in the record without its names and ids. */
 const CLASS_OVERHEAD_BYTES = 120;
 
 interface MutableRefusedClass {
@@ -26,21 +26,23 @@
   readonly ids: string[];
 }
 
+/** Aggregates rejections, and keeps the records until they are stored. */
 export class RejectionLog {
+  /** Version of the window that is being aggregated. */
   private window = 0;
   private readonly refusedJobIds = new Set<string>();
   private classes = new Map<string, MutableRefusedClass>();
   private recordBytes = 0;
-  /** Records of what was refused, not stored yet. */
+  /** Completed records that are not stored yet, oldest first. */
   private readonly unpersisted: RejectionRecord[] = [];
 
   constructor(
     private readonly member: string,
-    /** Largest size of a record. */
+    /** Largest size of a record, in bytes. */
     private readonly maxBytes: number,
   ) {}
 
-  /** A job was refused; of the same job in the same window only the first time counts. */
+  /** Counts the rejection of a job; of the same job in the same window only the first rejection counts. */
   add(window: number, job: JobSpec): void {
     if (window !== this.window) {
       this.closeRecord();
@@ -49,17 +51,34 @@
     }
     if (this.refusedJobIds.has(job.id)) return;
     if (this.refusedJobIds.size < MAX_REMEMBERED_JOBS) this.refusedJobIds.add(job.id);
-    const of = this.classOf(job);
-    if (of === null) return;
-    of.jobs++;
-    of.resources = addResources(of.resources, resourcesOf(job, job.tasks));
+    const refused = this.classOf(job);
+    if (refused === null) return;
+    refused.jobs++;
+    refused.resources = addResources(refused.resources, resourcesOf(job, job.tasks));
     const bytes = JSON.stringify(job.id).length + 1;
     if (this.recordBytes + bytes > this.maxBytes) return;
     this.recordBytes += bytes;
-    of.ids.push(job.id);
+    refused.ids.push(job.id);
   }
 
-  /** Null: there is no room for one more class. Its jobs are refused all the same, and counted in a later record. */
+  /** Is there nothing to store? */
+  get isEmpty(): boolean {
+    return this.unpersisted.length === 0 && this.classes.size === 0;
+  }
+
+  /** The oldest record that is not stored, with its sequence number; it stays until `markStored`. Null: there is none. */
+  nextRecord(sequence: number): RejectionRecord | null {
+    if (this.unpersisted.length === 0) this.closeRecord();
+    const oldest = this.unpersisted[0];
+    return oldest === undefined ? null : { ...oldest, sequence };
+  }
+
+  /** To be called when the oldest record was stored. */
+  markStored(): void {
+    this.unpersisted.shift();
+  }
+
+  /** The entry of the job's class; null: the record is full. The job is rejected all the same, and counted in a later record. */
   private classOf(job: JobSpec): MutableRefusedClass | null {
     const lane = laneOf(job);
     const key = JSON.stringify([job.team, job.class, lane]);
@@ -90,29 +109,17 @@
     this.classes = new Map();
     this.recordBytes = 0;
   }
-
-  get isEmpty(): boolean {
-    return this.unpersisted.length === 0 && this.classes.size === 0;
-  }
-
-  /** The oldest record that is to be stored, with its number; it stays until `stored`. */
-  nextRecord(sequence: number): RejectionRecord | null {
-    if (this.unpersisted.length === 0) this.closeRecord();
-    const oldest = this.unpersisted[0];
-    return oldest === undefined ? null : { ...oldest, sequence };
-  }
-
-  markStored(): void {
-    this.unpersisted.shift();
-  }
 }
 
-/** The protocol's bound on what a client is told to wait. */
+/** The protocol's upper limit of Retry-After. */
 const MAX_RETRY_AFTER_S = 30;
-/** Windows over which those that were refused are spread. */
+/** Windows over which the retries of rejected clients are spread. */
 const SPREAD_WINDOWS = 4;
 
-/** Seconds after which a refused client may come back: the next window at the earliest, spread by the job's id. */
+/**
+ * Seconds after which a rejected client may retry: not before the next window, and spread by the job's id, so that the
+ * clients of one flood do not return at once.
+ */
 export function retryAfterS(jobId: string, windowS: number): number {
   const earliest = Math.min(MAX_RETRY_AFTER_S, Math.ceil(windowS));
   const latest = Math.min(MAX_RETRY_AFTER_S, Math.ceil(SPREAD_WINDOWS * windowS));
