--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -1,7 +1,8 @@
 /**
- * A controller's replica of the admission state: a pure reducer over the changes that the state service stored, in their
- * order. All controllers that have read up to a revision hold the same state and have logged the same decisions.
+ * A controller's replica of the admission state: a pure reducer over the changes in the state service, in their order. All
+ * controllers that have read up to a revision hold the same state and have logged the same decisions.
  */
+import { assertNever } from "../core/assert-never.js";
 import type { JobSpec } from "../core/model.js";
 import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
 import { KEY, type StoredJob, type Versioned } from "../core/state/state-replica.js";
@@ -12,31 +13,34 @@
   type DecisionReason,
   type LoggedDecision,
   laneOf,
+  NO_RESOURCES,
   type RejectionRecord,
   type TeamLedger,
   type Verdict,
 } from "./model.js";
 
-const JOB_PREFIX = KEY.activeJob("");
-/** The version of a job's value as it is submitted; each later write has a higher one. */
+const ACTIVE_JOB_PREFIX = KEY.activeJob("");
+/** Version of a job's stored value as it is submitted; each later write has a higher one. */
 const SUBMITTED_VERSION = 1;
-/** Rejections of so many earlier windows may still be on their way. */
+/** Number of earlier windows for which rejection records may still arrive. */
 const LATE_WINDOWS = 4;
 
+/** The replicated admission state: the window, the ledgers and the rejection records. */
 export class AdmissionReplica {
+  /** The newest window; null: there is none. */
   window: Versioned<AdmissionWindow> | null = null;
-  /** Current term, under which the window must have been written to be in force. */
+  /** Current epoch of the leadership; a window of another epoch is not in force. */
   epoch = 0;
-  /** Every change up to this revision is in. */
+  /** Every change up to this revision of the store is applied. */
   revision = -1;
   private readonly ledgers = new Map<string, Versioned<TeamLedger>>();
   private readonly rejections = new Map<string, Versioned<RejectionRecord>>();
-  /** By window: jobs whose rejection is logged, as two controllers may each have refused one. */
+  /** By version of the window: ids whose rejection is logged, since two controllers may each have rejected a job. */
   private readonly loggedRejections = new Map<number, Set<string>>();
-  /** Newest window when everything was read as a whole. */
+  /** Version of the newest window at the last full read. */
   private versionAtReset = 0;
 
-  /** Starts afresh from a full read. */
+  /** Replaces everything by a full read at `revision`, and returns the log line that says so. */
   reset(items: readonly KeyValueItem[], revision: number): LoggedDecision[] {
     this.window = null;
     this.epoch = 0;
@@ -49,44 +53,85 @@
     return [{ kind: "reread", revision, window: this.versionAtReset }];
   }
 
-  /** Applies what following returned, and returns the decisions in it; changes that are in already are passed over. */
+  /** Applies the changes up to `revision`, and returns the decisions in them; changes applied before are ignored. */
   apply(events: readonly ChangeEvent[], revision: number): LoggedDecision[] {
-    const out: LoggedDecision[] = [];
-    let same: ChangeEvent[] = [];
+    const decisions: LoggedDecision[] = [];
+    let transaction: ChangeEvent[] = [];
     for (const event of events) {
       if (event.modRevision <= this.revision) continue;
-      if (same.length > 0 && same[0]!.modRevision !== event.modRevision) {
-        this.applyRevision(same, out);
-        same = [];
+      if (transaction.length > 0 && transaction[0]!.modRevision !== event.modRevision) {
+        this.applyTransaction(transaction, decisions);
+        transaction = [];
       }
-      same.push(event);
+      transaction.push(event);
     }
-    if (same.length > 0) this.applyRevision(same, out);
+    if (transaction.length > 0) this.applyTransaction(transaction, decisions);
     this.revision = Math.max(this.revision, revision);
-    return out;
+    return decisions;
   }
 
-  /** The changes of one transaction. */
-  private applyRevision(events: readonly ChangeEvent[], out: LoggedDecision[]): void {
+  /** Version of the newest window; 0: there is none. */
+  get windowVersion(): number {
+    return this.window?.value.version ?? 0;
+  }
+
+  /** Does the newest window limit admission? */
+  get isLimited(): boolean {
+    return isLimiting(this.window?.value ?? null, this.epoch);
+  }
+
+  /** Mod revision of the window; 0: there is none. */
+  get windowModRevision(): number {
+    return this.window?.modRevision ?? 0;
+  }
+
+  /** What a team was admitted; null: nothing yet. */
+  ledgerOf(team: string): TeamLedger | null {
+    return this.ledgers.get(team)?.value ?? null;
+  }
+
+  /** Mod revision of a team's ledger; 0: there is none. */
+  ledgerModRevisionOf(team: string): number {
+    return this.ledgers.get(team)?.modRevision ?? 0;
+  }
+
+  /** The newest rejection record of a controller; null: there is none. */
+  rejectionsOf(member: string): Versioned<RejectionRecord> | null {
+    return this.rejections.get(member) ?? null;
+  }
+
+  /** The newest rejection record of every controller. */
+  allRejections(): RejectionRecord[] {
+    return [...this.rejections.values()].map((record) => record.value);
+  }
+
+  /** The verdict on a job, as far as this controller has read. */
+  decide(job: JobSpec): Verdict {
+    return decide(this.window?.value ?? null, this.epoch, this.ledgerOf(job.team), job);
+  }
+
+  /** Applies the changes of one transaction, which all have its revision. */
+  private applyTransaction(events: readonly ChangeEvent[], decisions: LoggedDecision[]): void {
     const revision = events[0]!.modRevision;
-    const charged = new Set<string>();
+    const chargedTeams = new Set<string>();
     for (const event of events) {
       const key = parseAdmissionKey(event.key);
-      if (key?.kind === "ledger") charged.add(key.team);
+      if (key?.kind === "ledger") chargedTeams.add(key.team);
       if (event.removed) this.remove(event.key);
       else this.store(event.key, event.value, event.modRevision);
-      if (key?.kind === "rejections") this.logRejections(key.member, revision, out);
+      if (key?.kind === "rejections") this.logRejections(key.member, revision, decisions);
     }
     for (const event of events) {
       const job = submittedJob(event);
-      if (job !== null) out.push(this.admissionDecision(job, revision, charged.has(job.team)));
+      if (job === null) continue;
+      decisions.push(this.admissionDecision(job, revision, chargedTeams.has(job.team)));
     }
     this.revision = revision;
   }
 
-  private admissionDecision(job: JobSpec, revision: number, charged: boolean): LoggedDecision {
-    const limited = isLimiting(this.window?.value ?? null, this.epoch);
-    const uncharged: DecisionReason = limited ? "not charged" : "open";
+  private admissionDecision(job: JobSpec, revision: number, isCharged: boolean): LoggedDecision {
+    const { isLimited } = this;
+    const uncharged: DecisionReason = isLimited ? "not charged" : "open";
     return {
       kind: "admit",
       revision,
@@ -95,14 +140,14 @@
       team: job.team,
       class: job.class,
       lane: laneOf(job),
-      reason: limited && charged ? "within share" : uncharged,
+      reason: isLimited && isCharged ? "within share" : uncharged,
     };
   }
 
-  private logRejections(member: string, revision: number, out: LoggedDecision[]): void {
+  private logRejections(member: string, revision: number, decisions: LoggedDecision[]): void {
     const record = this.rejections.get(member)?.value;
-    // Which jobs the others have logged of a window that began before everything was read is not known here. (A node
-    // that came back logged jobs of such a window again, which the others had logged before.)
+    // Of a window that began before the full read it is unknown which jobs the other controllers have logged. (A restarted
+    // controller logged jobs of such a window again, which the others had logged before.)
     if (record === undefined || record.window <= this.versionAtReset) return;
     const logged = this.loggedRejections.get(record.window) ?? new Set<string>();
     this.loggedRejections.set(record.window, logged);
@@ -119,33 +164,40 @@
       for (const job of refused.ids) {
         if (logged.has(job)) continue;
         logged.add(job);
-        out.push({ ...line, job, jobs: 1, reason: "share used" });
+        decisions.push({ ...line, job, jobs: 1, reason: "share used" });
       }
-      const counted = refused.jobs - refused.ids.length;
-      if (counted > 0) out.push({ ...line, job: null, jobs: counted, reason: "share used" });
+      const jobs = refused.jobs - refused.ids.length;
+      if (jobs > 0) decisions.push({ ...line, job: null, jobs, reason: "share used" });
     }
   }
 
-  private store(key: string, value: unknown, mark: number): void {
+  private store(key: string, value: unknown, modRevision: number): void {
     if (key === KEY.epoch) {
       this.epoch = (value as { n: number }).n;
       return;
     }
     const parsed = parseAdmissionKey(key);
     if (parsed === null) return;
-    if (parsed.kind === "window") this.storeWindow(decodeWindow(value), mark);
-    else if (parsed.kind === "ledger") {
-      const ledger = decodeLedger(value);
-      // What cannot be read counts as empty; its mark is needed all the same to replace it.
-      this.ledgers.set(parsed.team, { value: ledger ?? EMPTY_LEDGER, modRevision: mark });
-    } else {
-      const record = decodeRejections(parsed.member, value);
-      if (record !== null) this.rejections.set(parsed.member, { value: record, modRevision: mark });
+    switch (parsed.kind) {
+      case "window":
+        this.storeWindow(decodeWindow(value), modRevision);
+        return;
+      case "ledger":
+        // A ledger that cannot be decoded counts as empty; replacing it takes its mod revision all the same.
+        this.ledgers.set(parsed.team, { value: decodeLedger(value) ?? EMPTY_LEDGER, modRevision });
+        return;
+      case "rejections": {
+        const record = decodeRejections(parsed.member, value);
+        if (record !== null) this.rejections.set(parsed.member, { value: record, modRevision });
+        return;
+      }
+      default:
+        assertNever(parsed);
     }
   }
 
-  private storeWindow(window: AdmissionWindow | null, mark: number): void {
-    this.window = { value: window ?? UNREADABLE_WINDOW, modRevision: mark };
+  private storeWindow(window: AdmissionWindow | null, modRevision: number): void {
+    this.window = { value: window ?? UNREADABLE_WINDOW, modRevision };
     for (const version of this.loggedRejections.keys()) {
       if (version < this.windowVersion - LATE_WINDOWS) this.loggedRejections.delete(version);
     }
@@ -154,61 +206,36 @@
   private remove(key: string): void {
     const parsed = parseAdmissionKey(key);
     if (parsed === null) return;
-    if (parsed.kind === "window") this.window = null;
-    else if (parsed.kind === "ledger") this.ledgers.delete(parsed.team);
-    else this.rejections.delete(parsed.member);
-  }
-
-  /** Version of the newest window; 0: there is none. */
-  get windowVersion(): number {
-    return this.window?.value.version ?? 0;
-  }
-
-  /** Does a window limit admission now? */
-  get isLimited(): boolean {
-    return isLimiting(this.window?.value ?? null, this.epoch);
-  }
-
-  get windowModRevision(): number {
-    return this.window?.modRevision ?? 0;
-  }
-
-  ledgerOf(team: string): TeamLedger | null {
-    return this.ledgers.get(team)?.value ?? null;
-  }
-
-  ledgerModRevisionOf(team: string): number {
-    return this.ledgers.get(team)?.modRevision ?? 0;
-  }
-
-  rejectionsOf(member: string): Versioned<RejectionRecord> | null {
-    return this.rejections.get(member) ?? null;
-  }
-
-  /** The newest rejections of every controller. */
-  allRejections(): RejectionRecord[] {
-    return [...this.rejections.values()].map((r) => r.value);
-  }
-
-  decide(job: JobSpec): Verdict {
-    return decide(this.window?.value ?? null, this.epoch, this.ledgerOf(job.team), job);
+    switch (parsed.kind) {
+      case "window":
+        this.window = null;
+        return;
+      case "ledger":
+        this.ledgers.delete(parsed.team);
+        return;
+      case "rejections":
+        this.rejections.delete(parsed.member);
+        return;
+      default:
+        assertNever(parsed);
+    }
   }
 }
 
 const EMPTY_LEDGER: TeamLedger = { window: 0, used: new Map() };
-/** A window of a form that this version does not know limits nothing. */
+/** Stands for a window of a form that this version does not know; it limits nothing. */
 const UNREADABLE_WINDOW: AdmissionWindow = {
   version: 0,
   epoch: 0,
   mode: "open",
-  capacity: { cpus: 0, gpus: 0, memoryGb: 0 },
+  capacity: NO_RESOURCES,
   grants: [],
   periods: [],
 };
 
-/** The job that an event submits; null: it does something else. */
+/** The job that a change submits; null: it is another change. */
 function submittedJob(event: ChangeEvent): JobSpec | null {
-  if (event.removed || !event.key.startsWith(JOB_PREFIX)) return null;
+  if (event.removed || !event.key.startsWith(ACTIVE_JOB_PREFIX)) return null;
   const stored = event.value as StoredJob;
   return stored.v === SUBMITTED_VERSION ? stored.j : null;
 }
--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -3,11 +3,12 @@
 import { iniBoolean, iniNumber } from "../config/ini-values.js";
 import { type Calendar, isTimeZone, type Period, type Weekday } from "./calendar.js";
 
+/** Settings of admission control, as `check` prints them. */
 export interface AdmissionSettings {
   readonly enabled: boolean;
-  /** Length of a window, as a ratio to the workers' report interval. */
+  /** Length of a window, as a ratio to the workers' heartbeat interval. */
   readonly windowRatio: number;
-  /** Unfinished work that a class may have admitted beyond its share, as a ratio to the share. */
+  /** Admitted unfinished work that a class may have beyond its share, as a ratio to the share. */
   readonly queueRatio: number;
   readonly calendar: Calendar;
 }
@@ -26,8 +27,8 @@
 const MINUTES_PER_DAY = 24 * 60;
 
 const timeOfDaySchema = z.string().transform((text, context) => {
-  const found = TIME_OF_DAY.exec(text);
-  const minutes = found === null ? Number.NaN : 60 * Number(found[1]) + Number(found[2]);
+  const match = TIME_OF_DAY.exec(text);
+  const minutes = match === null ? Number.NaN : 60 * Number(match[1]) + Number(match[2]);
   if (!(minutes <= MINUTES_PER_DAY)) {
     context.addIssue({ code: "custom", message: "not a time of day HH:MM" });
     return z.NEVER;
@@ -65,13 +66,17 @@
   calendar: z.record(z.string(), periodSchema).default({}),
 });
 
+/** Result of decoding the section. */
 export interface DecodedAdmission {
+  /** Null: there are faults. */
   readonly settings: AdmissionSettings | null;
+  /** One line per fault, which begins with the key. */
   readonly faults: readonly string[];
+  /** Keys that are not known, and ignored. */
   readonly unknown: readonly string[];
 }
 
-/** `given`: the section as the INI parser left it; nothing if it is missing. */
+/** Decodes the section as the INI parser returned it; `undefined`: it is missing, so the defaults apply. */
 export function decodeAdmission(given: unknown): DecodedAdmission {
   if (given !== undefined && (typeof given !== "object" || given === null)) {
     return { settings: null, faults: ["admission: not a section"], unknown: [] };
@@ -82,14 +87,16 @@
     .map((key) => `admission.${key}`);
   const read = admissionSchema.safeParse(section);
   if (!read.success) {
-    const faults = read.error.issues.map((i) => `admission.${i.path.join(".")}: ${i.message}`);
+    const faults = read.error.issues.map(
+      (issue) => `admission.${issue.path.join(".")}: ${issue.message}`,
+    );
     return { settings: null, faults, unknown };
   }
   const { enabled, window_ratio, queue_ratio, time_zone, calendar } = read.data;
-  const periods: Period[] = Object.entries(calendar).map(([name, p]) => ({
-    ...p,
+  const periods: Period[] = Object.entries(calendar).map(([name, period]) => ({
+    ...period,
     name,
-    class: p.class ?? null,
+    class: period.class ?? null,
   }));
   const settings: AdmissionSettings = {
     enabled,
