--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -17,7 +17,7 @@
   AdmissionControl,
   type AdmissionPorts,
   type LeaderView,
-  type SubmissionVerdict as Admission,
+  type SubmissionVerdict,
 } from "./control.js";
 export {
   charge,
@@ -25,7 +25,7 @@
   decide,
   dominantShare,
   grantFor,
-  isLimiting as limits,
+  isLimiting,
 } from "./decision.js";
 export { FairQueue } from "./fair-queue.js";
 export { type Claimant, type FairShareInput, fairFractions } from "./fair-share.js";
@@ -37,7 +37,7 @@
 export {
   type ClassUsage,
   limitedWindow,
-  loadRatio as pressure,
+  loadRatio,
   openWindow,
   type WindowInput,
 } from "./window.js";
--- a/src/admission/usage.ts
+++ b/src/admission/usage.ts
@@ -1,4 +1,4 @@
-/** What the leader's view of the cluster says of the load: the adapter between the core and the windows. */
+/** Derives the input of a window from the leader's view of the cluster: the adapter between the core and the windows. */
 import type { Cluster } from "../core/cluster.js";
 import type { Period } from "./calendar.js";
 import {
@@ -10,13 +10,13 @@
 } from "./model.js";
 import type { ClassUsage } from "./window.js";
 
-/** Of all machines that run tasks or are coming up. */
+/** Capacity of all machines that are up or booting. */
 export function capacityOf(cluster: Cluster): ResourceVector {
-  let sum = NO_RESOURCES;
-  for (const m of cluster.machines.values()) {
-    if (m.state === "up" || m.state === "booting") sum = addResources(sum, m.type);
+  let capacity = NO_RESOURCES;
+  for (const { state, type } of cluster.machines.values()) {
+    if (state === "up" || state === "booting") capacity = addResources(capacity, type);
   }
-  return sum;
+  return capacity;
 }
 
 interface MutableUsage {
@@ -27,56 +27,70 @@
   refused: ResourceVector;
 }
 
-/** The classes of which jobs are unfinished or were refused. */
+/** Accumulates the usage of classes, in the order in which they first appear. */
+class UsageTable {
+  private readonly usages = new Map<string, MutableUsage>();
+
+  /** The entry of a class, which is created if it is missing. */
+  entry(team: string, className: string): MutableUsage {
+    const key = JSON.stringify([team, className]);
+    const known = this.usages.get(key);
+    if (known !== undefined) return known;
+    const usage: MutableUsage = {
+      team,
+      class: className,
+      production: false,
+      unfinished: NO_RESOURCES,
+      refused: NO_RESOURCES,
+    };
+    this.usages.set(key, usage);
+    return usage;
+  }
+
+  withWeights(periods: readonly Period[]): ClassUsage[] {
+    return [...this.usages.values()].map((usage) => ({
+      ...usage,
+      weight: classWeightOf(usage, periods),
+    }));
+  }
+}
+
+/** Usage of all classes that have unfinished jobs or rejections, with their weights in the active periods. */
 export function classUsages(
   cluster: Cluster,
   rejections: readonly RejectionRecord[],
   periods: readonly Period[],
 ): ClassUsage[] {
-  const usages = new Map<string, MutableUsage>();
-  const of = (team: string, className: string): MutableUsage => {
-    const key = JSON.stringify([team, className]);
-    let usage = usages.get(key);
-    if (usage === undefined) {
-      usage = {
-        team,
-        class: className,
-        production: false,
-        unfinished: NO_RESOURCES,
-        refused: NO_RESOURCES,
-      };
-      usages.set(key, usage);
-    }
-    return usage;
-  };
+  const usages = new UsageTable();
   for (const job of cluster.jobs.values()) {
-    // What waits for other jobs uses nothing yet, and what is cancelled nothing any more.
+    // A job that is blocked on dependencies uses nothing yet, and a cancelled one nothing any more.
     if (job.isBlockedOnDependencies || job.isCancelled) continue;
-    const usage = of(job.spec.team, job.spec.class);
-    const left = Math.max(0, job.spec.tasks - job.doneTasks.size);
-    usage.unfinished = addResources(usage.unfinished, resourcesOf(job.spec, left));
+    const usage = usages.entry(job.spec.team, job.spec.class);
+    const unfinishedTasks = Math.max(0, job.spec.tasks - job.doneTasks.size);
+    usage.unfinished = addResources(usage.unfinished, resourcesOf(job.spec, unfinishedTasks));
     if (job.spec.priority === "production") usage.production = true;
   }
   for (const record of rejections) {
     for (const refused of record.classes) {
       if (!cluster.teams.has(refused.team)) continue;
-      const usage = of(refused.team, refused.class);
+      const usage = usages.entry(refused.team, refused.class);
       usage.refused = addResources(usage.refused, refused.resources);
     }
   }
-  return [...usages.values()].map((u) => ({ ...u, weight: classWeightOf(u, periods) }));
+  return usages.withWeights(periods);
 }
 
-function classWeightOf(usage: { team: string; class: string }, periods: readonly Period[]): number {
-  const concerned = periods.filter((p) => p.team === usage.team && p.class === usage.class);
-  return concerned.reduce((weight, p) => weight * p.weight, 1);
+function classWeightOf(usage: MutableUsage, periods: readonly Period[]): number {
+  return periods
+    .filter((period) => period.team === usage.team && period.class === usage.class)
+    .reduce((weight, period) => weight * period.weight, 1);
 }
 
-/** Factors on the weights of teams as a whole. */
+/** Factors on the weights of teams: the product of their active periods that concern the whole team. */
 export function teamWeightsOf(periods: readonly Period[]): Map<string, number> {
-  const out = new Map<string, number>();
-  for (const p of periods) {
-    if (p.class === null) out.set(p.team, (out.get(p.team) ?? 1) * p.weight);
+  const weights = new Map<string, number>();
+  for (const { team, class: className, weight } of periods) {
+    if (className === null) weights.set(team, (weights.get(team) ?? 1) * weight);
   }
-  return out;
+  return weights;
 }
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -1,6 +1,6 @@
 /**
- * The next window: what each class of each team may be admitted, from what is unfinished, what was refused, what the
- * cluster has, guarantees, limits and weights. Pure; only the leader computes one, and stores it.
+ * Computes the next window: what each class of each team may be admitted, from its unfinished and rejected work, the
+ * capacity of the cluster, and the teams' guarantees, limits and weights. Pure; only the leader computes and stores one.
  */
 import type { Team } from "../core/model.js";
 import { dominantShare } from "./decision.js";
@@ -16,252 +16,277 @@
   UNLIMITED,
 } from "./model.js";
 
-/** What the leader knows of one class of a team. */
+/** Load of one class of a team. */
 export interface ClassUsage {
   readonly team: string;
   readonly class: string;
+  /** Any of its unfinished jobs is of production priority. */
   readonly production: boolean;
-  /** Of admitted jobs that are not over and wait for no other: all their tasks that are not done. */
+  /** What the unfinished tasks of its admitted jobs need, without jobs that are blocked on dependencies. */
   readonly unfinished: ResourceVector;
-  /** Of jobs that were refused lately. */
+  /** What its recently rejected jobs need. */
   readonly refused: ResourceVector;
   /** Factor on its weight, by the calendar. */
   readonly weight: number;
 }
 
+/** What a window is computed from. */
 export interface WindowInput {
+  /** Version that the window gets. */
   readonly version: number;
+  /** Epoch of the leadership under which it is stored. */
   readonly epoch: number;
-  /** Of the machines that are up or coming up. */
+  /** Capacity of the machines that are up or booting. */
   readonly capacity: ResourceVector;
-  /** The cloud gives more machines when they are asked for: only teams' limits bind. */
+  /** The cloud still grants requests for more machines: only teams' limits bind. */
   readonly growing: boolean;
   readonly teams: readonly Team[];
-  /** Factor on a team's weight, by the calendar; missing: 1. */
+  /** Factors on the teams' weights, by the calendar; a team that is missing has 1. */
   readonly teamWeights: ReadonlyMap<string, number>;
   readonly classes: readonly ClassUsage[];
+  /** Unfinished work that a class may have beyond its share, as a ratio to the share. */
   readonly queueRatio: number;
+  /** Names of the calendar's active periods. */
   readonly periods: readonly string[];
   /** Largest size of the stored grants, in bytes. */
   readonly maxBytes: number;
 }
 
-/** Part of the capacity that is shared out before guarantees, so that nobody's share is zero. */
+/** Ratio of the capacity that is distributed before guarantees, so that no share is zero. */
 const FLOOR_RATIO = 0.05;
-/** A class that has nothing left is admitted one job a window by this grant, whatever the job's size. */
+/** Grant that admits one job, whatever its size. */
 const ONE_JOB_GRANT = 1;
 /** Weight of production work against other work of its team, within the team's guarantee. */
 const PRODUCTION_WEIGHT = 1000;
 
-const demandOf = (c: ClassUsage): ResourceVector => addResources(c.unfinished, c.refused);
+const UNBOUNDED: ResourceVector = {
+  cpus: Number.POSITIVE_INFINITY,
+  gpus: Number.POSITIVE_INFINITY,
+  memoryGb: Number.POSITIVE_INFINITY,
+};
+
+/** A window that limits admission: the grants of all classes by their shares. */
+export function limitedWindow(input: WindowInput): AdmissionWindow {
+  const classes = namedClasses(input);
+  const others = input.teams.map((team) => claimantForOthers(team.name, input.capacity));
+  const fractions = entitledFractions(input, classes, others);
+  const grants = classes.map((usage, index) => {
+    const unfinished = dominantShare(usage.unfinished, input.capacity);
+    const allowed = allowance(fractions[index]!, demandOf(usage), input);
+    return grantOf(usage.team, usage.class, allowed - Math.min(allowed, unfinished));
+  });
+  const grantsForOthers = others.map(({ team, demand }, index) => {
+    const allowed = allowance(fractions[classes.length + index]!, demand, input);
+    return grantOf(team, null, Math.max(ONE_JOB_GRANT, allowed));
+  });
+  return {
+    version: input.version,
+    epoch: input.epoch,
+    mode: "limited",
+    capacity: input.capacity,
+    grants: [...grants, ...grantsForOthers],
+    periods: input.periods,
+  };
+}
+
+/** A window that limits nothing. */
+export function openWindow(input: Pick<WindowInput, "version" | "epoch">): AdmissionWindow {
+  return { ...input, mode: "open", capacity: NO_RESOURCES, grants: [], periods: [] };
+}
+
+/**
+ * The largest ratio of demand to what can be used at one time: to the cluster's capacity, if it cannot grow, and to each
+ * team's limits. 1: all of it can run now.
+ */
+export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
+  const limits = teamLimitsOf(input.teams);
+  const demands = new Map<string, ResourceVector>();
+  let total: ResourceVector = NO_RESOURCES;
+  for (const usage of input.classes) {
+    const demand = demandOf(usage);
+    total = addResources(total, demand);
+    demands.set(usage.team, addResources(demands.get(usage.team) ?? NO_RESOURCES, demand));
+  }
+  let most = 0;
+  for (const resource of RESOURCES) {
+    const capacity = input.capacity[resource];
+    if (!input.growing && capacity > 0) most = Math.max(most, total[resource] / capacity);
+    for (const [team, demand] of demands) {
+      const limit = limits.get(team)?.[resource] ?? Number.POSITIVE_INFINITY;
+      most = Math.max(most, demand[resource] / limit);
+    }
+  }
+  return most;
+}
+
+function demandOf(usage: ClassUsage): ResourceVector {
+  return addResources(usage.unfinished, usage.refused);
+}
 
-/** A maximum of 0 is none. */
-const limitOrUnbounded = (max: number): number => (max > 0 ? max : Number.POSITIVE_INFINITY);
+/** A maximum or guarantee of 0 means that none is set. */
+function orUnbounded(bound: number): number {
+  return bound > 0 ? bound : Number.POSITIVE_INFINITY;
+}
 
 function teamLimitsOf(teams: readonly Team[]): Map<string, ResourceVector> {
   return new Map(
-    teams.map((t) => [
-      t.name,
+    teams.map((team) => [
+      team.name,
       {
-        cpus: limitOrUnbounded(t.cpusMax),
-        gpus: limitOrUnbounded(t.gpusMax),
+        cpus: orUnbounded(team.cpusMax),
+        gpus: orUnbounded(team.gpusMax),
         memoryGb: Number.POSITIVE_INFINITY,
       },
     ]),
   );
 }
 
-/** Like the guarantees, as dominant shares of the capacity; a team without one has the least weight of all. */
+/** Weights by the dominant shares of the guarantees; a team without a guarantee has the smallest weight of all. */
 function baseWeightsOf(input: WindowInput): Map<string, number> {
-  const shares = input.teams.map((t) =>
-    dominantShare({ cpus: t.cpus, gpus: t.gpus, memoryGb: 0 }, input.capacity),
+  const shares = input.teams.map(({ cpus, gpus }) =>
+    dominantShare({ cpus, gpus, memoryGb: 0 }, input.capacity),
   );
-  const guaranteed = shares.filter((s) => s > 0);
+  const guaranteed = shares.filter((share) => share > 0);
   const least = guaranteed.length > 0 ? Math.min(...guaranteed) : 1;
   return new Map(
-    input.teams.map((t, i) => {
-      const factor = input.teamWeights.get(t.name) ?? 1;
-      return [t.name, factor * Math.max(shares[i]!, least)];
+    input.teams.map(({ name }, index) => {
+      const factor = input.teamWeights.get(name) ?? 1;
+      return [name, factor * Math.max(shares[index]!, least)];
     }),
   );
 }
 
-/** A team's guarantee as a bound on what it is given before others; a resource without a guarantee promises nothing. */
-function guaranteesOf(input: WindowInput): Map<string, ResourceVector> {
-  const out = new Map<string, ResourceVector>();
-  for (const t of input.teams) {
-    const none = t.cpus <= 0 && t.gpus <= 0;
-    const bound = (n: number): number => (n > 0 ? n : Number.POSITIVE_INFINITY);
-    const within = { cpus: bound(t.cpus), gpus: bound(t.gpus), memoryGb: Number.POSITIVE_INFINITY };
-    out.set(t.name, none ? NO_RESOURCES : within);
-  }
-  return out;
+/**
+ * Each team's guarantee as an upper bound on what it is given before others. A resource without a guarantee is unbounded,
+ * but a team without any guarantee is given nothing in this step.
+ */
+function guaranteesOf(teams: readonly Team[]): Map<string, ResourceVector> {
+  return new Map(
+    teams.map(({ name, cpus, gpus }) => {
+      const hasGuarantee = cpus > 0 || gpus > 0;
+      const bounds = { ...UNBOUNDED, cpus: orUnbounded(cpus), gpus: orUnbounded(gpus) };
+      return [name, hasGuarantee ? bounds : NO_RESOURCES];
+    }),
+  );
 }
 
 /** The smaller of two bounds, for each team and resource. */
 function tighterBounds(
-  a: Map<string, ResourceVector>,
-  b: Map<string, ResourceVector>,
+  left: ReadonlyMap<string, ResourceVector>,
+  right: ReadonlyMap<string, ResourceVector>,
 ): Map<string, ResourceVector> {
   return new Map(
-    [...a].map(([team, x]) => {
-      const y = b.get(team)!;
+    [...left].map(([team, bound]) => {
+      const other = right.get(team)!;
       return [
         team,
         {
-          cpus: Math.min(x.cpus, y.cpus),
-          gpus: Math.min(x.gpus, y.gpus),
-          memoryGb: Math.min(x.memoryGb, y.memoryGb),
+          cpus: Math.min(bound.cpus, other.cpus),
+          gpus: Math.min(bound.gpus, other.gpus),
+          memoryGb: Math.min(bound.memoryGb, other.memoryGb),
         },
       ];
     }),
   );
 }
 
-const UNBOUNDED: ResourceVector = {
-  cpus: Number.POSITIVE_INFINITY,
-  gpus: Number.POSITIVE_INFINITY,
-  memoryGb: Number.POSITIVE_INFINITY,
-};
-
 /**
- * The fraction of its demand that each claimant is entitled to: a floor for everybody, then guarantees with production
- * first, then the rest of what is demanded, then what is left over. `idle` claimants want nothing yet and have part in the
- * last step only.
+ * The fraction of its demand that each claimant is entitled to, in four steps: a floor for everyone, guarantees with
+ * production first, the rest of the demand, and the surplus. `idle` claimants demand nothing yet and share in the surplus
+ * only; their fractions follow those of `classes`.
  */
 function entitledFractions(
   input: WindowInput,
-  wanting: readonly Claimant[],
+  classes: readonly ClassUsage[],
   idle: readonly Claimant[],
-  production: readonly boolean[],
 ): number[] {
-  const limits = teamLimitsOf(input.teams);
-  const capacity = input.growing ? UNBOUNDED : input.capacity;
   const base: FairShareInput = {
-    claimants: wanting,
+    claimants: classes.map((usage) => claimantOf(usage, usage.weight)),
     teamWeights: baseWeightsOf(input),
-    capacity,
-    teamLimits: limits,
+    capacity: input.growing ? UNBOUNDED : input.capacity,
+    teamLimits: teamLimitsOf(input.teams),
   };
-  // The floor is the same for every team: in proportion to guarantees it would be next to nothing for a guest.
-  const floor = fairFractions({
+  const floor = fairFractions(floorInput(base, input.teams));
+  const guaranteed = fairFractions(guaranteeInput(base, classes, input.teams), 1, floor);
+  const demanded = fairFractions(base, 1, guaranteed);
+  const all: FairShareInput = { ...base, claimants: [...base.claimants, ...idle] };
+  return fairFractions(all, Number.POSITIVE_INFINITY, [...demanded, ...idle.map(() => 0)]);
+}
+
+function claimantOf(usage: ClassUsage, weight: number): Claimant {
+  return { team: usage.team, weight, demand: demandOf(usage) };
+}
+
+/** The floor weighs all teams alike: in proportion to guarantees it would be close to nothing for a team without one. */
+function floorInput(base: FairShareInput, teams: readonly Team[]): FairShareInput {
+  return {
     ...base,
-    teamWeights: new Map(input.teams.map((t) => [t.name, 1])),
-    capacity: scaleResources(capacity, FLOOR_RATIO),
-  });
-  const withinGuarantee: FairShareInput = {
+    teamWeights: new Map(teams.map(({ name }) => [name, 1])),
+    capacity: scaleResources(base.capacity, FLOOR_RATIO),
+  };
+}
+
+function guaranteeInput(
+  base: FairShareInput,
+  classes: readonly ClassUsage[],
+  teams: readonly Team[],
+): FairShareInput {
+  const claimants = classes.map((usage) =>
+    claimantOf(usage, usage.weight * (usage.production ? PRODUCTION_WEIGHT : 1)),
+  );
+  return {
     ...base,
-    claimants: wanting.map((c, i) => ({
-      ...c,
-      weight: c.weight * (production[i] ? PRODUCTION_WEIGHT : 1),
-    })),
-    teamLimits: tighterBounds(guaranteesOf(input), limits),
+    claimants,
+    teamLimits: tighterBounds(guaranteesOf(teams), base.teamLimits),
   };
-  const guaranteed = fairFractions(withinGuarantee, 1, floor);
-  const demanded = fairFractions(base, 1, guaranteed);
-  const all: FairShareInput = { ...base, claimants: [...wanting, ...idle] };
-  return fairFractions(all, Number.POSITIVE_INFINITY, [...demanded, ...idle.map(() => 0)]);
 }
 
-/** Units that a claimant may have unfinished, by the fraction of its demand that it is entitled to. */
+/** Units that a class may have unfinished, by the fraction of its demand that it is entitled to. */
 function allowance(fraction: number, demand: ResourceVector, input: WindowInput): number {
   if (fraction === Number.POSITIVE_INFINITY) return UNLIMITED;
   const share = dominantShare(scaleResources(demand, fraction), input.capacity);
   return Math.min(UNLIMITED, Math.ceil((1 + input.queueRatio) * share));
 }
 
-/** For classes that the window does not name: as if they wanted a little of everything. */
+/** Stands for a team's classes that the window does not name: they demand a little of everything. */
 function claimantForOthers(team: string, capacity: ResourceVector): Claimant {
-  const demand = RESOURCES.some((r) => capacity[r] > 0)
+  const hasCapacity = RESOURCES.some((resource) => capacity[resource] > 0);
+  const demand = hasCapacity
     ? scaleResources(capacity, FLOOR_RATIO)
     : { cpus: 1, gpus: 0, memoryGb: 0 };
   return { team, weight: 1, demand };
 }
 
-function grantOf(team: string, name: string | null, left: number): Grant {
-  // A follower's turn comes in each window: those that it follows were admitted, and it must not wait for good.
-  return { team, class: name, lanes: { new: left, follower: Math.max(ONE_JOB_GRANT, left) } };
+function grantOf(team: string, className: string | null, units: number): Grant {
+  // Followers are admitted in each window: their predecessors were admitted, and they must not starve.
+  const follower = Math.max(ONE_JOB_GRANT, units);
+  return { team, class: className, lanes: { new: units, follower } };
 }
 
-/** Classes that want most first; those that do not fit the stored value share the grant for others. */
+/** Classes with the largest demand first; those that exceed the size of the stored value share the grant for others. */
 function namedClasses(input: WindowInput): ClassUsage[] {
-  const size = (c: ClassUsage): number =>
-    JSON.stringify([c.team, c.class]).length + 2 * String(UNLIMITED).length + 4;
-  const wants = (c: ClassUsage): number => dominantShare(demandOf(c), input.capacity);
-  const listed = input.classes
-    .filter((c) => RESOURCES.some((r) => demandOf(c)[r] > 0))
+  const shareOf = (usage: ClassUsage): number => dominantShare(demandOf(usage), input.capacity);
+  const demanding = input.classes
+    .filter((usage) => RESOURCES.some((resource) => demandOf(usage)[resource] > 0))
     .sort(
-      (a, b) => wants(b) - wants(a) || compareText(a.team, b.team) || compareText(a.class, b.class),
+      (left, right) =>
+        shareOf(right) - shareOf(left) ||
+        compareText(left.team, right.team) ||
+        compareText(left.class, right.class),
     );
-  let bytes = input.teams.reduce((sum, t) => sum + size({ ...EMPTY_USAGE, team: t.name }), 0);
-  return listed.filter((c) => {
-    bytes += size(c);
+  let bytes = input.teams.reduce((sum, { name }) => sum + grantBytes(name, ""), 0);
+  return demanding.filter((usage) => {
+    bytes += grantBytes(usage.team, usage.class);
     return bytes <= input.maxBytes;
   });
 }
 
-const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
-const EMPTY_USAGE: ClassUsage = {
-  team: "",
-  class: "",
-  production: false,
-  unfinished: NO_RESOURCES,
-  refused: NO_RESOURCES,
-  weight: 1,
-};
-
-export function limitedWindow(input: WindowInput): AdmissionWindow {
-  const classes = namedClasses(input);
-  const wanting = classes.map(
-    (c): Claimant => ({ team: c.team, weight: c.weight, demand: demandOf(c) }),
-  );
-  const others = input.teams.map((t) => claimantForOthers(t.name, input.capacity));
-  const production = classes.map((c) => c.production);
-  const fractions = entitledFractions(input, wanting, others, production);
-  const grants = classes.map((c, i) => {
-    const unfinished = dominantShare(c.unfinished, input.capacity);
-    const allowed = allowance(fractions[i]!, demandOf(c), input);
-    return grantOf(c.team, c.class, allowed - Math.min(allowed, unfinished));
-  });
-  const grantsOfOthers = others.map((c, i) => {
-    const allowed = allowance(fractions[classes.length + i]!, c.demand, input);
-    return grantOf(c.team, null, Math.max(ONE_JOB_GRANT, allowed));
-  });
-  return {
-    version: input.version,
-    epoch: input.epoch,
-    mode: "limited",
-    capacity: input.capacity,
-    grants: [...grants, ...grantsOfOthers],
-    periods: input.periods,
-  };
-}
-
-export function openWindow(input: Pick<WindowInput, "version" | "epoch">): AdmissionWindow {
-  return { ...input, mode: "open", capacity: NO_RESOURCES, grants: [], periods: [] };
+/** Upper bound on the size of a stored grant. */
+function grantBytes(team: string, className: string): number {
+  return JSON.stringify([team, className]).length + 2 * String(UNLIMITED).length + 4;
 }
 
-/**
- * By how much the unfinished work exceeds what can be used at one time: of the cluster, if it cannot grow, or of a
- * team by its limits. 1: all of it can run now.
- */
-export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
-  const limits = teamLimitsOf(input.teams);
-  const sums = new Map<string, ResourceVector>();
-  let total: ResourceVector = NO_RESOURCES;
-  for (const c of input.classes) {
-    const demand = demandOf(c);
-    total = addResources(total, demand);
-    sums.set(c.team, addResources(sums.get(c.team) ?? NO_RESOURCES, demand));
-  }
-  let most = 0;
-  for (const r of RESOURCES) {
-    if (!input.growing && input.capacity[r] > 0)
-      most = Math.max(most, total[r] / input.capacity[r]);
-    for (const [team, sum] of sums) {
-      const limit = limits.get(team)?.[r] ?? Number.POSITIVE_INFINITY;
-      most = Math.max(most, sum[r] / limit);
-    }
-  }
-  return most;
+function compareText(left: string, right: string): number {
+  if (left === right) return 0;
+  return left < right ? -1 : 1;
 }
--- a/tests/admission-model.ts
+++ b/tests/admission-model.ts
@@ -14,9 +14,9 @@
   encodeRejections,
   encodeWindow,
   grantFor,
+  isLimiting,
   type LoggedDecision,
   laneOf,
-  limits,
   RejectionLog,
   resourcesOf,
 } from "../src/admission/index.js";
@@ -260,7 +260,7 @@
   private checkShares(): void {
     const used = new Map<string, number>();
     for (const { job, window, epoch } of this.admissions()) {
-      if (!limits(window, epoch)) continue;
+      if (!isLimiting(window, epoch)) continue;
       const lane = laneOf(job);
       const key = `${window.version} ${job.team} ${chargedClass(window, job)} ${lane}`;
       const before = used.get(key) ?? 0;
--- a/tests/admission-shares.test.ts
+++ b/tests/admission-shares.test.ts
@@ -9,8 +9,8 @@
   type FairShareInput,
   fairFractions,
   limitedWindow,
+  loadRatio,
   NO_RESOURCES,
-  pressure,
   RESOURCES,
   type ResourceVector,
   UNLIMITED,
@@ -233,9 +233,9 @@
 
 test("pressure counts what cannot run now: of the cluster only if it cannot grow, of a team by its limit", () => {
   const classes = [usage("bookings", "web", 300)];
-  assert.equal(pressure(window(classes)), 3);
-  assert.equal(pressure(window(classes, { growing: true })), 0);
-  assert.equal(pressure(window([usage("settlement", "n", 120)], { growing: true })), 2);
+  assert.equal(loadRatio(window(classes)), 3);
+  assert.equal(loadRatio(window(classes, { growing: true })), 0);
+  assert.equal(loadRatio(window([usage("settlement", "n", 120)], { growing: true })), 2);
 });
 
 test("grants are never negative, whole, and no sum of shares exceeds the capacity, for any load", () => {
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -7,8 +7,8 @@
   type ClassUsage,
   decodeWindow,
   FairQueue,
+  isLimiting,
   type LoggedDecision,
-  limits,
   NO_RESOURCES,
   type PlannerInput,
   resourcesOf,
@@ -324,7 +324,7 @@
   assert.deepEqual([first.mode, first.periods], ["limited", ["night"]]);
   model.acquireLeadership();
   await next.control.refresh();
-  assert.equal(limits(next.control.replica.window!.value, next.control.replica.epoch), false);
+  assert.equal(isLimiting(next.control.replica.window!.value, next.control.replica.epoch), false);
   await leads(next);
   for (const { control } of [old, next]) await control.refresh();
   for (const { control } of [old, next]) {
