--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -1,97 +1,130 @@
 /**
  * Event expressions as sums of sequences, after Singh, Meredith, Tomlinson and Attie.
  *
- * An atom is an event name or its complement, written `~name`. A term is a sequence of atoms that
- * must occur in that order; an expression is a sum of terms. Zero is the empty sum, top the sum
- * that holds the empty sequence. Conjunction is kept outside, as a list of dependencies, because
- * residuation distributes over it (Equation 5).
+ * An atom is an event name or its complement, written `~name`. A term is a sequence of atoms that must occur in that order;
+ * an expression is a sum of terms. Zero is the empty sum, top the sum that contains the empty sequence. Conjunction is not
+ * part of an expression but a list of dependencies, because residuation distributes over it (Equation 5).
  */
+
+/** An event name, or `~` and an event name for its complement: the event will never occur. */
 export type Atom = string;
+/** A sequence of atoms, which must occur in this order. */
 export type Term = readonly Atom[];
+/** A sum of terms, of which one must be met. */
 export type Expression = readonly Term[];
 
+/** The expression that no trace meets. */
 export const ZERO: Expression = [];
+/** The expression that every trace meets. */
 export const TOP: Expression = [[]];
 
 /** What the controllers can do about an event (Section 4 of the paper). */
 export interface EventAttributes {
+  /** They can make it occur. */
   readonly triggerable: boolean;
+  /** They can keep it from occurring. */
   readonly rejectable: boolean;
+  /** They can make it occur later. */
   readonly delayable: boolean;
 }
+
+/** Looks up the attributes of an event. */
 export type AttributesOf = (event: string) => EventAttributes;
 
-export const complement = (atom: Atom): Atom => (atom.startsWith("~") ? atom.slice(1) : `~${atom}`);
-export const eventOf = (atom: Atom): string => (atom.startsWith("~") ? atom.slice(1) : atom);
-export const isZero = (e: Expression): boolean => e.length === 0;
-export const isTop = (e: Expression): boolean => e.some((t) => t.length === 0);
+/** The complement of an atom: of `name` it is `~name`, and the reverse. */
+export const complement = (atom: Atom): Atom => (isComplement(atom) ? atom.slice(1) : `~${atom}`);
 
-/** No admissible trace repeats an event or holds it beside its complement. */
-function isAdmissible(term: Term): boolean {
-  return new Set(term.map(eventOf)).size === term.length;
-}
+/** The event that an atom or its complement names. */
+export const eventOf = (atom: Atom): string => (isComplement(atom) ? atom.slice(1) : atom);
+
+/** Can no trace meet the expression? */
+export const isZero = (expression: Expression): boolean => expression.length === 0;
 
-/** Drops terms that no admissible trace meets, and repeats; top absorbs the rest. */
+/** Does every trace meet the expression? */
+export const isTop = (expression: Expression): boolean =>
+  expression.some((term) => term.length === 0);
+
+/** Drops repeated terms and those that no admissible trace meets; top absorbs all others. */
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
-  const seen = new Map<string, Term>();
-  for (const t of terms) if (isAdmissible(t)) seen.set(t.join("."), t);
-  return [...seen.values()];
+  const distinct = new Map<string, Term>();
+  for (const term of terms) {
+    if (isAdmissible(term)) distinct.set(term.join("."), term);
+  }
+  return [...distinct.values()];
 }
 
-/** Reads `~d + s.d`; `0` and `T` stand for zero and top. */
+/** Parses the form `~d + s.d`; `0` and `T` stand for zero and top. */
 export function parseExpression(text: string): Expression {
   if (text.trim() === "0") return ZERO;
   return normalise(
-    text.split("+").map((part) => {
-      const t = part.trim();
-      return t === "T" ? [] : t.split(".").map((a) => a.trim());
+    text.split("+").map((summand) => {
+      const term = summand.trim();
+      return term === "T" ? [] : term.split(".").map((atom) => atom.trim());
     }),
   );
 }
 
-export function formatExpression(e: Expression): string {
-  if (isZero(e)) return "0";
-  return e.map((t) => (t.length === 0 ? "T" : t.join("."))).join(" + ");
+/** The text that `parseExpression` reads. */
+export function formatExpression(expression: Expression): string {
+  if (isZero(expression)) return "0";
+  return expression.map((term) => (term.length === 0 ? "T" : term.join("."))).join(" + ");
 }
 
-/** Equations 3 and 8 to 10 for one sequence: null stands for zero. */
-function residuateTerm(term: Term, atom: Atom): Term | null {
-  if (term.length > 0 && term[0] === atom) return term.slice(1);
-  const event = eventOf(atom);
-  return term.some((a) => eventOf(a) === event) ? null : term;
-}
-
-/** What is left to be met once `atom` has occurred (Equations 1 to 4 and 8 to 10). */
-export function residuate(e: Expression, atom: Atom): Expression {
-  const left: Term[] = [];
-  for (const t of e) {
-    const r = residuateTerm(t, atom);
-    if (r !== null) left.push(r);
+/** The residual: what remains to be met once `atom` has occurred (Equations 1 to 4 and 8 to 10). */
+export function residuate(expression: Expression, atom: Atom): Expression {
+  const residuals: Term[] = [];
+  for (const term of expression) {
+    const residual = residuateTerm(term, atom);
+    if (residual !== null) residuals.push(residual);
   }
-  return normalise(left);
+  return normalise(residuals);
 }
 
-export const mentions = (e: Expression, atom: Atom): boolean =>
-  e.some((t) => t.some((a) => eventOf(a) === eventOf(atom)));
-
-function isControllable(term: Term, of: AttributesOf): boolean {
-  return term.every((a) => (a.startsWith("~") ? of(eventOf(a)).rejectable : of(a).triggerable));
-}
+/** Does the expression name the event of this atom? */
+export const mentions = (expression: Expression, atom: Atom): boolean =>
+  expression.some((term) => term.some((other) => eventOf(other) === eventOf(atom)));
 
 /**
- * A state is secure when the controllers cannot be forced to break the dependency: some term can
- * be met by triggering and rejecting alone, or, whichever way an event outside their control
- * falls, what is left is secure (so `f + ~f` always is, as in Example 12).
+ * Is the state secure, so that the controllers cannot be forced to violate the dependency? Either some term can be met by
+ * triggering and rejecting alone, or there is an event outside their control after which, whether it occurs or not, the
+ * residual is secure (so `f + ~f` always is, as in Example 12).
  */
-export function isSecure(e: Expression, of: AttributesOf): boolean {
-  if (isZero(e)) return false;
-  if (isTop(e) || e.some((t) => isControllable(t, of))) return true;
-  const events = new Set(e.flatMap((t) => t.map(eventOf)));
+export function isSecure(expression: Expression, attributesOf: AttributesOf): boolean {
+  if (isZero(expression)) return false;
+  if (isTop(expression)) return true;
+  if (expression.some((term) => isControllable(term, attributesOf))) return true;
+  const events = new Set(expression.flatMap((term) => term.map(eventOf)));
   for (const event of events) {
-    const a = of(event);
-    if (a.triggerable && a.rejectable) continue;
-    if (isSecure(residuate(e, event), of) && isSecure(residuate(e, `~${event}`), of)) return true;
+    const { triggerable, rejectable } = attributesOf(event);
+    if (triggerable && rejectable) continue;
+    const isSecureEitherWay =
+      isSecure(residuate(expression, event), attributesOf) &&
+      isSecure(residuate(expression, `~${event}`), attributesOf);
+    if (isSecureEitherWay) return true;
   }
   return false;
 }
+
+function isComplement(atom: Atom): boolean {
+  return atom.startsWith("~");
+}
+
+/** No admissible trace repeats an event or contains both the event and its complement. */
+function isAdmissible(term: Term): boolean {
+  return new Set(term.map(eventOf)).size === term.length;
+}
+
+/** Equations 3 and 8 to 10 for one sequence; null stands for zero. */
+function residuateTerm(term: Term, atom: Atom): Term | null {
+  if (term.length > 0 && term[0] === atom) return term.slice(1);
+  const event = eventOf(atom);
+  return term.some((other) => eventOf(other) === event) ? null : term;
+}
+
+/** Can the controllers bring about every atom of the term? */
+function isControllable(term: Term, attributesOf: AttributesOf): boolean {
+  return term.every((atom) =>
+    isComplement(atom) ? attributesOf(eventOf(atom)).rejectable : attributesOf(atom).triggerable,
+  );
+}
--- a/src/bundle/bundle.cts
+++ b/src/bundle/bundle.cts
@@ -1,9 +1,10 @@
 /**
- * The program in one script, with the code that V8 compiled when it was built. Compiling takes a third of the
- * processor time of a start, and on a machine with a few hundredths of a core that is seconds.
+ * Loads the program from a single script together with V8's code cache, which is written when the program is built.
+ * Compilation takes a third of the processor time of a start, and on a machine with a few hundredths of a core that is
+ * seconds.
  *
- * V8's code cache is to be had for scripts and not for ES modules, which is why this folder and the bundle are CommonJS.
- * V8 takes no cache that another version wrote or that was made under other flags, and compiles the script then.
+ * V8 supports code caches for scripts but not for ES modules, which is why this folder and the bundle are CommonJS. V8
+ * rejects a cache written by another version or under other flags, and compiles the script instead.
  */
 import { existsSync, readFileSync, renameSync, writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
@@ -19,39 +20,45 @@
   runProgram(): Promise<void>;
 }
 
-type Wrapper = (exports: object, require: NodeJS.Require, module: { exports: object }) => void;
+/** The bundle wrapped as Node.js wraps a CommonJS module. */
+type ModuleWrapper = (
+  exports: object,
+  require: NodeJS.Require,
+  module: { exports: object },
+) => void;
 
 function compile(cachedData?: Buffer): Script {
-  // The bundle is ASCII; as Latin-1 it is read without a look at each character.
+  // The bundle is ASCII, and reading it as Latin-1 skips the decoding of UTF-8.
   const source = readFileSync(BUNDLE, "latin1");
   const wrapped = `(function (exports, require, module) {${source}\n})`;
   return new Script(wrapped, { filename: BUNDLE, ...(cachedData && { cachedData }) });
 }
 
-/** The program in the bundle; null if none was built. */
+/** Loads the program from its bundle, with the code cache if there is one; null: no bundle was built. */
 export function loadBundle(): Program | null {
   if (!existsSync(BUNDLE)) return null;
   const script = compile(existsSync(CODE_CACHE) ? readFileSync(CODE_CACHE) : undefined);
   const module = { exports: {} };
-  const wrapper = script.runInThisContext() as Wrapper;
+  const wrapper = script.runInThisContext() as ModuleWrapper;
   wrapper(module.exports, createRequire(BUNDLE), module);
   return module.exports as Program;
 }
 
 /**
- * Compiles all functions and not only those that a start runs: the others are needed within seconds, in a takeover.
+ * Writes the code cache. It contains all functions and not only those that a start runs: a failover needs the others within
+ * seconds.
  */
 export function writeCodeCache(): void {
   setFlagsFromString("--no-lazy");
   const script = compile();
-  // The flags are part of what V8 checks, so they are as before when it writes.
+  // V8 compares the flags when it reads the cache, so they are restored before the cache is written.
   setFlagsFromString("--lazy");
-  const unfinished = `${CODE_CACHE}.new`;
-  writeFileSync(unfinished, script.createCachedData());
-  renameSync(unfinished, CODE_CACHE);
+  const temporaryFile = `${CODE_CACHE}.new`;
+  writeFileSync(temporaryFile, script.createCachedData());
+  renameSync(temporaryFile, CODE_CACHE);
 }
 
-/** V8 takes the cache that is there, under the flags of this process. */
+/** Does V8 accept the code cache under the flags of this process? */
 export function isCodeCacheAccepted(): boolean {
   return compile(readFileSync(CODE_CACHE)).cachedDataRejected === false;
 }
--- a/src/node/job-tracer.ts
+++ b/src/node/job-tracer.ts
@@ -1,8 +1,9 @@
 /**
- * Traces of jobs, by the OpenTelemetry API: from the submission over the decision to the first start. Off by default; a
- * program that embeds controllers registers the provider that the spans go to, and without one they go nowhere.
+ * Traces of jobs by the OpenTelemetry API, from the submission to the first start. Off by default. A program that embeds
+ * controllers registers the provider that exports the spans; without a provider they are dropped.
  *
- * A job's trace follows from its id, so the spans of all controllers join one trace with nothing stored or sent for it.
+ * The trace id is derived from the job's id, so the spans of all controllers belong to one trace without a context being
+ * stored or sent.
  */
 import { createHash } from "node:crypto";
 import {
@@ -22,7 +23,7 @@
 const SPAN_ID_DIGITS = 16;
 const TRACER_NAME = "peatsaddle";
 
-/** The context that all spans of a job have as their parent. */
+/** The parent context of all spans of a job. */
 function jobContext(jobId: string): Context {
   const digits = createHash("sha256").update(jobId).digest("hex");
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -33,6 +34,7 @@
   });
 }
 
+/** Creates the spans of one controller. */
 export class JobTracer {
   private readonly tracer: Tracer;
 
@@ -40,16 +42,16 @@
     this.tracer = trace.getTracer(TRACER_NAME);
   }
 
-  /** Traces a submission until it is answered. `describe` turns its outcome into the span's attributes. */
+  /** Traces a submission until it is answered. `describe` maps its outcome to attributes of the span. */
   async traceSubmission<T>(
     job: JobSpec,
-    work: () => Promise<T>,
+    submit: () => Promise<T>,
     describe: (outcome: T) => Attributes,
   ): Promise<T> {
     const span = this.startSpan("job.submission", job.id, SpanKind.SERVER);
     span.setAttributes({ "job.team": job.team, "job.class": job.class, "job.tasks": job.tasks });
     try {
-      const outcome = await work();
+      const outcome = await submit();
       span.setAttributes(describe(outcome));
       return outcome;
     } catch (error) {
@@ -60,15 +62,17 @@
     }
   }
 
-  /** Traces the wait of a job from its submission to the moment when its first task runs. */
+  /** Traces the wait of a job from its submission, in milliseconds since the Unix epoch, until now, when its first task runs. */
   traceFirstStart(jobId: string, submittedAtMs: number): void {
     this.startSpan("job.wait", jobId, SpanKind.INTERNAL, submittedAtMs).end();
   }
 
-  private startSpan(name: string, jobId: string, kind: SpanKind, startTime?: number): Span {
+  private startSpan(name: string, jobId: string, kind: SpanKind, startTimeMs?: number): Span {
     const attributes = { "job.id": jobId, "peatsaddle.member": this.member };
     const options =
-      startTime === undefined ? { kind, attributes } : { kind, attributes, startTime };
+      startTimeMs === undefined
+        ? { kind, attributes }
+        : { kind, attributes, startTime: startTimeMs };
     return this.tracer.startSpan(name, options, jobContext(jobId));
   }
 }
--- a/tests/algebra.test.ts
+++ b/tests/algebra.test.ts
@@ -1,3 +1,4 @@
+/** The algebra of dependencies, by the examples of the paper and against an enumeration of all traces. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -18,32 +19,37 @@
   residuateByEvent,
 } from "../src/core/jobs/pipeline.js";
 
-const after = (text: string, ...atoms: string[]): string =>
-  formatExpression(atoms.reduce((e, a) => residuate(e, a), parseExpression(text)));
+const residuateAll = (expression: Expression, atoms: readonly string[]): Expression =>
+  atoms.reduce((residual, atom) => residuate(residual, atom), expression);
+
+const residualText = (text: string, ...atoms: string[]): string =>
+  formatExpression(residuateAll(parseExpression(text), atoms));
 
 test("residuation: Figure 2 and Example 8 of the paper", () => {
   const before = "~e + ~f + e.f";
-  assert.equal(after(before, "e"), "~f + f");
-  assert.equal(after(before, "f"), "~e");
-  assert.equal(after(before, "~e"), "T");
-  assert.equal(after(before, "e", "f"), "T");
-  assert.equal(after(before, "f", "e"), "0");
+  assert.equal(residualText(before, "e"), "~f + f");
+  assert.equal(residualText(before, "f"), "~e");
+  assert.equal(residualText(before, "~e"), "T");
+  assert.equal(residualText(before, "e", "f"), "T");
+  assert.equal(residualText(before, "f", "e"), "0");
   const implies = "~e + f";
-  assert.equal(after(implies, "e"), "f");
-  assert.equal(after(implies, "f"), "T");
-  assert.equal(after(implies, "~f"), "~e");
+  assert.equal(residualText(implies, "e"), "f");
+  assert.equal(residualText(implies, "f"), "T");
+  assert.equal(residualText(implies, "~f"), "~e");
 });
 
 test("residuation: Example 14, an abort that must be followed by a start", () => {
-  assert.equal(after("~e + f", "e"), "f");
+  assert.equal(residualText("~e + f", "e"), "f");
   assert.deepEqual(
-    requiredStarts([parseExpression("~s:e + s:f")].map((d) => residuate(d, "s:e"))),
+    requiredStarts(
+      [parseExpression("~s:e + s:f")].map((dependency) => residuate(dependency, "s:e")),
+    ),
     ["s:f"],
   );
 });
 
 test("residuation: an event that is not named changes nothing (Equation 8)", () => {
-  assert.equal(after("~e + f", "g"), "~e + f");
+  assert.equal(residualText("~e + f", "g"), "~e + f");
 });
 
 const ANY: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
@@ -51,45 +57,47 @@
 const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
 
 test("security: Examples 12 and 13", () => {
-  const abort = (e: string): EventAttributes => (e === "e" ? ABORT : ANY);
+  const abort = (event: string): EventAttributes => (event === "e" ? ABORT : ANY);
   assert.equal(isSecure(parseExpression("~e"), abort), false);
   assert.equal(
     isSecure(parseExpression("~f + f"), () => ABORT),
     true,
   );
-  const start = (e: string): EventAttributes => (e === "f" ? START : ABORT);
+  const start = (event: string): EventAttributes => (event === "f" ? START : ABORT);
   assert.equal(isSecure(parseExpression("f"), start), true);
 });
 
 /** All admissible traces over the events: each occurs or its complement does, once, in any order. */
-function* traces(events: string[], so: string[] = []): Generator<string[]> {
-  if (events.length === 0) yield so;
-  for (const e of events) {
-    const rest = events.filter((x) => x !== e);
-    yield* traces(rest, [...so, e]);
-    yield* traces(rest, [...so, complement(e)]);
+function* traces(events: string[], prefix: string[] = []): Generator<string[]> {
+  if (events.length === 0) yield prefix;
+  for (const event of events) {
+    const rest = events.filter((other) => other !== event);
+    yield* traces(rest, [...prefix, event]);
+    yield* traces(rest, [...prefix, complement(event)]);
   }
 }
 
-const satisfies = (trace: string[], e: Expression): boolean =>
-  e.some((term) => {
-    let at = 0;
-    for (const atom of trace) if (atom === term[at]) at++;
-    return at === term.length;
+const satisfies = (trace: string[], expression: Expression): boolean =>
+  expression.some((term) => {
+    let matched = 0;
+    for (const atom of trace) {
+      if (atom === term[matched]) matched++;
+    }
+    return matched === term.length;
   });
 
 test("residuals agree with enumerating every admissible trace", () => {
   const dependencies = ["~e + ~f + e.f", "~e + f", "e.f.g + ~g", "~e + f.g + g.e", "e.g + f.~g"];
   let checked = 0;
   for (const text of dependencies) {
-    const events = [...new Set(parseExpression(text).flatMap((t) => t.map(eventOf)))];
+    const events = [...new Set(parseExpression(text).flatMap((term) => term.map(eventOf)))];
     for (const trace of traces(events)) {
-      for (let cut = 0; cut <= trace.length; cut++) {
-        const left = trace.slice(0, cut).reduce((e, a) => residuate(e, a), parseExpression(text));
+      for (let occurred = 0; occurred <= trace.length; occurred++) {
+        const residual = residuateAll(parseExpression(text), trace.slice(0, occurred));
         assert.equal(
-          satisfies(trace.slice(cut), left),
+          satisfies(trace.slice(occurred), residual),
           satisfies(trace, parseExpression(text)),
-          `${text} over ${trace.join(" ")} cut at ${cut} left ${formatExpression(left)}`,
+          `${text} over ${trace.join(" ")} after ${occurred} events, residual ${formatExpression(residual)}`,
         );
         checked++;
       }
@@ -108,7 +116,7 @@
   assert.equal(isEventAcceptable(fresh, "d:j"), false);
 });
 
-test("in a pipeline of two jobs a failure travels downward", () => {
+test("in a pipeline of two jobs a failure propagates to the dependent job", () => {
   const chain = [
     ...ownDependencies("a"),
     ...ownDependencies("b"),
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -1,4 +1,4 @@
-/** One trace a job, whichever controllers took part, through the provider of the program that embeds them. */
+/** One trace per job, whichever controllers handled it, through the provider of the embedding program. */
 import assert from "node:assert/strict";
 import { trace } from "@opentelemetry/api";
 import {
@@ -24,18 +24,18 @@
     await site.submitAndAwaitRunning("run-1");
     assert.equal((await site.submitJob(follower, "run-1")).status, 200);
     await waitUntil("the first start is traced", () =>
-      spansOf("run-1").some((s) => s.name === "job.wait"),
+      spansOf("run-1").some((span) => span.name === "job.wait"),
     );
     const spans = spansOf("run-1");
-    assert.equal(new Set(spans.map((s) => s.spanContext().traceId)).size, 1);
+    assert.equal(new Set(spans.map((span) => span.spanContext().traceId)).size, 1);
     assert.equal(
-      spans.filter((s) => s.name === "job.wait").length,
+      spans.filter((span) => span.name === "job.wait").length,
       1,
       "four tasks, one first start",
     );
     const outcomes = spans
-      .filter((s) => s.name === "job.submission")
-      .map((s) => [s.attributes["peatsaddle.member"], s.attributes["job.outcome"]]);
+      .filter((span) => span.name === "job.submission")
+      .map(({ attributes }) => [attributes["peatsaddle.member"], attributes["job.outcome"]]);
     assert.deepEqual(outcomes.at(-1), [`n${follower}`, "known"]);
     assert.ok(outcomes.some(([, outcome]) => outcome === "ok"));
     assert.notEqual(spans[0]!.spanContext().traceId, spansOf("run-2")[0]?.spanContext().traceId);
