--- a/tests/admission-overload.ts
+++ b/tests/admission-overload.ts
@@ -9,7 +9,7 @@
 import { START_BOUND_S } from "../src/core/model.js";
 import { decodeJob } from "../src/wire/jobs.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { compareDecisionLogs } from "./decision-logs.js";
+import { compareDecisionLogs } from "./support/decision-logs.js";
 import { jobBody } from "./support/helpers.js";
 import { sleepSeconds } from "./support/in-process-cluster.js";
 import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -1,7 +1,7 @@
 /** Admission by whole controllers that meet a burst, lose their leader, the state service or each other. */
 import assert from "node:assert/strict";
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
-import { compareDecisionLogs } from "./decision-logs.js";
+import { compareDecisionLogs } from "./support/decision-logs.js";
 import type { InProcessCluster } from "./support/in-process-cluster.js";
 import { clusterTest, sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
 
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -17,7 +17,7 @@
 import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
 import type { JobSpec, Team } from "../src/core/model.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { AdmissionModel } from "./admission-model.js";
+import { AdmissionModel } from "./support/admission-model.js";
 import { jobSpec, settingsText, TestLeader } from "./support/helpers.js";
 
 const WINDOW_S = 3;
