--- /dev/null
+++ b/tests/support/overload-simulation.ts
@@ -0,0 +1,172 @@
+/** Simulation of overload over time: sources submit and retry, a cluster of a fixed size runs what was admitted. */
+import {
+  type AdmissionWindow,
+  type ClassUsage,
+  NO_RESOURCES,
+  type PlannerInput,
+  resourcesOf,
+  WindowPlanner,
+} from "../../src/admission/index.js";
+import type { JobSpec, Team } from "../../src/core/model.js";
+import { AdmissionModel } from "./admission-model.js";
+
+/** Length of a window, in seconds. */
+export const WINDOW_S = 3;
+/** Duration of each task, in seconds. */
+export const TASK_S = 10;
+/** Capacity of the simulated cluster. */
+export const CPUS = 100;
+const CONTROLLERS = 3;
+const TEAMS: readonly Team[] = [
+  { name: "bookings", cpus: 40, cpusMax: 0, gpus: 0, gpusMax: 0 },
+  { name: "guest", cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
+];
+
+/** Submits copies of one job at a fixed rate. */
+export interface Source {
+  readonly job: JobSpec;
+  /** Seconds between two submissions; below one second several jobs arrive each second. */
+  readonly everyS: number;
+}
+
+interface SubmittedJob {
+  readonly spec: JobSpec;
+  readonly submittedAt: number;
+  admittedAt: number | null;
+  remainingCpuSeconds: number;
+}
+
+/** Runs in steps of one second; the cluster serves the classes in equal shares, and of each the oldest job first. */
+export class OverloadSimulation {
+  readonly model = new AdmissionModel(CONTROLLERS);
+  readonly jobs: SubmittedJob[] = [];
+  readonly windows: AdmissionWindow[] = [];
+  private readonly planner = new WindowPlanner(WINDOW_S);
+  private rejected = new Map<string, { job: JobSpec; jobs: number }>();
+  private rejectedAt = Number.NEGATIVE_INFINITY;
+
+  constructor(
+    private readonly sources: readonly Source[],
+    public cpus = CPUS,
+  ) {}
+
+  run(from: number, to: number, sources = this.sources): void {
+    for (let now = from; now < to; now++) {
+      for (const [index, source] of sources.entries()) this.submit(source, index, now);
+      this.retry(now);
+      this.serve();
+      this.plan(now);
+    }
+  }
+
+  /** The longest wait for admission of a class, in seconds; jobs that are not admitted have waited until `until`. */
+  longestWaitS(className: string, until: number): number {
+    const waits = this.jobsOf(className).map((job) => (job.admittedAt ?? until) - job.submittedAt);
+    return Math.max(...waits);
+  }
+
+  servedCpuSeconds(className: string): number {
+    return this.jobsOf(className).reduce(
+      (sum, { spec, remainingCpuSeconds }) =>
+        sum + spec.cpus * spec.tasks * TASK_S - remainingCpuSeconds,
+      0,
+    );
+  }
+
+  private jobsOf(className: string): SubmittedJob[] {
+    return this.jobs.filter(({ spec }) => spec.class === className);
+  }
+
+  private submit(source: Source, index: number, now: number): void {
+    if (now % source.everyS >= 1) return;
+    const perSecond = Math.max(1, Math.round(1 / source.everyS));
+    for (let number = 0; number < perSecond; number++) {
+      const spec = { ...source.job, id: `${index}-${now}-${number}` };
+      const remainingCpuSeconds = spec.cpus * spec.tasks * TASK_S;
+      this.jobs.push({ spec, submittedAt: now, admittedAt: null, remainingCpuSeconds });
+    }
+  }
+
+  private retry(now: number): void {
+    for (const [index, job] of this.jobs.entries()) {
+      if (job.admittedAt !== null || (now - job.submittedAt) % WINDOW_S !== 0) continue;
+      const answer = this.model.submit(index % CONTROLLERS, job.spec, "answered");
+      if (answer === "accepted") {
+        job.admittedAt = now;
+      } else {
+        this.recordRejection(job.spec, now);
+      }
+    }
+  }
+
+  private recordRejection(job: JobSpec, now: number): void {
+    const jobs = (this.rejected.get(job.class)?.jobs ?? 0) + 1;
+    this.rejected.set(job.class, { job, jobs });
+    this.rejectedAt = now;
+  }
+
+  private serve(): void {
+    const running = this.jobs.filter(
+      (job) => job.admittedAt !== null && job.remainingCpuSeconds > 0,
+    );
+    const classes = new Set(running.map(({ spec }) => spec.class));
+    for (const name of classes) {
+      let cpus = this.cpus / classes.size;
+      for (const job of running) {
+        if (job.spec.class !== name) continue;
+        const given = Math.min(cpus, job.remainingCpuSeconds, job.spec.cpus * job.spec.tasks);
+        job.remainingCpuSeconds -= given;
+        cpus -= given;
+      }
+    }
+  }
+
+  private plan(now: number): void {
+    const next = this.planner.nextWindow({
+      now,
+      stored: this.windows.at(-1) ?? null,
+      epoch: 1,
+      hasRecentRejections: now - this.rejectedAt < 2 * WINDOW_S,
+      input: this.plannerInput(),
+    });
+    if (next === null) return;
+    this.model.writeWindow(() => next);
+    for (let index = 0; index < CONTROLLERS; index++) this.model.read(index);
+    this.windows.push(next);
+    this.planner.markWritten(now);
+    this.rejected = new Map();
+  }
+
+  private plannerInput(): PlannerInput {
+    const names = [...new Set(this.jobs.map(({ spec }) => spec.class))];
+    return {
+      capacity: { cpus: this.cpus, gpus: 0, memoryGb: 1e6 },
+      growing: false,
+      teams: TEAMS,
+      teamWeights: new Map(),
+      classes: names.map((name) => this.usageOf(name)),
+      queueRatio: 2,
+      periods: [],
+      maxBytes: 4096,
+    };
+  }
+
+  private usageOf(className: string): ClassUsage {
+    const jobs = this.jobsOf(className);
+    const cpus = jobs
+      .filter((job) => job.admittedAt !== null)
+      .reduce((sum, job) => sum + job.remainingCpuSeconds / TASK_S, 0);
+    const rejected = this.rejected.get(className);
+    return {
+      team: jobs[0]!.spec.team,
+      class: className,
+      production: false,
+      unfinished: { ...NO_RESOURCES, cpus },
+      refused:
+        rejected === undefined
+          ? NO_RESOURCES
+          : resourcesOf(rejected.job, rejected.jobs * rejected.job.tasks),
+      weight: 1,
+    };
+  }
+}
