--- a/tests/admission-overload.test.ts
+++ b/tests/admission-overload.test.ts
@@ -1,11 +1,12 @@
 /** The short form of `npm run overload`: five times the capacity for half a minute. */
 import { type TestContext, test } from "node:test";
-import { assertFair, playOverload } from "./admission-overload.js";
+import { playOverload } from "./support/overload/overload-run.js";
+import { assertFair } from "./support/overload/report.js";
 
-test("five times the capacity at three controllers, with troubles", {
+test("three controllers under five times the capacity, with disturbances, admit fairly and alike", {
   timeout: 240_000,
-}, async (t: TestContext) => {
+}, async (context: TestContext) => {
   const report = await playOverload(30);
-  t.diagnostic(JSON.stringify(report));
+  context.diagnostic(JSON.stringify(report));
   assertFair(report);
 });
--- a/tests/overload.ts
+++ b/tests/overload.ts
@@ -1,6 +1,7 @@
-/** The program behind `npm run overload`: plays the overload for as long as asked, prints what was measured, and checks it. */
+/** The program behind `npm run overload`: plays the overload, prints what was measured, and checks it. */
 import { Command } from "commander";
-import { assertFair, playOverload } from "./admission-overload.js";
+import { playOverload } from "./support/overload/overload-run.js";
+import { assertFair } from "./support/overload/report.js";
 
 const { seconds } = new Command("overload")
   .description(
