--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -2,7 +2,7 @@
  * Claims of one transaction: which submissions it may contain, and what it must contain beside them. Its preconditions are
  * the window and the ledger of each team that is charged, so it commits only if the verdicts still hold.
  */
-import type { GateBatch } from "../api/submission-writer.js";
+import type { GateBatch } from "../api/submission-gate.js";
 import type { JobSpec } from "../core/model.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
 import { ADMISSION_KEY, encodeLedger } from "./codec.js";
