--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -1,4 +1,4 @@
-/** New machines that come up late, never, or before anybody has heard of them. */
+/** New machines that boot late, never, or report before the cloud lists them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -12,10 +12,11 @@
 import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
 
 const CLUSTER = (() => {
-  const s = decodeSettings(settingsText());
-  if (!("settings" in s)) throw new Error("test settings");
-  return s.settings.cluster;
+  const decoded = decodeSettings(settingsText());
+  assert.ok("settings" in decoded);
+  return decoded.settings.cluster;
 })();
+const TASKS = [0, 1, 2, 3];
 
 const listed = (
   name: string,
@@ -32,94 +33,104 @@
   ...change,
 });
 
-function next(h: TestLeader): ScaleOutRequest | null {
+/** The cloud answers the leader's list request. */
+function answerList(leader: TestLeader, machines: readonly ListedMachine[]): void {
+  leader.performEffects(leader.scheduler.machineListAnswered(machines, leader.now));
+}
+
+/** The next request for machines, if the leader would send one now. */
+function nextRequest({ scheduler: { cluster }, now }: TestLeader): ScaleOutRequest | null {
   return planScaleOut(
     {
-      cluster: h.scheduler.cluster,
+      cluster,
       settings: CLUSTER,
       types: MACHINE_TYPES,
-      now: h.now,
+      now,
       capacityBackoffUntil: new Map(),
       spareRatio: 1,
       maxMachines: 1000,
-      machinesByZone: countMachinesByZone(h.scheduler.cluster),
-      lateBootsByOffer: countLateBootsByOffer(h.scheduler.cluster, h.now),
+      machinesByZone: countMachinesByZone(cluster),
+      lateBootsByOffer: countLateBootsByOffer(cluster, now),
     },
-    [...h.scheduler.cluster.jobs.values()],
+    [...cluster.jobs.values()],
     [],
   );
 }
 
-test("room that is late is not waited for: another is rented, of another kind", () => {
-  const h = new TestLeader();
-  h.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
-  assert.equal(next(h)?.zone, "a");
-  h.performEffects(h.scheduler.machineListAnswered([listed("m1a", 1)], h.now));
-  assert.equal(next(h), null, "one is coming");
-  // It boots in 15 s as a rule.
-  h.tick(31);
-  const r = next(h);
-  assert.deepEqual([r?.count, r?.zone], [1, "b"]);
-  h.performEffects(
-    h.scheduler.machineListAnswered([listed("m1a", 32), listed("m2b", 1, { zone: "b" })], h.now),
-  );
-  assert.equal(next(h), null, "no more than one for each that is late");
+test("a machine that boots late is replaced by one of another kind", () => {
+  const leader = new TestLeader();
+  leader.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
+  assert.equal(nextRequest(leader)?.zone, "a");
+  answerList(leader, [listed("m1a", 1)]);
+  assert.equal(nextRequest(leader), null, "one is coming");
+  // The expected boot time is 15 s.
+  leader.tick(31);
+  const request = nextRequest(leader);
+  assert.deepEqual([request?.count, request?.zone], [1, "b"]);
+  answerList(leader, [listed("m1a", 32), listed("m2b", 1, { zone: "b" })]);
+  assert.equal(nextRequest(leader), null, "no more than one for each that is late");
 });
 
-test("what never comes up goes back; where all take longer, they are given longer", () => {
-  const h = new TestLeader();
+/** Runs a cloud on which no machine ever boots; returns the names and ages of the machines that the leader releases. */
+function releasesWithoutBoots(leader: TestLeader, seconds: number): [string, number][] {
   const ages = new Map<string, number>();
-  const back: [string, number][] = [];
-  for (let i = 0; i < 400; i++) {
-    h.tick(1);
-    if (i % 4 === 0) ages.set(`m${i}a`, 0);
-    for (const [n, age] of ages) ages.set(n, age + 1);
-    for (const [, name] of h.takeTrace().matchAll(/cloud return (.*)/g)) {
-      for (const n of name!.split(" ")) {
-        back.push([n, ages.get(n)!]);
-        ages.delete(n);
+  const released: [string, number][] = [];
+  for (let second = 0; second < seconds; second++) {
+    leader.tick(1);
+    if (second % 4 === 0) ages.set(`m${second}a`, 0);
+    for (const [name, age] of ages) ages.set(name, age + 1);
+    for (const [, list] of leader.takeTrace().matchAll(/cloud return (.*)/g)) {
+      const names = list!.split(" ");
+      for (const name of names) {
+        released.push([name, ages.get(name)!]);
+        ages.delete(name);
       }
-      h.performEffects(h.scheduler.releaseAnswered(name!.split(" "), true, h.now));
+      leader.performEffects(leader.scheduler.releaseAnswered(names, true, leader.now));
     }
-    h.performEffects(
-      h.scheduler.machineListAnswered(
-        [...ages].map(([n, age]) => listed(n, age)),
-        h.now,
-      ),
+    answerList(
+      leader,
+      [...ages].map(([name, age]) => listed(name, age)),
     );
   }
-  assert.ok(back[0]![1] >= 60 && back[0]![1] <= 64, `the first after ${back[0]![1]} s`);
-  const last = back[back.length - 1]![1];
+  return released;
+}
+
+test("a machine that never boots is released; where all boot slowly, the timeout is longer", () => {
+  const leader = new TestLeader();
+  const released = releasesWithoutBoots(leader, 400);
+  const first = released[0]![1];
+  assert.ok(first >= 60 && first <= 64, `the first after ${first} s`);
+  const last = released.at(-1)![1];
   assert.ok(last > 120 && last <= 184, `the last after ${last} s`);
-  // One comes up in time: the others are held to that again.
-  for (let i = 0; i < 20; i++) {
-    h.receiveHeartbeat(`up${i}a`, []);
+  // Machines that boot in time shorten the timeout for the others again.
+  for (let index = 0; index < 20; index++) {
+    leader.receiveHeartbeat(`up${index}a`, []);
   }
-  h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70)], h.now));
-  for (let i = 0; i < 30; i++) {
-    const up = Array.from({ length: i + 1 }, (_, n) => listed(`new${n}a`, 10 + i));
-    h.performEffects(h.scheduler.machineListAnswered([listed("m999a", 70 + i), ...up], h.now));
-    h.receiveHeartbeat(`new${i}a`, []);
+  answerList(leader, [listed("m999a", 70)]);
+  for (let index = 0; index < 30; index++) {
+    const up = Array.from({ length: index + 1 }, (_, other) => listed(`new${other}a`, 10 + index));
+    answerList(leader, [listed("m999a", 70 + index), ...up]);
+    leader.receiveHeartbeat(`new${index}a`, []);
   }
-  assert.equal(h.scheduler.cluster.machines.get("m999a")!.drainReason, "never came up");
+  assert.equal(leader.scheduler.cluster.machines.get("m999a")!.drainReason, "never came up");
 });
 
-test("a machine that reports before it is listed is used, and neither rented again nor given up", () => {
-  const h = new TestLeader();
-  h.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
-  for (let i = 0; h.unansweredRequests.length === 0 && i < 4; i++) h.receiveHeartbeat("m1a", []);
-  h.answerRequest([0, 1, 2, 3].map((n) => taskStatus("j", n, 1)));
-  assert.equal(next(h), null);
-  // The list is late: it does not show the machine, then shows it as booting.
-  for (let i = 0; i < 10; i++) {
-    h.performEffects(h.scheduler.machineListAnswered(i < 5 ? [] : [listed("m1a", i)], h.now));
-    h.receiveHeartbeat(
-      "m1a",
-      [0, 1, 2, 3].map((n) => taskStatus("j", n, 1)),
-    );
-    h.tick(3);
+test("a machine that reports before it is listed is used, and neither requested again nor released", () => {
+  const leader = new TestLeader();
+  leader.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
+  for (let second = 0; leader.unansweredRequests.length === 0 && second < 4; second++) {
+    leader.receiveHeartbeat("m1a", []);
+  }
+  const running = TASKS.map((task) => taskStatus("j", task, 1));
+  leader.answerRequest(running);
+  assert.equal(nextRequest(leader), null);
+  // The list lags: it does not contain the machine at first, and then shows it as booting.
+  for (let round = 0; round < 10; round++) {
+    answerList(leader, round < 5 ? [] : [listed("m1a", round)]);
+    leader.receiveHeartbeat("m1a", running);
+    leader.tick(3);
   }
-  const m = h.scheduler.cluster.machines.get("m1a")!;
-  assert.deepEqual([m.state, m.drainReason, m.placements.size], ["up", null, 4]);
-  assert.doesNotMatch(h.takeTrace(), /cloud return/);
+  const machine = leader.scheduler.cluster.machines.get("m1a")!;
+  assert.deepEqual([machine.state, machine.drainReason, machine.placements.size], ["up", null, 4]);
+  assert.doesNotMatch(leader.takeTrace(), /cloud return/);
 });
