--- a/tests/admission-settings.test.ts
+++ b/tests/admission-settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings of admission control: hostile values, the calendar over changes of clocks, and the program's own check. */
+/** Settings of admission control: invalid values, the calendar over daylight-saving changes, and `peatsaddle check`. */
 import assert from "node:assert/strict";
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -25,7 +25,7 @@
 weight = 4
 `;
 
-test("it is off by default, and its settings are read as they stand", () => {
+test("admission control is disabled by default, and its settings are decoded", () => {
   assert.equal(DEFAULT_OPERATOR_SETTINGS.admission.enabled, false);
   const { operator, faults, unknown } = decodeOperatorSettings(SETTLEMENT);
   assert.deepEqual([faults, unknown], [[], []]);
@@ -50,7 +50,7 @@
   });
 });
 
-test("hostile values are faults, a line each, that name their field", () => {
+test("each invalid value is one fault that names its field", () => {
   const faultsOf = (body: string): readonly string[] =>
     decodeOperatorSettings(`[admission]\n${body}`).faults;
   const cases: [string, RegExp][] = [
@@ -85,7 +85,7 @@
   assert.deepEqual(decodeOperatorSettings("[admission]\nburst = 1").unknown, ["admission.burst"]);
 });
 
-test("a faulty file ends the program with code 2 and a line a fault; check shows what is in force", () => {
+test("an invalid file ends the program with code 2 and one line per fault; check prints the settings in force", () => {
   const folder = mkdtempSync(join(tmpdir(), "peatsaddle-"));
   const file = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
@@ -110,7 +110,7 @@
   assert.equal(JSON.parse(checked.stdout).operator.admission.queueRatio, 3);
 });
 
-const night: Calendar = {
+const CALENDAR: Calendar = {
   timeZone: "Europe/Lisbon",
   periods: [
     { name: "night", days: [6, 7], from: 22 * 60, to: 6 * 60, team: "t", class: null, weight: 2 },
@@ -118,27 +118,28 @@
     { name: "day", days: [3], from: 0, to: 24 * 60, team: "t", class: null, weight: 2 },
   ],
 };
-const at = (utc: string): string[] => activePeriods(night, Date.parse(utc)).map((p) => p.name);
+const activeAt = (utc: string): string[] =>
+  activePeriods(CALENDAR, Date.parse(utc)).map((period) => period.name);
 
-test("periods follow the zone's clocks, on past midnight and through their changes", () => {
-  // Winter: Lisbon is at UTC. A Saturday's period goes on into Sunday morning, a Friday's is none.
-  assert.deepEqual(at("2026-01-10T21:59:59Z"), []);
-  assert.deepEqual(at("2026-01-10T22:00:00Z"), ["night"]);
-  assert.deepEqual(at("2026-01-11T05:59:59Z"), ["night"]);
-  assert.deepEqual(at("2026-01-11T06:00:00Z"), []);
-  assert.deepEqual(at("2026-01-10T05:00:00Z"), []);
+test("periods follow the clocks of the time zone, past midnight and through daylight-saving changes", () => {
+  // Winter: Lisbon is at UTC. Saturday's period extends into Sunday morning; Friday has none.
+  assert.deepEqual(activeAt("2026-01-10T21:59:59Z"), []);
+  assert.deepEqual(activeAt("2026-01-10T22:00:00Z"), ["night"]);
+  assert.deepEqual(activeAt("2026-01-11T05:59:59Z"), ["night"]);
+  assert.deepEqual(activeAt("2026-01-11T06:00:00Z"), []);
+  assert.deepEqual(activeAt("2026-01-10T05:00:00Z"), []);
   // Summer: an hour earlier by UTC.
-  assert.deepEqual(at("2026-07-11T21:00:00Z"), ["night"]);
-  // 29 March: 01:00 is followed by 02:00, so that the night is an hour shorter.
-  assert.deepEqual(at("2026-03-29T04:59:59Z"), ["night"]);
-  assert.deepEqual(at("2026-03-29T05:00:00Z"), []);
-  // 25 October: 01:00 to 02:00 comes twice, so that it is an hour longer.
-  assert.deepEqual(at("2026-10-24T20:59:59Z"), []);
-  assert.deepEqual(at("2026-10-24T21:00:00Z"), ["night"]);
-  assert.deepEqual(at("2026-10-25T05:59:59Z"), ["night"]);
-  assert.deepEqual(at("2026-10-25T06:00:00Z"), []);
+  assert.deepEqual(activeAt("2026-07-11T21:00:00Z"), ["night"]);
+  // 29 March: 01:00 is skipped to 02:00, so the night is an hour shorter.
+  assert.deepEqual(activeAt("2026-03-29T04:59:59Z"), ["night"]);
+  assert.deepEqual(activeAt("2026-03-29T05:00:00Z"), []);
+  // 25 October: 01:00 to 02:00 occurs twice, so the night is an hour longer.
+  assert.deepEqual(activeAt("2026-10-24T20:59:59Z"), []);
+  assert.deepEqual(activeAt("2026-10-24T21:00:00Z"), ["night"]);
+  assert.deepEqual(activeAt("2026-10-25T05:59:59Z"), ["night"]);
+  assert.deepEqual(activeAt("2026-10-25T06:00:00Z"), []);
   // A whole day, to its last moment.
-  assert.deepEqual(at("2026-01-14T00:00:00Z"), ["day"]);
-  assert.deepEqual(at("2026-01-14T23:59:59Z"), ["day"]);
-  assert.deepEqual(at("2026-01-15T00:00:00Z"), []);
+  assert.deepEqual(activeAt("2026-01-14T00:00:00Z"), ["day"]);
+  assert.deepEqual(activeAt("2026-01-14T23:59:59Z"), ["day"]);
+  assert.deepEqual(activeAt("2026-01-15T00:00:00Z"), []);
 });
