--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,4 +1,7 @@
-/** Fair admission under overload: what other packages and programs may use of it. */
+/**
+ * Fair admission under overload: the interface for embedding programs (`peatsaddle/admission`) and for the rest of the
+ * program. A program that only wants shares and verdicts needs `limitedWindow`, `decide` and `charge`, which are pure.
+ */
 export { activePeriods, type Calendar, isTimeZone, type Period } from "./calendar.js";
 export { ClaimBatch } from "./claims.js";
 export {
@@ -14,7 +17,7 @@
   AdmissionControl,
   type AdmissionPorts,
   type LeaderView,
-  type SubmissionVerdict as Admission,
+  type SubmissionVerdict,
 } from "./control.js";
 export {
   charge,
@@ -22,7 +25,7 @@
   decide,
   dominantShare,
   grantFor,
-  isLimiting as limits,
+  isLimiting,
 } from "./decision.js";
 export { FairQueue } from "./fair-queue.js";
 export { type Claimant, type FairShareInput, fairFractions } from "./fair-share.js";
@@ -34,8 +37,8 @@
 export {
   type ClassUsage,
   limitedWindow,
-  loadRatio as pressure,
+  loadRatio,
   openWindow,
   type WindowInput,
 } from "./window.js";
-export { type PlannerInput, WindowPlanner } from "./window-planner.js";
+export { type PlannerInput, type PlannerState, WindowPlanner } from "./window-planner.js";
