--- a/tests/admission-control.test.ts
+++ b/tests/admission-control.test.ts
@@ -12,7 +12,9 @@
 import { DEFAULT_OPERATOR_SETTINGS, decodeOperatorSettings } from "../src/config/operator.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { AdmissionModel } from "./support/admission-model.js";
-import { jobSpec, settingsText, TestLeader } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const BOUNDARY = Date.parse("2026-03-29T05:00:00Z");
 const CALENDAR = `
--- a/tests/admission-decisions.test.ts
+++ b/tests/admission-decisions.test.ts
@@ -4,7 +4,7 @@
 import { type LoggedDecision, WHOLE_SHARE } from "../src/admission/index.js";
 import type { AdmissionModel } from "./support/admission-model.js";
 import { CONTROLLERS, floodJob, limitedModel, writeGrants } from "./support/admission-windows.js";
-import { jobSpec } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
 
 type Rejection = Extract<LoggedDecision, { kind: "reject" }>;
 
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -21,7 +21,7 @@
   TEAMS,
   writeGrants,
 } from "./support/admission-windows.js";
-import { jobSpec } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
 
 type Action =
   | {
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -3,12 +3,13 @@
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
 import { compareDecisionLogs } from "./support/decision-logs.js";
 import type { InProcessCluster } from "./support/in-process-cluster.js";
-import { clusterTest, sleepSeconds, waitUntil } from "./support/in-process-cluster.js";
+import { clusterTest } from "./support/in-process-cluster.js";
+import { sleepSeconds, waitUntil } from "./support/waiting.js";
 
 const ENABLED = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 const OPTIONS = { operatorIni: ENABLED, leaseS: 6 };
 /** Sixteen CPUs run four tasks with four CPUs each; the queue takes as much again. */
-const FLOOD = { herd: "flood", strides: 4, cpus: 4 };
+const FLOOD = { class: "flood", tasks: 4, cpus: 4 };
 
 const admissionKeys = (cluster: InProcessCluster): string[] =>
   [...cluster.stateService.changeCounts.keys()].filter((key) => key.startsWith("a/"));
@@ -64,8 +65,8 @@
     }
     // Queries, cancellations and invalid submissions are not subject to admission.
     assert.equal((await cluster.queryJob(1, "burst-none")).status, 404);
-    assert.equal((await cluster.submitJob(1, "wrong", { ...FLOOD, outfit: "nobody" })).status, 422);
-    assert.equal((await cluster.submitJob(1, "bad", { ...FLOOD, strides: 0 })).status, 400);
+    assert.equal((await cluster.submitJob(1, "wrong", { ...FLOOD, team: "nobody" })).status, 422);
+    assert.equal((await cluster.submitJob(1, "bad", { ...FLOOD, tasks: 0 })).status, 400);
     const cancelled = accepted[0]!.slice(2);
     await waitUntil(
       "a cancellation goes through",
@@ -74,7 +75,7 @@
     // The first job of another class of the team is admitted by the grant for others.
     await waitUntil(
       "another class is admitted",
-      async () => (await cluster.submitJob(2, "other", { herd: "web", strides: 1 })).status <= 201,
+      async () => (await cluster.submitJob(2, "other", { class: "web", tasks: 1 })).status <= 201,
     );
     await sleepSeconds(1.5);
     assert.ok(compareDecisionLogs(cluster.admissionDecisions) > 5);
@@ -158,7 +159,7 @@
       await waitUntil(
         `${id} is accepted`,
         async () =>
-          (await cluster.submitJob(number % 3, id, { herd: "web", strides: 1, cpus: 0.25 }))
+          (await cluster.submitJob(number % 3, id, { class: "web", tasks: 1, cpus: 0.25 }))
             .status <= 201,
       );
     }
@@ -189,7 +190,7 @@
     });
     await waitUntil(
       "another class is admitted",
-      async () => (await cluster.submitJob(2, "web", { herd: "web", strides: 1 })).status <= 201,
+      async () => (await cluster.submitJob(2, "web", { class: "web", tasks: 1 })).status <= 201,
     );
   },
 );
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -1,7 +1,7 @@
 /** Windows over time: when admission is limited and opens again, and that every class makes progress under overload. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { jobSpec } from "./support/helpers.js";
+import { jobSpec } from "./support/job-builders.js";
 import {
   CPUS,
   OverloadSimulation,
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -5,7 +5,8 @@
 import type { Effect } from "../src/core/effects.js";
 import { maxValueBytes } from "../src/core/state/job-values.js";
 import { KEY, StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const MACHINES = 700;
 
@@ -78,7 +79,7 @@
   );
   const withReplicas = new Set(predecessor.unansweredRequests.map((request) => request.machine));
   assert.equal(withReplicas.size, 3);
-  const leader = new TestLeader({ records: predecessor.replica, epoch: 2, now: predecessor.now });
+  const leader = new TestLeader({ replica: predecessor.replica, epoch: 2, now: predecessor.now });
   leader.tick(1);
   assert.deepEqual(
     new Set(leader.unansweredRequests.map((request) => request.machine)),
@@ -131,7 +132,7 @@
 test("after a failover at most a few machines are released in a heartbeat interval", () => {
   const predecessor = leaderOfManyMachines();
   predecessor.flushWrites();
-  const leader = new TestLeader({ records: predecessor.replica, epoch: 2, now: predecessor.now });
+  const leader = new TestLeader({ replica: predecessor.replica, epoch: 2, now: predecessor.now });
   leader.epoch = 2;
   const startedAt = leader.now;
   const releasedCount = (): number => {
@@ -258,7 +259,7 @@
     [{ key: "g/1", value: { "m-1": ["10.0.0.1:1", "small", "a", true] }, modRevision: 3 }],
     3,
   );
-  const leader = new TestLeader({ records: replica, epoch: 2 });
+  const leader = new TestLeader({ replica: replica, epoch: 2 });
   const machine = leader.scheduler.cluster.machines.get("m-1")!;
   assert.deepEqual(
     [machine.address, machine.type.name, machine.zone, machine.spot, machine.isPersisted],
--- a/tests/check-command.test.ts
+++ b/tests/check-command.test.ts
@@ -5,8 +5,8 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { test } from "node:test";
-import { settingsText } from "./support/helpers.js";
 import { PROGRAM } from "./support/multi-process-cluster.js";
+import { settingsText } from "./support/node-settings.js";
 
 const PRINTED = {
   settings: {
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,24 +1,24 @@
 /** Real processes on loopback: the leader is killed, or stopped and continued, while tasks run. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { jobSpec } from "./support/helpers.js";
-import { sleepSeconds } from "./support/in-process-cluster.js";
-import { MultiProcessCluster, waitUntil } from "./support/multi-process-cluster.js";
+import { jobSpec } from "./support/job-builders.js";
+import { MultiProcessCluster } from "./support/multi-process-cluster.js";
+import { sleepSeconds, waitForProcesses } from "./support/waiting.js";
 
 /** Submits six jobs, kills the leader while their tasks run, and expects each to complete once. */
 async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
   const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
   for (const [i, id] of ids.entries()) {
     // 200 if the answer to a first try was late and it was asked again.
-    assert.ok((await site.submitJob(i % 3, id, { strides: 8 })).status <= 201);
+    assert.ok((await site.submitJob(i % 3, id, { tasks: 8 })).status <= 201);
   }
-  await waitUntil("tasks run", () => site.ruleChecker.startCount >= 8);
+  await waitForProcesses("tasks run", () => site.ruleChecker.startCount >= 8);
   const killed = site.leaderIndex();
   site.signalNode(killed, "SIGKILL");
   const leader = await site.awaitOtherLeader(killed);
   for (const id of ids) await awaitDone(site, leader, id);
   assert.ok(site.ruleChecker.startCount >= 48);
-  const again = await site.submitJob(leader, ids[0]!, { strides: 1 });
+  const again = await site.submitJob(leader, ids[0]!, { tasks: 1 });
   assert.deepEqual(again, { status: 200, state: "done" });
   site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
   assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
@@ -31,7 +31,7 @@
  */
 async function leaderIsPaused(site: MultiProcessCluster): Promise<void> {
   const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
-  for (const id of held) await site.submitJob(1, id, { strides: 8 });
+  for (const id of held) await site.submitJob(1, id, { tasks: 8 });
   const paused = site.leaderIndex();
   const others = [0, 1, 2].filter((i) => i !== paused);
   site.signalNode(paused, "SIGSTOP");
@@ -67,7 +67,10 @@
 }
 
 async function awaitDone(site: MultiProcessCluster, node: number, id: string): Promise<void> {
-  await waitUntil(`${id} is done`, async () => (await site.queryJob(node, id)).state === "done");
+  await waitForProcesses(
+    `${id} is done`,
+    async () => (await site.queryJob(node, id)).state === "done",
+  );
 }
 
 const storedEpoch = (site: MultiProcessCluster): number =>
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -9,7 +9,10 @@
 import { Controller } from "../src/node/controller.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { maxWorkerConnections } from "../src/workers/sockets.js";
-import { jobSpec, MACHINE_TYPES, settingsText, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
+import { MACHINE_TYPES } from "./support/machine-types.js";
+import { settingsText } from "./support/node-settings.js";
+import { TestLeader } from "./support/test-leader.js";
 
 const gpu = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
   jobSpec(id, {
--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -30,7 +30,7 @@
     assert.deepEqual(simulation.unfinishedJobs(), [], `unfinished: ${traceEnd()}`);
     starts += simulation.startCount;
     terms += simulation.termCount;
-    finalStates += simulation.reportedFinalStates.size;
+    finalStates += simulation.finishedJobCount;
   }
   // The search covered what it is for: tasks started, leaders changed, and users learned of final states.
   assert.ok(
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -6,7 +6,7 @@
 import type { JobView } from "../src/core/model/jobs.js";
 import { AdaptiveConcurrencyLimit } from "../src/core/overload/adaptive-concurrency-limit.js";
 import { encode } from "../src/wire/msgpack.js";
-import { jobBody } from "./support/helpers.js";
+import { jobBody } from "./support/job-builders.js";
 
 const HEARTBEAT = {
   mount: "m-1",
@@ -73,7 +73,7 @@
   const post = (url: string, body: unknown) =>
     app.inject({ method: "POST", url, headers, payload: encode(body) });
   const submissions = await Promise.all(
-    Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ nameId: `run-${i}` }))),
+    Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ id: `run-${i}` }))),
   );
   assert.deepEqual([...new Set(submissions.map((response) => response.statusCode))], [201]);
   assert.equal(backend.submissions, 8);
@@ -93,7 +93,7 @@
   }
   // A leader that sheds users to other nodes still answers, and closes the connection with the answer.
   backend.isSheddingUsers = true;
-  const last = await post("/api/jobs", jobBody({ nameId: "run-9" }));
+  const last = await post("/api/jobs", jobBody({ id: "run-9" }));
   assert.deepEqual([last.statusCode, last.headers.connection], [201, "close"]);
   await app.close();
 });
--- a/tests/support/admission-windows.ts
+++ b/tests/support/admission-windows.ts
@@ -2,7 +2,7 @@
 import { type AdmissionWindow, WHOLE_SHARE } from "../../src/admission/index.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import { AdmissionModel } from "./admission-model.js";
-import { jobSpec } from "./helpers.js";
+import { jobSpec } from "./job-builders.js";
 
 /** Number of controllers in the models. */
 export const CONTROLLERS = 3;
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -4,11 +4,12 @@
  * told. Decisions, service and answers are measured from what workers, users and the state service observe.
  */
 import { build, type Histogram } from "hdr-histogram-js";
-import { decodeJob } from "../../../src/wire/jobs.js";
+import type { JobSpec } from "../../../src/core/model/jobs.js";
+import { decodeJobState, encodeJob } from "../../../src/wire/counterpart.js";
 import { decode, encode } from "../../../src/wire/msgpack.js";
-import { jobBody } from "../helpers.js";
-import { sleepSeconds } from "../in-process-cluster.js";
-import { MultiProcessCluster, waitUntil } from "../multi-process-cluster.js";
+import { submittedJob } from "../job-builders.js";
+import { MultiProcessCluster } from "../multi-process-cluster.js";
+import { sleepSeconds, waitForProcesses } from "../waiting.js";
 import { auditLogs, auditWindows } from "./admission-audit.js";
 import { type ClassFigures, INTERVAL_S, type OverloadReport, reportClass } from "./report.js";
 import { CONTROLLERS, CPUS, LOADS, type Load, PATIENCE_S, TASK_S, WORKERS } from "./workload.js";
@@ -87,7 +88,7 @@
     const { cluster } = this;
     for (let index = 0; index < CONTROLLERS; index++) cluster.startNode(index);
     for (let index = 0; index < CONTROLLERS; index++) await cluster.awaitHealthy(index);
-    await waitUntil("somebody leads", () => cluster.leaderIndex() >= 0);
+    await waitForProcesses("somebody leads", () => cluster.leaderIndex() >= 0);
     this.startedAt = performance.now() / 1000;
     const changesBefore = this.changeCount();
     const users = LOADS.map((load) => this.submitAll(load));
@@ -104,7 +105,7 @@
     for (const [number, id] of [...this.accepted.keys()].entries()) {
       if (number % 20 !== 0) continue;
       const node = number % CONTROLLERS;
-      await waitUntil(`${id} is done`, async () => {
+      await waitForProcesses(`${id} is done`, async () => {
         return (await this.cluster.queryJob(node, id)).state === "done";
       });
       const { status } = await this.cluster.submitJob(node, id, {});
@@ -165,8 +166,9 @@
     const id = `${load.class}-${number}`;
     const figures = this.classes.get(load.class)!;
     figures.submitted++;
-    const body = bodyOf(load, id);
-    this.cluster.ruleChecker.jobSubmitted(decodeJob(body)!);
+    const spec = jobOf(load, id);
+    this.cluster.ruleChecker.jobSubmitted(spec);
+    const body = encodeJob(spec);
     const firstAttemptAt = this.now();
     const isPatient = (): boolean =>
       this.now() - firstAttemptAt < PATIENCE_S && this.now() < this.seconds;
@@ -198,8 +200,8 @@
     if (reply === null) return 1;
     this.answers.recordValue(Math.max(1, Math.round(performance.now() - sentAt)));
     if (reply.status === 200 || reply.status === 201) {
-      const { stance } = decode(reply.body) as { stance?: string };
-      this.cluster.ruleChecker.answerReceived(id, reply.status, stance);
+      const state = decodeJobState(decode(reply.body));
+      this.cluster.ruleChecker.answerReceived(id, reply.status, state);
       return null;
     }
     if (reply.status !== 429 && reply.status !== 503) this.faults.push(`${id}: ${reply.status}`);
@@ -243,15 +245,15 @@
   }
 }
 
-function bodyOf(load: Load, id: string): Record<string, unknown> {
-  return jobBody({
-    nameId: id,
-    herd: load.class,
-    outfit: load.team,
-    gait: load.kind,
-    strides: load.tasks,
-    loaners: false,
-    rideS: TASK_S,
+function jobOf(load: Load, id: string): JobSpec {
+  return submittedJob({
+    id,
+    class: load.class,
+    team: load.team,
+    kind: load.kind,
+    tasks: load.tasks,
+    spot: false,
+    estimateS: TASK_S,
     memoryGb: 0.1,
   });
 }
--- a/tests/support/overload/workload.ts
+++ b/tests/support/overload/workload.ts
@@ -15,7 +15,7 @@
   readonly team: string;
   readonly class: string;
   readonly tasks: number;
-  readonly kind: "array" | "ensemble";
+  readonly kind: "array" | "gang";
   /** Its arrivals, as a ratio to the capacity. */
   readonly demand: number;
   /** CPUs that its team is guaranteed; no other class of this workload belongs to the team. */
@@ -26,6 +26,6 @@
 export const LOADS: readonly Load[] = [
   { team: "bookings", class: "booking", tasks: 1, kind: "array", demand: 0.75, guaranteed: 10 },
   { team: "settlement", class: "night", tasks: 8, kind: "array", demand: 1, guaranteed: 8 },
-  { team: "vision", class: "photos", tasks: 16, kind: "ensemble", demand: 0.75, guaranteed: 0 },
+  { team: "vision", class: "photos", tasks: 16, kind: "gang", demand: 0.75, guaranteed: 0 },
   { team: "fraud", class: "scoring", tasks: 1, kind: "array", demand: 2.5, guaranteed: 0 },
 ];
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -3,7 +3,8 @@
 import type { MachineType } from "../../src/core/model/machines.js";
 import type { ClusterSettings } from "../../src/core/model/settings.js";
 import { decodeSettings } from "../../src/wire/settings.js";
-import { MACHINE_TYPES, settingsText } from "./helpers.js";
+import { MACHINE_TYPES } from "./machine-types.js";
+import { settingsText } from "./node-settings.js";
 
 export interface MachineKind {
   readonly type: string;
--- a/tests/wire-codecs.test.ts
+++ b/tests/wire-codecs.test.ts
@@ -7,11 +7,12 @@
 import { decodeWatchResponse } from "../src/wire/key-value.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { decodeSettings } from "../src/wire/settings.js";
-import { jobBody, settingsText } from "./support/helpers.js";
+import { jobBody } from "./support/job-builders.js";
+import { settingsText } from "./support/node-settings.js";
 
 test("a submitted job is decoded, or rejected as malformed by any of its fields", () => {
   assert.equal(decodeJob(decode(encode(jobBody())))?.kind, "array");
-  assert.equal(decodeJob(decode(encode(jobBody({ breeds: undefined }))))?.types, null);
+  assert.equal(decodeJob(decode(encode({ ...jobBody(), breeds: undefined })))?.types, null);
   const bad: Record<string, unknown>[] = [
     { nameId: 7 },
     { nameId: "" },
@@ -32,7 +33,11 @@
     { breeds: "g8" },
   ];
   for (const change of bad) {
-    assert.equal(decodeJob(decode(encode(jobBody(change)))), null, JSON.stringify(change));
+    assert.equal(
+      decodeJob(decode(encode({ ...jobBody(), ...change }))),
+      null,
+      JSON.stringify(change),
+    );
   }
   assert.equal(decodeJob([]), null);
   assert.equal(decodeJob(undefined), null);
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -3,11 +3,12 @@
 import { test } from "node:test";
 import type { JobKind, JobSpec } from "../src/core/model/jobs.js";
 import type { StateReplica } from "../src/core/state/state-replica.js";
-import { jobSpec, leaderWithTwoMachines, TestLeader, taskStatus } from "./support/helpers.js";
+import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { CONSTRAINTS, type Constraint, placeFaults, without } from "./support/placement-checker.js";
 import { ProtocolRuleChecker } from "./support/protocol-rule-checker.js";
 import { clusterForJob } from "./support/simulated-clusters.js";
 import { Simulation } from "./support/simulation.js";
+import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
 const BINDING: Record<Constraint, Partial<JobSpec>> = {
   types: { types: ["big"], tasks: 3 },
@@ -99,7 +100,7 @@
   const job = { ...stored.value.j, oneZone: true };
   const value = { ...stored.value, j: job };
   store(old.replica, "p/j", value);
-  const leader = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   // What stands in one zone runs; of what stands in the other no start has arrived.
   const placed = [...leader.scheduler.cluster.jobs.get("j")!.placements.values()];
@@ -121,7 +122,7 @@
   const stored = old.replica.activeJobs.get("j")!;
   const value = { ...stored.value, j: { ...stored.value.j, oneZone: true, tasks: 8 } };
   store(old.replica, "p/j", value);
-  const leader = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   const on = [...leader.scheduler.cluster.jobs.get("j")!.placements.values()];
   for (const machine of ["m1a", "m2b"]) {
@@ -239,7 +240,7 @@
     const value = Object.fromEntries(Object.entries(g.value).filter(([name]) => name !== "m1a"));
     store(old.replica, `g/${n}`, value);
   }
-  const leader = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   leader.receiveHeartbeat("m2b", []);
   leader.receiveHeartbeat("m3b", []);
--- a/tests/zone-constraints.test.ts
+++ b/tests/zone-constraints.test.ts
@@ -4,16 +4,11 @@
 import { planScaleOut } from "../src/core/capacity/scaling.js";
 import { canEverRun } from "../src/core/jobs/feasibility.js";
 import { decodeJob } from "../src/wire/jobs.js";
-import {
-  jobBody,
-  jobSpec,
-  leaderWithTwoMachines,
-  MACHINE_TYPES,
-  SimulatedWorkers,
-  TestLeader,
-  taskStatus,
-} from "./support/helpers.js";
+import { jobBody, jobSpec, taskStatus } from "./support/job-builders.js";
+import { MACHINE_TYPES } from "./support/machine-types.js";
 import { clusterForJob } from "./support/simulated-clusters.js";
+import { SimulatedWorkers } from "./support/simulated-workers.js";
+import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
 const zoneOf = (machine: string): string => machine.at(-1)!;
 
@@ -157,7 +152,7 @@
   }
   // One machine's session ends; its tasks are stored as gone, and the leader ends before it has stopped the rest.
   old.receiveHeartbeat("m1a", [], { incarnation: 2 });
-  const leader = new TestLeader({ records: old.replica, epoch: 2, now: old.now });
+  const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   const left = [...leader.scheduler.cluster.jobs.get("g")!.placements.values()];
   assert.equal(left.length, 3);
@@ -179,7 +174,7 @@
 });
 
 test("constraints are decoded as they were sent", () => {
-  const of = (change: Record<string, unknown>) => decodeJob(jobBody(change));
+  const of = (change: Record<string, unknown>) => decodeJob({ ...jobBody(), ...change });
   const { breeds: _, paddock: __, ...bare } = jobBody();
   assert.deepEqual([decodeJob(bare)?.types, decodeJob(bare)?.zone], [null, null]);
   assert.deepEqual(of({ breeds: [] })?.types, []);
