--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -1,6 +1,6 @@
 /**
  * The program behind `npm run profile`: three controllers as processes of their own, stand-in workers, and users who
- * submit and ask; prints where each controller's processor time goes. Figures of stand-ins on loopback.
+ * submit and query; prints where each controller's processor time goes. Figures of stand-ins on loopback.
  */
 import { existsSync, mkdtempSync, readFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -9,180 +9,106 @@
 import { Command } from "commander";
 import { sleepSeconds } from "../src/time/sleep.js";
 import { MultiProcessCluster } from "./support/multi-process-cluster.js";
+import { describeProfile } from "./support/processor-profile.js";
 import type { ProcessProfile } from "./support/profile-hook.js";
+import { ProfileLoad, type ProfileLoadOptions } from "./support/profile-load.js";
 import { waitForProcesses } from "./support/waiting.js";
 
 /** The program in many files, so that each sample names its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
 const HOOK = new URL("./support/profile-hook.js", import.meta.url).href;
-const NODE_COUNT = 3;
-const CPUS_PER_MACHINE = 4;
+const NODES = [0, 1, 2];
 const HEARTBEAT_INTERVAL_S = 3;
 const LEASE_S = 21;
-const TASKS_PER_JOB = 40;
-const ROWS_SHOWN = 40;
 
-interface Options {
-  readonly machines: number;
+interface Options extends ProfileLoadOptions {
   readonly seconds: number;
   readonly warmUp: number;
-  readonly taskSeconds: number;
-  readonly questions: number;
   readonly total: boolean;
   readonly program: string;
   readonly flags: string;
   readonly fromStart: boolean;
 }
 
-type Profile = NonNullable<ProcessProfile["profile"]>;
-type Node = Profile["nodes"][number];
-
-/** Milliseconds by name: `self` without what was called, `inclusive` with it. */
-interface ProcessorTimes {
-  readonly self: Map<string, number>;
-  readonly inclusive: Map<string, number>;
-}
-
-/** The module of a frame: a file of ours, a package, or a part of Node.js. */
-function moduleOf({ url, functionName }: Node["callFrame"]): string {
-  if (url.startsWith("node:")) return url;
-  const packaged = /node_modules\/((?:@[^/]+\/)?[^/]+)/.exec(url);
-  if (packaged !== null) return packaged[1]!;
-  const own = /target\/(.+)\.js$/.exec(url);
-  return own === null ? functionName || "native" : own[1]!;
-}
-
-function processorTimesOf({ nodes, samples, timeDeltas }: Profile): ProcessorTimes {
-  const byId = new Map(nodes.map((n) => [n.id, n]));
-  const parents = new Map<number, number>();
-  for (const n of nodes) for (const child of n.children ?? []) parents.set(child, n.id);
-  const self = new Map<string, number>();
-  const inclusive = new Map<string, number>();
-  const add = (times: Map<string, number>, name: string, ms: number): void => {
-    times.set(name, (times.get(name) ?? 0) + ms);
-  };
-  samples?.forEach((id, i) => {
-    const ms = (timeDeltas?.[i] ?? 0) / 1000;
-    add(self, moduleOf(byId.get(id)!.callFrame), ms);
-    const seen = new Set<string>();
-    for (let at: number | undefined = id; at !== undefined; at = parents.get(at)) {
-      const { callFrame } = byId.get(at)!;
-      seen.add(`${callFrame.functionName || "(anonymous)"} ${moduleOf(callFrame)}`);
-    }
-    for (const name of seen) add(inclusive, name, ms);
+/** Controllers that each write their profile to a file of their own. */
+function openCluster(options: Options, files: readonly string[]): Promise<MultiProcessCluster> {
+  const flags = options.flags.split(" ").filter((flag) => flag !== "");
+  return MultiProcessCluster.open({
+    taskMs: () => options.taskSeconds * 1000,
+    workers: options.machines,
+    heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
+    nodeArguments: [...flags, "--import", HOOK],
+    environment: (i) => ({
+      PROFILE_FILE: files[i]!,
+      PROFILE_SAMPLED: options.total ? "no" : "yes",
+      PROFILE_FROM_START: options.fromStart ? "yes" : "no",
+    }),
   });
-  return { self, inclusive };
 }
 
-function table(title: string, times: ReadonlyMap<string, number>, seconds: number): string {
-  const rows = [...times]
-    .filter(([name]) => !name.includes("(idle)") && !name.includes("(root)"))
-    .sort((a, b) => b[1] - a[1])
-    .slice(0, ROWS_SHOWN)
-    .map(([name, ms]) => `  ${(ms / seconds).toFixed(2).padStart(8)} ${name}`);
-  return [`${title} (ms a second)`, ...rows].join("\n");
+async function startNodes(cluster: MultiProcessCluster, program: string): Promise<void> {
+  for (const i of NODES) cluster.startNode(i, program);
+  for (const i of NODES) await cluster.awaitHealthy(i);
+  await waitForProcesses("somebody leads", () => cluster.leaderIndex() >= 0);
 }
 
-function describe(member: string, measured: ProcessProfile): string {
-  const { seconds, cpuMs, gcMs, gcRuns, residentMb, heapMb, profile } = measured;
-  const summary =
-    `${member}: ${(cpuMs / seconds).toFixed(1)} ms of processor time a second, ` +
-    `garbage collection ${(gcMs / seconds).toFixed(2)} ms in ${(gcRuns / seconds).toFixed(2)} runs, ` +
-    `resident ${residentMb.toFixed(0)} MB, heap ${heapMb.toFixed(0)} MB`;
-  if (profile === null) return summary;
-  const { self, inclusive } = processorTimesOf(profile);
-  return [
-    summary,
-    table("  by module, without what it calls", self, seconds),
-    table("  by function, with what it calls", inclusive, seconds),
-  ].join("\n");
+/** Begins the measurement of each controller, or ends it. */
+function signalAll(cluster: MultiProcessCluster): void {
+  for (const i of NODES) cluster.signalNode(i, "SIGUSR2");
 }
 
-/** Users who keep the machines full, and ask about what they submitted. */
-class SimulatedUsers {
-  private next = 0;
-  private readonly submitted: string[] = [];
-  private stopped = false;
-
-  constructor(
-    private readonly site: MultiProcessCluster,
-    private readonly options: Options,
-  ) {}
-
-  start(): void {
-    void this.submitAll();
-    void this.askAll();
-  }
-  stop(): void {
-    this.stopped = true;
-  }
-
-  private async submitAll(): Promise<void> {
-    const { machines, taskSeconds } = this.options;
-    const jobsASecond = (machines * CPUS_PER_MACHINE) / TASKS_PER_JOB / taskSeconds;
-    while (!this.stopped) {
-      const id = `run-${this.next++}`;
-      const change = { tasks: TASKS_PER_JOB, estimateS: taskSeconds, memoryGb: 0.1 };
-      void this.site
-        .submitJobOnce(this.next % NODE_COUNT, id, change)
-        .then(({ status }) => status === 201 && this.submitted.push(id));
-      await sleepSeconds(1 / jobsASecond);
-    }
-  }
+/** Heartbeats that the stand-in workers have sent. */
+function heartbeatCount(cluster: MultiProcessCluster): number {
+  let count = 0;
+  for (const { sentHeartbeats } of cluster.cloud.workers.values()) count += sentHeartbeats.length;
+  return count;
+}
 
-  private async askAll(): Promise<void> {
-    for (let n = 0; !this.stopped; n++) {
-      const id = this.submitted[(n * 7) % Math.max(1, this.submitted.length)];
-      if (id !== undefined) void this.site.queryJob(n % NODE_COUNT, id).catch(() => null);
-      await sleepSeconds(1 / this.options.questions);
-    }
+/** A profile; null while it is not written, or not whole. */
+function readProfile(file: string): ProcessProfile | null {
+  if (!existsSync(file)) return null;
+  try {
+    return JSON.parse(readFileSync(file, "utf8")) as ProcessProfile;
+  } catch {
+    return null;
   }
 }
 
-function heartbeatCount(site: MultiProcessCluster): number {
-  let reports = 0;
-  for (const worker of site.cloud.workers.values()) reports += worker.sentHeartbeats.length;
-  return reports;
+async function readProfiles(files: readonly string[]): Promise<ProcessProfile[]> {
+  let profiles: (ProcessProfile | null)[] = [];
+  await waitForProcesses("profiles are written", () => {
+    profiles = files.map(readProfile);
+    return profiles.every((profile) => profile !== null);
+  });
+  return profiles.filter((profile) => profile !== null);
 }
 
 async function measure(options: Options): Promise<string> {
-  const dir = mkdtempSync(join(tmpdir(), "peatsaddle-profile-"));
-  const files = Array.from({ length: NODE_COUNT }, (_, i) => join(dir, `n${i}.json`));
-  const site = await MultiProcessCluster.open({
-    taskMs: () => options.taskSeconds * 1000,
-    workers: options.machines,
-    heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
-    nodeArguments: [...options.flags.split(" ").filter((f) => f !== ""), "--import", HOOK],
-    environment: (i) => ({
-      PROFILE_FILE: files[i]!,
-      PROFILE_SAMPLED: options.total ? "no" : "yes",
-      PROFILE_FROM_START: options.fromStart ? "yes" : "no",
-    }),
-  });
+  const directory = mkdtempSync(join(tmpdir(), "peatsaddle-profile-"));
+  const files = NODES.map((i) => join(directory, `n${i}.json`));
+  const cluster = await openCluster(options, files);
   try {
-    for (let i = 0; i < NODE_COUNT; i++) site.startNode(i, options.program);
-    for (let i = 0; i < NODE_COUNT; i++) await site.awaitHealthy(i);
-    await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
-    const users = new SimulatedUsers(site, options);
-    users.start();
+    await startNodes(cluster, options.program);
+    const load = new ProfileLoad(cluster, options);
+    load.start();
     if (!options.fromStart) await sleepSeconds(options.warmUp);
-    const leader = site.leaderIndex();
-    const reportsBefore = heartbeatCount(site);
-    if (!options.fromStart) for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
+    const leader = cluster.leaderIndex();
+    const heartbeatsBefore = heartbeatCount(cluster);
+    if (!options.fromStart) signalAll(cluster);
     await sleepSeconds(options.seconds);
-    const reports = (heartbeatCount(site) - reportsBefore) / options.seconds;
-    for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
-    await waitForProcesses("profiles are written", () => files.every(existsSync));
-    await sleepSeconds(1);
-    users.stop();
-    const kept = site.leaderIndex() === leader ? "one leader" : "the leader changed: of no use";
-    const text = files.map((file, i) => {
-      const measured = JSON.parse(readFileSync(file, "utf8")) as ProcessProfile;
-      return describe(`n${i}${i === leader ? " (leader)" : ""}`, measured);
-    });
-    return [`${reports.toFixed(0)} reports a second, ${kept}`, ...text].join("\n\n");
+    const heartbeatsPerS = (heartbeatCount(cluster) - heartbeatsBefore) / options.seconds;
+    signalAll(cluster);
+    const profiles = await readProfiles(files);
+    load.stop();
+    const isSameLeader = cluster.leaderIndex() === leader;
+    const leaders = isSameLeader ? "one leader" : "the leader changed: of no use";
+    const descriptions = profiles.map((profile, i) =>
+      describeProfile(`n${i}${i === leader ? " (leader)" : ""}`, profile),
+    );
+    const summary = `${heartbeatsPerS.toFixed(0)} heartbeats a second, ${leaders}`;
+    return [summary, ...descriptions].join("\n\n");
   } finally {
-    site.close();
+    cluster.close();
   }
 }
 
--- a/tests/support/profile-hook.ts
+++ b/tests/support/profile-hook.ts
@@ -19,12 +19,19 @@
 }
 
 const SAMPLING_US = 500;
-const MB = 2 ** 20;
+const BYTES_PER_MB = 2 ** 20;
 
 const file = process.env.PROFILE_FILE;
-const sampled = process.env.PROFILE_SAMPLED === "yes";
+const isSampled = process.env.PROFILE_SAMPLED === "yes";
 const session = new Session();
-let began: { at: number; cpu: NodeJS.CpuUsage } | null = null;
+
+interface MeasurementStart {
+  readonly atMs: number;
+  readonly cpu: NodeJS.CpuUsage;
+}
+
+/** Null: nothing is measured yet. */
+let started: MeasurementStart | null = null;
 const gc = { ms: 0, runs: 0 };
 const observer = new PerformanceObserver((list) => {
   for (const entry of list.getEntries()) {
@@ -35,34 +42,31 @@
 
 async function start(): Promise<void> {
   observer.observe({ entryTypes: ["gc"] });
-  if (sampled) {
+  if (isSampled) {
     session.connect();
     await session.post("Profiler.enable");
     await session.post("Profiler.setSamplingInterval", { interval: SAMPLING_US });
     await session.post("Profiler.start");
   }
-  began = {
-    at: performance.now(),
-    cpu: process.cpuUsage(),
-  };
+  started = { atMs: performance.now(), cpu: process.cpuUsage() };
 }
 
-async function stop(since: NonNullable<typeof began>): Promise<void> {
+async function stop(since: MeasurementStart): Promise<void> {
   const cpu = process.cpuUsage(since.cpu);
-  const seconds = (performance.now() - since.at) / 1000;
-  const profile = sampled ? (await session.post("Profiler.stop")).profile : null;
+  const seconds = (performance.now() - since.atMs) / 1000;
+  const profile = isSampled ? (await session.post("Profiler.stop")).profile : null;
   const { rss, heapUsed } = process.memoryUsage();
   const measured: ProcessProfile = {
     seconds,
     cpuMs: (cpu.user + cpu.system) / 1000,
     gcMs: gc.ms,
     gcRuns: gc.runs,
-    residentMb: rss / MB,
-    heapMb: heapUsed / MB,
+    residentMb: rss / BYTES_PER_MB,
+    heapMb: heapUsed / BYTES_PER_MB,
     profile,
   };
   if (file !== undefined) writeFileSync(file, JSON.stringify(measured));
 }
 
 if (process.env.PROFILE_FROM_START === "yes") void start();
-process.on("SIGUSR2", () => void (began === null ? start() : stop(began)));
+process.on("SIGUSR2", () => void (started === null ? start() : stop(started)));
--- /dev/null
+++ b/tests/support/profile-load.ts
@@ -0,0 +1,59 @@
+/** The load under which controllers are profiled: users who keep the machines full, and query what they submitted. */
+import { sleepSeconds } from "../../src/time/sleep.js";
+import type { MultiProcessCluster } from "./multi-process-cluster.js";
+
+const NODE_COUNT = 3;
+const CPUS_PER_MACHINE = 4;
+const TASKS_PER_JOB = 40;
+/** Queries step through the submitted jobs by this many. */
+const QUERY_STRIDE = 7;
+
+export interface ProfileLoadOptions {
+  readonly machines: number;
+  /** Run time of a task. */
+  readonly taskSeconds: number;
+  /** Queries a second. */
+  readonly questions: number;
+}
+
+/** Users from `start` to `stop`; what becomes of a request is not waited for. */
+export class ProfileLoad {
+  private nextNumber = 0;
+  private readonly submitted: string[] = [];
+  private isStopped = false;
+
+  constructor(
+    private readonly cluster: MultiProcessCluster,
+    private readonly options: ProfileLoadOptions,
+  ) {}
+
+  start(): void {
+    void this.submitJobs();
+    void this.queryJobs();
+  }
+
+  stop(): void {
+    this.isStopped = true;
+  }
+
+  private async submitJobs(): Promise<void> {
+    const { machines, taskSeconds } = this.options;
+    const jobsPerSecond = (machines * CPUS_PER_MACHINE) / TASKS_PER_JOB / taskSeconds;
+    const change = { tasks: TASKS_PER_JOB, estimateS: taskSeconds, memoryGb: 0.1 };
+    while (!this.isStopped) {
+      const id = `run-${this.nextNumber++}`;
+      void this.cluster
+        .submitJobOnce(this.nextNumber % NODE_COUNT, id, change)
+        .then(({ status }) => status === 201 && this.submitted.push(id));
+      await sleepSeconds(1 / jobsPerSecond);
+    }
+  }
+
+  private async queryJobs(): Promise<void> {
+    for (let n = 0; !this.isStopped; n++) {
+      const id = this.submitted[(n * QUERY_STRIDE) % Math.max(1, this.submitted.length)];
+      if (id !== undefined) void this.cluster.queryJob(n % NODE_COUNT, id).catch(() => null);
+      await sleepSeconds(1 / this.options.questions);
+    }
+  }
+}
