--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -100,10 +100,10 @@
 
   /** Has a machine released; it counts until the cloud has confirmed that it is terminated. */
   requestRelease(machine: Machine, why: string): void {
-    if (this.pendingReleases.has(machine.name) || machine.state === "gone") return;
+    if (this.pendingReleases.has(machine.name) || machine.state === "terminated") return;
     this.pendingReleases.set(machine.name, why);
     machine.drainReason ??= why;
-    machine.state = "returning";
+    machine.state = "releasing";
     this.context.log("scale in", { machine: machine.name, why, tasks: machine.placements.size });
   }
 
@@ -220,10 +220,9 @@
   }
 
   private scalingContext(now: number): ScalingContext {
-    const { cluster, settings, options, machineTypes } = this.context;
+    const { cluster, options, machineTypes } = this.context;
     return {
       cluster,
-      settings,
       types: [...machineTypes.values()],
       now,
       capacityBackoffUntil: this.capacityBackoffUntil,
@@ -257,7 +256,7 @@
     this.terminated.add(name);
     const machine = this.context.cluster.machines.get(name);
     if (machine === undefined) return;
-    machine.state = "gone";
+    machine.state = "terminated";
     for (const placement of [...machine.placements.values()]) {
       this.dispatcher.handleTaskLost(placement, why, now);
     }
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -5,7 +5,6 @@
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
-import type { ClusterSettings } from "../model/settings.js";
 import { mayRelocate } from "../planning/zone-relocation.js";
 import { isBootLate } from "./boot-timeouts.js";
 import { cheapestOffer, offerKey, type ZonePredicate } from "./offers.js";
@@ -32,7 +31,6 @@
 /** What scaling depends on, as of one moment. */
 export interface ScalingContext {
   readonly cluster: Cluster;
-  readonly settings: ClusterSettings;
   readonly types: readonly MachineType[];
   readonly now: number;
   /** By `offerKey`: until when an offer that was refused for lack of capacity is not requested. */
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -40,7 +40,7 @@
   checkMachines(now: number): void {
     if (this.isStalled(now)) return;
     const running = [...this.context.cluster.machines.values()].filter(
-      ({ state }) => state === "up" || state === "returning",
+      ({ state }) => state === "up" || state === "releasing",
     );
     this.zoneSilence.update(running, now);
     if (this.stepDownIfIsolated(running, now)) return;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -32,8 +32,11 @@
   readonly held: boolean;
 }
 
-/** `booting` until the first message of its worker, `returning` once its release is requested, `gone` once terminated. */
-export type MachineState = "booting" | "up" | "returning" | "gone";
+/**
+ * `booting` until the first message of its worker, `releasing` once its release is requested, `terminated` once the cloud
+ * has confirmed that.
+ */
+export type MachineState = "booting" | "up" | "releasing" | "terminated";
 
 /**
  * A machine. Times are in seconds of the leader's clock, as everywhere in the core.
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -137,7 +137,7 @@
   const startedAt = leader.now;
   const releasedCount = (): number => {
     const machines = [...leader.scheduler.cluster.machines.values()];
-    return machines.filter((machine) => machine.state === "returning").length;
+    return machines.filter((machine) => machine.state === "releasing").length;
   };
   // Four of five machines find the new leader, the others take long.
   for (let step = 0; step < 45; step++) {
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -8,18 +8,10 @@
   type ScaleOutRequest,
 } from "../src/core/capacity/scaling.js";
 import type { ListedMachine } from "../src/core/model/machines.js";
-import { decodeSettings } from "../src/wire/settings.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { MACHINE_TYPES } from "./support/machine-types.js";
-import { settingsText } from "./support/node-settings.js";
 import { TestLeader } from "./support/test-leader.js";
 
-const CLUSTER = (() => {
-  const decoded = decodeSettings(settingsText());
-  if (!("settings" in decoded)) throw new Error("test settings");
-  return decoded.settings.cluster;
-})();
-
 /** A machine as the cloud lists it, booting unless changed. */
 const listedMachine = (
   name: string,
@@ -47,7 +39,6 @@
   return planScaleOut(
     {
       cluster,
-      settings: CLUSTER,
       types: MACHINE_TYPES,
       now: leader.now,
       capacityBackoffUntil: new Map(),
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -227,8 +227,6 @@
   const request = planScaleOut(
     {
       cluster: leader.scheduler.cluster,
-      settings: (decodeSettings(settingsText()) as { settings: Controller["settings"] }).settings
-        .cluster,
       types: MACHINE_TYPES,
       now: leader.now,
       capacityBackoffUntil: new Map(),
@@ -260,7 +258,7 @@
 test("a controller survives running out of sockets", async () => {
   const read = decodeSettings(settingsText());
   if (!("settings" in read)) throw new Error("test settings");
-  const settings = { ...read.settings, serveOn: "127.0.0.1:0", meshAddress: "127.0.0.1:0" };
+  const settings = { ...read.settings, listenAddress: "127.0.0.1:0", peerAddress: "127.0.0.1:0" };
   const node = new Controller(settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
   await node.start();
   // What `net` says when a connection cannot be accepted; without a listener it ends the process.
--- a/tests/zone-constraints.test.ts
+++ b/tests/zone-constraints.test.ts
@@ -107,7 +107,6 @@
     const rental = planScaleOut(
       {
         cluster: leader.scheduler.cluster,
-        settings: clusterForJob({}).settings,
         types: MACHINE_TYPES,
         now: leader.now,
         capacityBackoffUntil: new Map(),
