--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -1,5 +1,6 @@
 /** The pool of machines that the cloud provides: scaling out, listing and releasing them. */
 
+import { assertNever } from "../assert-never.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { ScaleOutResult } from "../effects.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -27,6 +28,9 @@
 const CAPACITY_BACKOFF_LEASES = 0.5;
 const MAXIMUM_RELEASES_PER_REQUEST = 100;
 
+/** The machines that a scale-out asked for. */
+export type RequestedMachines = Omit<ScaleOutRequest, "why">;
+
 /** Requests machines from the cloud, a request of each sort at a time, and releases those that are not needed. */
 export class MachinePool {
   readonly recordShards: MachineRecordShards;
@@ -116,29 +120,20 @@
   }
 
   /** The outcome of a scale-out. */
-  handleScaleOutResult(
-    request: { type: string; zone: string; spot: boolean; count: number },
-    result: ScaleOutResult,
-    now: number,
-  ): void {
+  handleScaleOutResult(request: RequestedMachines, result: ScaleOutResult, now: number): void {
     this.scaleOutsInFlight--;
-    const key = offerKey(request.type, request.zone, request.spot);
-    if (result.kind === "failed") this.nextCloudRequestAt = now + 1;
-    else if (result.kind === "no capacity")
-      this.capacityBackoffUntil.set(
-        key,
-        now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS,
-      );
-    else {
-      for (const name of result.machines) {
-        this.context.findOrAddMachine(name, request.type, request.zone, request.spot, now);
-      }
-      if (result.machines.length < request.count) {
-        this.capacityBackoffUntil.set(
-          key,
-          now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS,
-        );
-      }
+    switch (result.kind) {
+      case "failed":
+        this.nextCloudRequestAt = now + 1;
+        break;
+      case "no capacity":
+        this.backOff(request, now);
+        break;
+      case "provisioned":
+        this.addProvisioned(request, result.machines, now);
+        break;
+      default:
+        assertNever(result);
     }
   }
 
@@ -165,6 +160,18 @@
     this.machineList.reconcile(listed, now);
   }
 
+  private addProvisioned(request: RequestedMachines, names: readonly string[], now: number): void {
+    const { type, zone, spot, count } = request;
+    for (const name of names) this.context.findOrAddMachine(name, type, zone, spot, now);
+    if (names.length < count) this.backOff(request, now);
+  }
+
+  /** The cloud has no more machines of this kind: it is asked for others meanwhile. */
+  private backOff({ type, zone, spot }: RequestedMachines, now: number): void {
+    const until = now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS;
+    this.capacityBackoffUntil.set(offerKey(type, zone, spot), until);
+  }
+
   private releaseIfDue(): void {
     if (this.pendingReleases.size === 0 || this.releasesInFlight !== 0) return;
     this.releasesInFlight++;
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -32,7 +32,7 @@
    */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): Machine | null {
     if (this.machinePool.terminated.has(heartbeat.machine)) return null;
-    if (this.resignIfSuperseded(heartbeat)) return null;
+    if (this.stepDownIfSuperseded(heartbeat)) return null;
     const machine = this.findMachine(heartbeat, now);
     if (machine === null || !isNewer(heartbeat, machine)) return machine;
     this.applyDescription(machine, heartbeat, now);
@@ -51,7 +51,7 @@
   }
 
   /** A higher fencing token proves that another leader was elected. */
-  private resignIfSuperseded({ machine, fencingToken }: WorkerHeartbeat): boolean {
+  private stepDownIfSuperseded({ machine, fencingToken }: WorkerHeartbeat): boolean {
     if (fencingToken <= this.context.epoch) return false;
     this.context.effects.push({
       kind: "step down",
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -102,10 +102,10 @@
     const { image, imageGb } = job.spec;
     const known = machine.images.get(image);
     if (known !== undefined) {
-      known.ready = true;
-      known.at = now;
+      known.isPulled = true;
+      known.lastUsedAt = now;
     } else {
-      machine.images.set(image, { at: now, gb: imageGb, ready: true });
+      machine.images.set(image, { lastUsedAt: now, sizeGb: imageGb, isPulled: true });
     }
     this.evictImages(machine);
   }
@@ -114,9 +114,9 @@
   private evictImages(machine: Machine): void {
     const inUse = new Set([...machine.placements.values()].map(({ job }) => job.spec.image));
     let sumGb = 0;
-    const byLastUse = [...machine.images].sort((a, b) => b[1].at - a[1].at);
+    const byLastUse = [...machine.images].sort((a, b) => b[1].lastUsedAt - a[1].lastUsedAt);
     for (const [name, image] of byLastUse) {
-      sumGb += image.gb;
+      sumGb += image.sizeGb;
       if (sumGb > machine.type.cacheGb && !inUse.has(name)) machine.images.delete(name);
     }
   }
@@ -142,7 +142,11 @@
 
   private noteCompletedRun(placement: Placement, now: number): void {
     const { job, machine } = placement;
-    machine.images.set(job.spec.image, { at: now, gb: job.spec.imageGb, ready: true });
+    machine.images.set(job.spec.image, {
+      lastUsedAt: now,
+      sizeGb: job.spec.imageGb,
+      isPulled: true,
+    });
     if (placement.hasKnownStart && job.runTimes.length < MAXIMUM_RUN_TIMES) {
       job.runTimes.push(now - placement.runningSince);
     }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -17,11 +17,10 @@
 
 /** An image on the machine, or being pulled to it. */
 export interface CachedImage {
-  /** Time of its last use. */
-  at: number;
-  readonly gb: number;
+  lastUsedAt: number;
+  readonly sizeGb: number;
   /** False while it is being pulled. */
-  ready: boolean;
+  isPulled: boolean;
 }
 
 /** Capacity that is gathered for a job. */
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -69,7 +69,7 @@
 /** From now on the machine counts as one that pulls the job's image, unless it holds or pulls it already. */
 function noteImagePull({ spec }: ActiveJob, { images }: Machine, context: PlanningContext): void {
   if (images.has(spec.image)) return;
-  images.set(spec.image, { at: context.now, gb: spec.imageGb, ready: false });
+  images.set(spec.image, { lastUsedAt: context.now, sizeGb: spec.imageGb, isPulled: false });
 }
 
 function logPlacement(
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -46,9 +46,9 @@
 export function imagePullS(machine: Machine, spec: JobSpec): number {
   const { images, type } = machine;
   const image = images.get(spec.image);
-  if (image?.ready) return 0;
+  if (image?.isPulled) return 0;
   let pendingPullsGb = 0;
-  for (const other of images.values()) if (!other.ready) pendingPullsGb += other.gb;
+  for (const other of images.values()) if (!other.isPulled) pendingPullsGb += other.sizeGb;
   const ownPullS = spec.imageGb / type.fetchGbPerS;
   return image === undefined ? ownPullS + pendingPullsGb / type.fetchGbPerS : ownPullS / 2;
 }
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -90,7 +90,7 @@
 function readyImagesGb(machine: Machine, names: ReadonlySet<string>): number {
   let sumGb = 0;
   for (const [name, image] of machine.images) {
-    if (image.ready && names.has(name)) sumGb += image.gb;
+    if (image.isPulled && names.has(name)) sumGb += image.sizeGb;
   }
   return sumGb;
 }
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -28,7 +28,7 @@
     if (machine.freeCpus < AMOUNT_TOLERANCE || machine.freeMemoryGb < AMOUNT_TOLERANCE) continue;
     withFreeCapacity.push(machine);
     for (const [name, image] of machine.images) {
-      if (image.ready) append(withImage, name, machine);
+      if (image.isPulled) append(withImage, name, machine);
     }
   }
   return {
@@ -51,7 +51,7 @@
 
 function countImages(machine: Machine, counts: Map<string, number>): void {
   for (const [name, image] of machine.images) {
-    if (image.ready) counts.set(name, (counts.get(name) ?? 0) + 1);
+    if (image.isPulled) counts.set(name, (counts.get(name) ?? 0) + 1);
   }
 }
 
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -115,7 +115,7 @@
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
-    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
+    machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // All that hold it are taken.
   for (let i = 0; i < 11; i++) leader.submit(gpu(`now${i}`, { imageGb: 4 }));
@@ -135,7 +135,7 @@
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
-    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
+    machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // Class web is to start within a second, and the image pull takes eight.
   const web = { class: "web", imageGb: 4 };
@@ -161,7 +161,7 @@
   const leader = gpuMachines(["m1a", "m2a", "m3a"]);
   const pulling = ["m1a", "m3a"];
   const withImage = leader.scheduler.cluster.machines.get("m2a")!;
-  withImage.images.set("img", { at: leader.now, gb: 20, ready: true });
+  withImage.images.set("img", { lastUsedAt: leader.now, sizeGb: 20, isPulled: true });
   // 20 GB at half a GB a second: 40 s, and a task waits for the others for 45.
   leader.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
   const placements = [...leader.scheduler.cluster.jobs.get("gang")!.placements.values()];
