--- a/src/cli.ts
+++ b/src/cli.ts
@@ -7,6 +7,7 @@
 import { decodeOperatorSettings, type OperatorSettings } from "./config/operator.js";
 import { Controller } from "./node/controller.js";
 import { KeyValueClient } from "./state/key-value-client.js";
+import { steadyNowS } from "./time/steady-clock.js";
 import { decodeSettings, type NodeSettings } from "./wire/settings.js";
 
 const VERSION = "0.1.0";
@@ -74,7 +75,7 @@
 
 async function printAdmissionStatus(flags: Flags, asJson: boolean): Promise<void> {
   const address = loadConfiguration(flags).settings.stateServiceAddress;
-  const client = new KeyValueClient(address, () => performance.now() / 1000, STATE_TIMEOUT_MS);
+  const client = new KeyValueClient(address, steadyNowS, STATE_TIMEOUT_MS);
   const stored = await client.readAll();
   client.close();
   if (stored === null) exitWithErrors([`${address}: the state service gives no answer`]);
