--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -1,10 +1,11 @@
 /** Admission by whole controllers under a burst, without their leader, and with a state service that fails. */
 import assert from "node:assert/strict";
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
+import { sleepSeconds } from "../src/time/sleep.js";
 import { compareDecisionLogs } from "./support/decision-logs.js";
 import type { InProcessCluster } from "./support/in-process-cluster.js";
 import { clusterTest } from "./support/in-process-cluster.js";
-import { sleepSeconds, waitUntil } from "./support/waiting.js";
+import { waitUntil } from "./support/waiting.js";
 
 const ENABLED = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 const OPTIONS = { operatorIni: ENABLED, leaseS: 6 };
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -5,11 +5,12 @@
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { JobSpec } from "../../../src/core/model/jobs.js";
+import { sleepSeconds } from "../../../src/time/sleep.js";
 import { decodeJobState, encodeJob } from "../../../src/wire/counterpart.js";
 import { decode, encode } from "../../../src/wire/msgpack.js";
 import { submittedJob } from "../job-builders.js";
 import { MultiProcessCluster } from "../multi-process-cluster.js";
-import { sleepSeconds, waitForProcesses } from "../waiting.js";
+import { waitForProcesses } from "../waiting.js";
 import { auditLogs, auditWindows } from "./admission-audit.js";
 import { type ClassFigures, INTERVAL_S, type OverloadReport, reportClass } from "./report.js";
 import { CONTROLLERS, CPUS, LOADS, type Load, PATIENCE_S, TASK_S, WORKERS } from "./workload.js";
