--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -17,11 +17,10 @@
 
 /** An image on the machine, or being pulled to it. */
 export interface CachedImage {
-  /** Time of its last use. */
-  at: number;
-  readonly gb: number;
+  lastUsedAt: number;
+  readonly sizeGb: number;
   /** False while it is being pulled. */
-  ready: boolean;
+  isPulled: boolean;
 }
 
 /** Capacity that is gathered for a job. */
@@ -32,8 +31,11 @@
   readonly held: boolean;
 }
 
-/** `booting` until the first message of its worker, `returning` once its release is requested, `gone` once terminated. */
-export type MachineState = "booting" | "up" | "returning" | "gone";
+/**
+ * `booting` until the first message of its worker, `releasing` once its release is requested, `terminated` once the cloud
+ * has confirmed that.
+ */
+export type MachineState = "booting" | "up" | "releasing" | "terminated";
 
 /**
  * A machine. Times are in seconds of the leader's clock, as everywhere in the core.
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -115,7 +115,7 @@
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
-    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
+    machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // All that hold it are taken.
   for (let i = 0; i < 11; i++) leader.submit(gpu(`now${i}`, { imageGb: 4 }));
@@ -135,7 +135,7 @@
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
-    machine.images.set("img", { at: leader.now, gb: 4, ready: true });
+    machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // Class web is to start within a second, and the image pull takes eight.
   const web = { class: "web", imageGb: 4 };
@@ -161,7 +161,7 @@
   const leader = gpuMachines(["m1a", "m2a", "m3a"]);
   const pulling = ["m1a", "m3a"];
   const withImage = leader.scheduler.cluster.machines.get("m2a")!;
-  withImage.images.set("img", { at: leader.now, gb: 20, ready: true });
+  withImage.images.set("img", { lastUsedAt: leader.now, sizeGb: 20, isPulled: true });
   // 20 GB at half a GB a second: 40 s, and a task waits for the others for 45.
   leader.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
   const placements = [...leader.scheduler.cluster.jobs.get("gang")!.placements.values()];
@@ -227,8 +227,6 @@
   const request = planScaleOut(
     {
       cluster: leader.scheduler.cluster,
-      settings: (decodeSettings(settingsText()) as { settings: Controller["settings"] }).settings
-        .cluster,
       types: MACHINE_TYPES,
       now: leader.now,
       capacityBackoffUntil: new Map(),
@@ -260,7 +258,7 @@
 test("a controller survives running out of sockets", async () => {
   const read = decodeSettings(settingsText());
   if (!("settings" in read)) throw new Error("test settings");
-  const settings = { ...read.settings, serveOn: "127.0.0.1:0", meshAddress: "127.0.0.1:0" };
+  const settings = { ...read.settings, listenAddress: "127.0.0.1:0", peerAddress: "127.0.0.1:0" };
   const node = new Controller(settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
   await node.start();
   // What `net` says when a connection cannot be accepted; without a listener it ends the process.
