--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -8,7 +8,7 @@
 import type { JobSpec } from "../core/model/jobs.js";
 import type { ClusterSettings } from "../core/model/settings.js";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
-import { KEY } from "../core/state/state-replica.js";
+import { KEY } from "../core/state/stored-values.js";
 import type { TransactionResult } from "../state/key-value-client.js";
 import { activePeriods } from "./calendar.js";
 import { ClaimBatch } from "./claims.js";
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -5,7 +5,7 @@
 import { assertNever } from "../core/assert-never.js";
 import type { JobSpec } from "../core/model/jobs.js";
 import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
-import { KEY, type StoredJob, type Versioned } from "../core/state/state-replica.js";
+import { decodeEpoch, decodeSubmission, KEY, type Versioned } from "../core/state/stored-values.js";
 import { decodeLedger, decodeRejections, decodeWindow, parseAdmissionKey } from "./codec.js";
 import { decide, isLimiting } from "./decision.js";
 import {
@@ -20,8 +20,6 @@
 } from "./model.js";
 
 const ACTIVE_JOB_PREFIX = KEY.activeJob("");
-/** Version of a job's stored value as it is submitted; each later write has a higher one. */
-const SUBMITTED_VERSION = 1;
 /** Number of earlier windows for which rejection records may still arrive. */
 const LATE_WINDOWS = 4;
 
@@ -173,7 +171,7 @@
 
   private store(key: string, value: unknown, modRevision: number): void {
     if (key === KEY.epoch) {
-      this.epoch = (value as { n: number }).n;
+      this.epoch = decodeEpoch(value);
       return;
     }
     const parsed = parseAdmissionKey(key);
@@ -236,6 +234,5 @@
 /** The job that a change submits; null: it is another change. */
 function submittedJob(event: ChangeEvent): JobSpec | null {
   if (event.removed || !event.key.startsWith(ACTIVE_JOB_PREFIX)) return null;
-  const stored = event.value as StoredJob;
-  return stored.v === SUBMITTED_VERSION ? stored.j : null;
+  return decodeSubmission(event.value);
 }
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -7,7 +7,12 @@
 import type { JobSpec } from "../core/model/jobs.js";
 import type { TokenBucket } from "../core/overload/token-bucket.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
-import { KEY, type StoredCancellation, type StoredJob } from "../core/state/state-replica.js";
+import {
+  encodeCancellation,
+  encodeJobRecord,
+  KEY,
+  SUBMITTED_VERSION,
+} from "../core/state/stored-values.js";
 import type { KeyValueClient, TransactionResult } from "../state/key-value-client.js";
 import { sleepSeconds } from "../time/sleep.js";
 import {
@@ -50,17 +55,18 @@
 }
 
 /** What is stored of a job as it is submitted. */
-function storedSubmission(spec: JobSpec, wallMs: number): StoredJob {
-  return {
-    j: spec,
-    at: wallMs,
-    r: formatResiduals(dependenciesOf(spec.id, spec.after ?? [])),
-    v: 1,
-    n: 1,
-    o: 0,
-    done: "",
-    pl: [],
-  };
+function storedSubmission(spec: JobSpec, wallMs: number): ReturnType<typeof encodeJobRecord> {
+  return encodeJobRecord({
+    spec,
+    submittedAtMs: wallMs,
+    residuals: formatResiduals(dependenciesOf(spec.id, spec.after ?? [])),
+    version: SUBMITTED_VERSION,
+    nextAttempt: 1,
+    ownerEpoch: 0,
+    doneTasks: "",
+    placements: [],
+    shardSize: null,
+  });
 }
 
 const keyDoesNotExist = (key: string): Precondition => ({ key, modRevision: 0 });
@@ -103,7 +109,7 @@
    * when the job's end is stored (`StateReplica.view`).
    */
   async cancel(id: string, wallMs: number): Promise<WriteResult> {
-    const value: StoredCancellation = { at: wallMs, told: false };
+    const value = encodeCancellation(wallMs);
     const key = KEY.cancellation(id);
     const preconditions = [keyDoesNotExist(KEY.finalRecord(id)), keyDoesNotExist(key)];
     const change: Change = { op: "put", key, value };
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -78,7 +78,7 @@
   const client = new KeyValueClient(address, steadyNowS, STATE_TIMEOUT_MS);
   const stored = await client.readAll();
   client.close();
-  if (stored === null) exitWithErrors([`${address}: the state service gives no answer`]);
+  if (stored.kind === "failed") exitWithErrors([`${address}: the state service gives no answer`]);
   const replica = new AdmissionReplica();
   replica.reset(stored.items, stored.revision);
   const status = admissionStatus(replica);
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -8,7 +8,7 @@
 import { type JobSpec, priorityRank } from "../model/jobs.js";
 import { range } from "../range.js";
 import { JobShard } from "../state/job-shards.js";
-import type { StoredJob, StoredShard, Versioned } from "../state/state-replica.js";
+import type { JobRecord, JobShardRecord, Versioned } from "../state/stored-values.js";
 import { FailureHistory } from "./failure-history.js";
 import { eventName, formatResiduals, isEventAcceptable, parseResiduals } from "./pipeline.js";
 import { TaskRanges } from "./task-ranges.js";
@@ -77,26 +77,26 @@
 
   /** `inParts`: tasks in a part, if it was never placed and is to stand in parts. */
   constructor(
-    stored: StoredJob,
+    stored: JobRecord,
     mark: number,
-    parts: ReadonlyMap<number, Versioned<StoredShard>>,
+    parts: ReadonlyMap<number, Versioned<JobShardRecord>>,
     inParts: number | null,
   ) {
-    this.spec = stored.j;
-    this.zones = new ZoneOccupancy(stored.j);
-    this.submittedAtMs = stored.at;
-    this.effectiveRank = priorityRank(stored.j.priority);
+    this.spec = stored.spec;
+    this.zones = new ZoneOccupancy(stored.spec);
+    this.submittedAtMs = stored.submittedAtMs;
+    this.effectiveRank = priorityRank(stored.spec.priority);
     this.effectiveDeadlineMs = this.ownDeadlineMs;
-    this.residualsText = stored.r;
-    this.version = stored.v;
-    this.mainShard = new JobShard(-1, 0, stored.j.tasks);
-    this.mainShard.persistedVersion = stored.v;
+    this.residualsText = stored.residuals;
+    this.version = stored.version;
+    this.mainShard = new JobShard(-1, 0, stored.spec.tasks);
+    this.mainShard.persistedVersion = stored.version;
     this.mainShard.modRevision = mark;
-    this.mainShard.attempt = stored.n;
-    this.ownerEpoch = stored.o;
-    this.doneTasks = TaskRanges.parse(stored.done);
-    this.isStartAccepted = stored.o > 0;
-    this.shardSize = stored.c ?? (stored.o === 0 ? inParts : null);
+    this.mainShard.attempt = stored.nextAttempt;
+    this.ownerEpoch = stored.ownerEpoch;
+    this.doneTasks = TaskRanges.parse(stored.doneTasks);
+    this.isStartAccepted = stored.ownerEpoch > 0;
+    this.shardSize = stored.shardSize ?? (stored.ownerEpoch === 0 ? inParts : null);
     if (this.shardSize === null) return;
     const size = this.shardSize;
     for (const n of range(Math.ceil(this.spec.tasks / size))) {
@@ -105,14 +105,14 @@
     for (const [n, { value, modRevision: partMark }] of parts) {
       const part = this.shardAt(n);
       part.modRevision = partMark;
-      part.persistedVersion = value.v;
+      part.persistedVersion = value.version;
       // What its tasks were tried with is not all known any more.
-      part.attempt = value.n + 1;
+      part.attempt = value.nextAttempt + 1;
       // A gang's number may be in a part that was stored, and not in its own value that was not.
       if (this.spec.kind === "gang")
         this.mainShard.attempt = Math.max(this.mainShard.attempt, part.attempt);
-      this.version = Math.max(this.version, value.v);
-      for (const t of TaskRanges.parse(value.done)) this.doneTasks.add(part.firstTask + t);
+      this.version = Math.max(this.version, value.version);
+      for (const t of TaskRanges.parse(value.doneTasks)) this.doneTasks.add(part.firstTask + t);
     }
   }
 
@@ -175,14 +175,14 @@
   }
   /** The records were read again after a write whose end was not known. */
   refreshFromReplica(
-    live: Versioned<StoredJob>,
-    parts: ReadonlyMap<number, Versioned<StoredShard>>,
+    live: Versioned<JobRecord>,
+    parts: ReadonlyMap<number, Versioned<JobShardRecord>>,
   ): void {
-    this.markPersisted(this.mainShard, live.value.v, live.modRevision);
+    this.markPersisted(this.mainShard, live.value.version, live.modRevision);
     for (const part of this.shards.values()) {
       const now = parts.get(part.index);
       if (now === undefined) part.modRevision = 0;
-      else this.markPersisted(part, now.value.v, now.modRevision);
+      else this.markPersisted(part, now.value.version, now.modRevision);
     }
   }
 
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -12,11 +12,9 @@
 import { priorityRank } from "../model/jobs.js";
 import { initialShardSize, needsShards, reshardingSize } from "../state/job-shards.js";
 import { maxValueBytes } from "../state/job-values.js";
-import {
-  type StateReplica,
-  type StoredPlacements,
-  storedPlacementRanges,
-} from "../state/state-replica.js";
+import type { StateReplica } from "../state/state-replica.js";
+import { storedPlacementRanges } from "../state/stored-placements.js";
+import type { StoredPlacements } from "../state/stored-values.js";
 import { ActiveJob } from "./active-job.js";
 import { eventName, isEventExcluded, residuateByEvent, residuateByOutcome } from "./pipeline.js";
 import { TaskRanges } from "./task-ranges.js";
@@ -39,13 +37,13 @@
     }
     if (job === undefined) {
       const bytes = this.context.valueSizeLimit.plannedBytes;
-      const inParts = needsShards(stored.value.j, bytes);
-      const size = inParts ? initialShardSize(stored.value.j, bytes) : null;
+      const inParts = needsShards(stored.value.spec, bytes);
+      const size = inParts ? initialShardSize(stored.value.spec, bytes) : null;
       job = new ActiveJob(stored.value, stored.modRevision, records.shardsOf(id), size);
       this.context.cluster.jobs.set(id, job);
-      this.adoptPlacements(job, stored.value.pl, 0, now);
+      this.adoptPlacements(job, stored.value.placements, 0, now);
       for (const [n, part] of records.shardsOf(id)) {
-        this.adoptPlacements(job, part.value.pl, n * (job.shardSize ?? 0), now);
+        this.adoptPlacements(job, part.value.placements, n * (job.shardSize ?? 0), now);
       }
       const bound = 0.95 * bytes;
       if (job.shardSize === null && job.isStartAccepted && maxValueBytes(job) > bound) {
@@ -58,10 +56,11 @@
       this.context.cycleRequested = true;
     } else {
       if (stored.modRevision > job.mainShard.modRevision)
-        job.markPersisted(job.mainShard, stored.value.v, stored.modRevision);
+        job.markPersisted(job.mainShard, stored.value.version, stored.modRevision);
       for (const [n, { value, modRevision: mark }] of records.shardsOf(id)) {
         const part = job.shards.get(n);
-        if (part !== undefined && mark > part.modRevision) job.markPersisted(part, value.v, mark);
+        if (part !== undefined && mark > part.modRevision)
+          job.markPersisted(part, value.version, mark);
       }
     }
     if (records.cancellations.has(id)) job.cancelledByUser = true;
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -1,10 +1,11 @@
 /**
- * Which reports a node answers although it does not lead. No answer carries a command; each keeps a lease
- * alive, so each case is bounded by what a leader adds before it counts a lease as over (`MachineMonitor.lapse`).
- * None rests on knowing every cancellation: one is confirmed only when nothing of it is left
- * (`Records.view`). What is known to be cancelled is not kept all the same, so that it is gone sooner.
+ * Which worker heartbeats a node answers although it does not lead.
+ *
+ * No such answer carries a command; each extends a worker's lease, so each case is bounded by what a leader allows for
+ * before it declares a lease expired (`MachineMonitor.leaseExpiryBound`). None rests on knowing every cancellation: one is
+ * confirmed only when nothing of the job is left (`StateReplica.view`). The lease of a machine that runs what is known to
+ * be cancelled is not extended all the same, so that it ends sooner.
  */
-
 import { hasExtendableLease } from "../leader-context.js";
 import type { ClusterSettings } from "../model/settings.js";
 import type { WorkerHeartbeat } from "../model/workers.js";
@@ -12,6 +13,11 @@
 import type { StateReplica } from "../state/state-replica.js";
 import type { LeaseExtension } from "./lease-extension.js";
 
+/** Share of the grace period, and of a lease, for which a new leader counts as settling. */
+const SETTLING_SHARE = 2 / 3;
+/** Part of a lease for which heartbeats are answered while nobody leads: the lease divided by this. */
+const LEADERLESS_LEASE_DIVISOR = 3;
+
 /** Whom the node is in contact with. */
 export interface NodeConnectivity {
   readonly replicaLoaded: boolean;
@@ -20,116 +26,127 @@
   readonly leaderHeartbeatRecent: boolean;
 }
 
+export interface StandbyResponderOptions {
+  readonly settings: ClusterSettings;
+  readonly member: string;
+  readonly zone: string;
+  readonly replica: StateReplica;
+  readonly leaseExtension: LeaseExtension;
+  /** Workers that this node may redirect to a settling leader in a second. */
+  readonly redirectBudget: TokenBucket;
+  readonly gracePeriodS: number;
+}
+
 export class StandbyResponder {
-  /** When a leader was last recorded, or the records were first read. */
+  /** Steady time at which a leader was last recorded, or the replica was first loaded. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
 
-  constructor(
-    private readonly settings: ClusterSettings,
-    private readonly member: string,
-    private readonly zone: string,
-    private readonly replica: StateReplica,
-    private readonly leaseExtension: LeaseExtension,
-    /** Workers that a new leader takes in a second, as far as this node sends them on. */
-    private readonly redirectBudget: TokenBucket,
-    private readonly gracePeriodS: number,
-  ) {}
+  constructor(private readonly options: StandbyResponderOptions) {}
 
   noteLeaderSeen(now: number): void {
     this.leaderSeenAt = now;
   }
 
-  mayAnswer(r: WorkerHeartbeat, contact: NodeConnectivity, now: number, wallMs: number): boolean {
+  /** `now`: steady time in seconds; `wallMs`: time of day in milliseconds. */
+  mayAnswer(
+    heartbeat: WorkerHeartbeat,
+    connectivity: NodeConnectivity,
+    now: number,
+    wallMs: number,
+  ): boolean {
     return (
-      this.mayAnswerWhilePartitioned(r, contact, now) ||
-      this.mayAnswerBetweenLeaders(r, contact, now) ||
-      this.mayAnswerForSettlingLeader(r, contact, now, wallMs)
+      this.mayAnswerWhilePartitioned(heartbeat, connectivity, now) ||
+      this.mayAnswerBetweenLeaders(heartbeat, connectivity, now) ||
+      this.mayAnswerForSettlingLeader(heartbeat, connectivity, now, wallMs)
     );
   }
 
-  /** The leader took the term a moment ago: by the time of day that is stored with it. */
+  /** Leadership was acquired a moment ago, by the time of day that is stored with it. */
   isLeaderSettling(wallMs: number): boolean {
-    const { leader: lead } = this.replica;
-    const boundS = (2 / 3) * Math.min(this.gracePeriodS, this.settings.leaseS);
-    return lead !== null && wallMs - lead.value.at < 1000 * boundS;
+    const { replica, gracePeriodS, settings } = this.options;
+    const settlingS = SETTLING_SHARE * Math.min(gracePeriodS, settings.leaseS);
+    return replica.leader !== null && wallMs - replica.leader.value.acquiredAtMs < 1000 * settlingS;
   }
 
   /**
-   * Replicas or gang tasks are on the machine, by what its worker itself says, and nothing that was
-   * cancelled, which must be gone soon.
+   * The machine runs service or gang tasks, by its worker's own status, and nothing that was cancelled, which must end
+   * soon.
    */
-  runsExtendableTasks(r: WorkerHeartbeat): boolean {
-    if (this.runsCancelledTasks(r)) return false;
-    return r.tasks.some((t) => {
-      const job = t.state === "exited" ? undefined : this.replica.activeJobs.get(t.job);
-      return job !== undefined && hasExtendableLease(job.value.j.kind);
+  runsExtendableTasks(heartbeat: WorkerHeartbeat): boolean {
+    if (this.runsCancelledTasks(heartbeat)) return false;
+    return heartbeat.tasks.some((status) => {
+      if (status.state === "exited") return false;
+      const job = this.options.replica.activeJobs.get(status.job);
+      return job !== undefined && hasExtendableLease(job.value.spec.kind);
     });
   }
 
-  private runsCancelledTasks(r: WorkerHeartbeat): boolean {
-    return r.tasks.some((t) => this.replica.cancellations.has(t.job));
+  private runsCancelledTasks(heartbeat: WorkerHeartbeat): boolean {
+    return heartbeat.tasks.some((status) => this.options.replica.cancellations.has(status.job));
   }
 
   /**
-   * While a new leader settles, only so many workers a second are sent on to it; the others are answered
-   * here, without commands, with its token, and come again with their next report. (Two thousand came at
-   * once; each had left by the time its turn came, and came again, until its lease was over.) The leader
-   * counts every lease from `graceS` after its start in any case, and this ends before then.
+   * While a new leader settles, only so many workers a second are redirected to it; the others are answered here,
+   * without commands, with its fencing token, and try again with their next heartbeat. (Two thousand came at once; each
+   * had left by the time its turn came, and came again, until its lease was over.) The leader counts every lease from
+   * its grace period after its start in any case, and this ends before then.
    */
   private mayAnswerForSettlingLeader(
-    r: WorkerHeartbeat,
-    contact: NodeConnectivity,
+    heartbeat: WorkerHeartbeat,
+    connectivity: NodeConnectivity,
     now: number,
     wallMs: number,
   ): boolean {
-    const { leader: lead, epoch } = this.replica;
+    const { replica, member, redirectBudget } = this.options;
     return (
-      lead !== null &&
-      lead.value.member !== this.member &&
+      replica.leader !== null &&
+      replica.leader.value.member !== member &&
       this.isLeaderSettling(wallMs) &&
-      contact.reachesState &&
-      r.fencingToken <= epoch.value.n &&
-      !this.runsCancelledTasks(r) &&
-      !this.redirectBudget.tryTake(1, now)
+      connectivity.reachesState &&
+      heartbeat.fencingToken <= replica.epoch.value &&
+      !this.runsCancelledTasks(heartbeat) &&
+      !redirectBudget.tryTake(1, now)
     );
   }
 
   /**
-   * Nobody leads. Workers that are turned away then come back every second, each over a new connection,
-   * and leave no node the time to take the term (a thousand did, for 20 s). So for part of a lease any node
-   * in contact answers them without commands, with the last token; they find the next leader with their
-   * next report. That leader adds `graceS` before it counts a lease as over.
+   * Nobody leads. Workers that are turned away then come back every second, each over a new connection, and leave no node
+   * the time to acquire leadership (a thousand did, for 20 s). So for part of a lease any node in contact answers them
+   * without commands, with the last fencing token; they find the next leader with their next heartbeat. That leader adds
+   * its grace period before it declares a lease expired.
    */
   private mayAnswerBetweenLeaders(
-    r: WorkerHeartbeat,
-    contact: NodeConnectivity,
+    heartbeat: WorkerHeartbeat,
+    connectivity: NodeConnectivity,
     now: number,
   ): boolean {
-    const epoch = this.replica.epoch.value.n;
+    const { replica, settings } = this.options;
+    const epoch = replica.epoch.value;
     return (
-      contact.reachesState &&
-      this.replica.leader === null &&
+      connectivity.reachesState &&
+      replica.leader === null &&
       epoch > 0 &&
-      r.fencingToken <= epoch &&
-      now - this.leaderSeenAt < this.settings.leaseS / 3 &&
-      !this.runsCancelledTasks(r)
+      heartbeat.fencingToken <= epoch &&
+      now - this.leaderSeenAt < settings.leaseS / LEADERLESS_LEASE_DIVISOR &&
+      !this.runsCancelledTasks(heartbeat)
     );
   }
 
-  /** Cut off from everybody but the workers of this zone, which would lose what they run. */
+  /** Partitioned from everybody but the workers of this zone, which would lose what they run. */
   private mayAnswerWhilePartitioned(
-    r: WorkerHeartbeat,
-    contact: NodeConnectivity,
+    heartbeat: WorkerHeartbeat,
+    connectivity: NodeConnectivity,
     now: number,
   ): boolean {
+    const { replica, zone, leaseExtension } = this.options;
     return (
-      contact.replicaLoaded &&
-      r.zone === this.zone &&
-      r.fencingToken <= this.replica.epoch.value.n &&
-      this.leaseExtension.mayExtendLeases(now) &&
-      !contact.peerReachesState &&
-      !contact.leaderHeartbeatRecent &&
-      this.runsExtendableTasks(r)
+      connectivity.replicaLoaded &&
+      heartbeat.zone === zone &&
+      heartbeat.fencingToken <= replica.epoch.value &&
+      leaseExtension.mayExtendLeases(now) &&
+      !connectivity.peerReachesState &&
+      !connectivity.leaderHeartbeatRecent &&
+      this.runsExtendableTasks(heartbeat)
     );
   }
 }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -385,17 +385,17 @@
   private applyCommitted(w: LeaderTransaction, revision: number): void {
     if (this.context.valueSizeLimit.isReduced)
       this.context.valueSizeLimit.recordAccepted(largestValueBytes(w));
-    for (const { job, version, parts, closed } of w.jobWrites) {
+    for (const { job, version, shards, closedShards } of w.jobWrites) {
       if (version === null) {
         const state = job.isCancelled ? "cancelled" : "done";
         this.context.log("job over", { job: job.spec.id, state });
         this.context.cluster.jobs.delete(job.spec.id);
         continue;
       }
-      for (const part of parts) job.markPersisted(part, version, revision);
-      for (const part of closed) job.removeShard(part);
+      for (const part of shards) job.markPersisted(part, version, revision);
+      for (const part of closedShards) job.removeShard(part);
     }
-    for (const { group, version, names } of w.machineShardWrites) {
+    for (const { shard: group, version, names } of w.machineShardWrites) {
       group.modRevision = revision;
       group.persistedVersion = Math.max(group.persistedVersion, version);
       for (const name of names) this.markMachinePersisted(name, group);
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -6,13 +6,13 @@
  * conditional on the mark that the group had.
  */
 import type { Machine } from "../machines/machine.js";
+import type { StateReplica } from "./state-replica.js";
 import {
   KEY,
-  type StateReplica,
   type StoredMachine,
   type StoredMachineShard,
   type Versioned,
-} from "./state-replica.js";
+} from "./stored-values.js";
 
 export class MachineRecordShard {
   readonly entries = new Map<string, StoredMachine>();
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -1,335 +1,276 @@
 /**
- * What the state service holds, as every node follows it.
+ * This node's replica of the stored state: decoded records, kept up to date by the changes that the watcher reads.
  *
- *   p/<id>   a live pipeline          d/<id>  how a job ended, for ever
- *   q/<id>/<n>  tasks of a large one, so many in a part
- *   x/<id>   a cancellation           g/<n>    machines that may hold tasks, many in one value
- *   lead     who holds the term       epoch   the count of terms, also the workers' token
- *   types    the machine types, for a start while the cloud is down
+ * Every node has one, and derives from it what users are told of a job.
  */
 
-import {
-  eventName,
-  isEventExcluded,
-  parseResiduals,
-  residuateByOutcome,
-} from "../jobs/pipeline.js";
+import { assertNever } from "../assert-never.js";
 import { TaskRanges } from "../jobs/task-ranges.js";
-import type { JobSpec, JobView } from "../model/jobs.js";
+import type { JobView } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
+import { DependencyIndex } from "./dependency-index.js";
 import type { ChangeEvent, KeyValueItem } from "./key-value.js";
+import { storedPlacementRanges } from "./stored-placements.js";
+import {
+  type CancellationRecord,
+  decodeCancellation,
+  decodeEpoch,
+  decodeFinalRecord,
+  decodeJobRecord,
+  decodeJobShardRecord,
+  decodeLeader,
+  type FinalRecord,
+  type JobRecord,
+  type JobShardRecord,
+  type LeaderRecord,
+  parseKey,
+  type StoredKey,
+  type StoredMachineShard,
+  SUBMITTED_VERSION,
+  type Versioned,
+} from "./stored-values.js";
 
-export const KEY = {
-  activeJob: (id: string) => `p/${id}`,
-  jobShard: (id: string, n: number) => `q/${id}/${n}`,
-  finalRecord: (id: string) => `d/${id}`,
-  cancellation: (id: string) => `x/${id}`,
-  machineShard: (n: number) => `g/${n}`,
-  leader: "lead",
-  epoch: "epoch",
-  machineTypes: "types",
-} as const;
-
-/**
- * Tasks that count as being there: for each attempt and session, machines by turns with the ranges
- * of tasks on them. Many machines share one attempt, and a value holds few KiB.
- */
-export type StoredPlacements = readonly [attempt: number, session: number, on: readonly string[]];
-
-export interface PlacementRanges {
-  readonly machine: string;
-  readonly incarnation: number;
-  readonly attempt: number;
-  readonly tasks: string;
-}
-
-export function* storedPlacementRanges(
-  stored: readonly StoredPlacements[],
-): Generator<PlacementRanges> {
-  for (const [attempt, session, on] of stored) {
-    for (let i = 0; i + 1 < on.length; i += 2) {
-      yield { machine: on[i]!, incarnation: session, attempt, tasks: on[i + 1]! };
-    }
-  }
-}
-
-export interface StoredJob {
-  /** The submission as it was accepted. */
-  readonly j: JobSpec;
-  /** Time of day of the submission, in milliseconds. */
-  readonly at: number;
-  /** Residuals of the pipeline's dependencies. */
-  readonly r: readonly string[];
-  /** Counts the changes of this value. */
-  readonly v: number;
-  /** Next attempt number. */
-  readonly n: number;
-  /** Term whose leader owns the job; 0 before its start is accepted. */
-  readonly o: number;
-  /** Tasks done. */
-  readonly done: string;
-  readonly pl: readonly StoredPlacements[];
-  /**
-   * Tasks in a part, if it is too large for one value. Then `done` holds those of parts that are over,
-   * and what is under way in the others stands in them.
-   */
-  readonly c?: number;
-}
-
-/** Some tasks of a large job, by their numbers less that of the first. */
-export interface StoredShard {
-  /** The job's count of changes as of this one. */
-  readonly v: number;
-  /** Next attempt number in this part. */
-  readonly n: number;
-  readonly done: string;
-  readonly pl: readonly StoredPlacements[];
-}
-
-/**
- * A cancellation that a user asked for. `told` is false in all that is written now: users hear of it when
- * the end is stored, which is when every task is proven gone. Earlier versions wrote true and told at once.
- */
-export interface StoredCancellation {
-  readonly at: number;
-  readonly told: boolean;
-}
-
-export interface StoredFinal {
-  readonly s: "done" | "cancelled";
-  readonly n: number;
-}
-export type StoredMachine = readonly [address: string, type: string, zone: string, spot: boolean];
-export type StoredMachineShard = Readonly<Record<string, StoredMachine>>;
-export interface StoredLeader {
-  readonly member: string;
-  readonly epoch: number;
-  readonly lease: number;
-  /** Time of day at which the term was taken, in milliseconds; clocks agree within a known bound. */
-  readonly at: number;
-}
-
-export interface Versioned<V> {
-  readonly value: V;
-  readonly modRevision: number;
-}
-
-/** What a batch of changes touched, so that the leader need not look at everything. */
+/** What a batch of changes touched, so that the leader need not visit every job. */
 export interface ReplicaChange {
+  /** Names of the jobs of which any key changed. */
   readonly jobs: Set<string>;
+  /** The leader or the epoch changed. */
   leadership: boolean;
-  /** Submissions and cancellations among them. */
+  /** Submissions and cancellations among the changes. */
   userRequests: number;
 }
 
+interface TaskCounts {
+  done: number;
+  running: number;
+}
+
+const NO_SHARDS: ReadonlyMap<number, Versioned<JobShardRecord>> = new Map();
+const NO_EPOCH: Versioned<number> = { value: 0, modRevision: 0 };
+
 export class StateReplica {
-  readonly activeJobs = new Map<string, Versioned<StoredJob>>();
-  readonly finalRecords = new Map<string, StoredFinal>();
-  private readonly shards = new Map<string, Map<number, Versioned<StoredShard>>>();
-  /** Tasks done and placed, counted once for each stored value: users ask far more often. */
-  private readonly taskCounts = new WeakMap<object, { done: number; running: number }>();
-  /** Cancelled jobs whose end is not stored yet, and whether users may be told. */
-  readonly cancellations = new Map<string, { told: boolean }>();
+  readonly activeJobs = new Map<string, Versioned<JobRecord>>();
+  readonly finalRecords = new Map<string, FinalRecord>();
+  /** Cancellations of jobs whose end is not stored yet. */
+  readonly cancellations = new Map<string, CancellationRecord>();
   readonly machineShards = new Map<number, Versioned<StoredMachineShard>>();
-  /** Live jobs that name a job as one that must be done before them, by its name. */
-  private readonly dependents = new Map<string, Set<string>>();
-  /**
-   * Live jobs that can never start, since one that they need was cancelled, directly or through others. It
-   * follows from what is stored, so every node says the same from one change on, however many there are;
-   * their own ends are stored by and by.
-   */
-  private readonly excludedJobs = new Set<string>();
-  leader: Versioned<StoredLeader> | null = null;
+  leader: Versioned<LeaderRecord> | null = null;
+  epoch = NO_EPOCH;
   machineTypes: readonly MachineType[] | null = null;
   machineTypesModRevision = 0;
-  epoch: Versioned<{ n: number }> = { value: { n: 0 }, modRevision: 0 };
-  /** Every change up to this revision is in. */
+  /** Revision of the store up to which every change is applied. */
   revision = -1;
 
-  /** Starts afresh from a full read. `ledger` is the revision before the first page. */
-  reset(items: readonly KeyValueItem[], ledger: number): void {
+  private readonly shards = new Map<string, Map<number, Versioned<JobShardRecord>>>();
+  /** Tasks done and placed, counted once for each stored value: users ask far more often than it changes. */
+  private readonly taskCounts = new WeakMap<object, TaskCounts>();
+  private readonly dependencies = new DependencyIndex(this.activeJobs, this.finalRecords);
+
+  /** Starts afresh from a full read. `revision`: that of the store before the first page. */
+  reset(items: readonly KeyValueItem[], revision: number): void {
     this.activeJobs.clear();
     this.finalRecords.clear();
     this.shards.clear();
     this.cancellations.clear();
     this.machineShards.clear();
-    this.dependents.clear();
-    this.excludedJobs.clear();
+    this.dependencies.clear();
     this.leader = null;
-    this.epoch = { value: { n: 0 }, modRevision: 0 };
-    for (const i of items) this.put(i.key, i.value, i.modRevision);
-    this.revision = ledger;
+    this.epoch = NO_EPOCH;
+    for (const item of items) {
+      const key = parseKey(item.key);
+      if (key !== null) this.put(key, item.value, item.modRevision);
+    }
+    this.revision = revision;
   }
 
-  /** Applies what following returned; changes that are in already are passed over. */
-  apply(events: readonly ChangeEvent[], ledger: number): ReplicaChange {
-    const touched: ReplicaChange = { jobs: new Set(), leadership: false, userRequests: 0 };
-    for (const e of events) {
-      if (e.modRevision <= this.revision) continue;
-      if (e.removed) this.remove(e.key);
-      else this.put(e.key, e.value, e.modRevision);
-      const kind = e.key.slice(0, 2);
-      if (kind === "p/" || kind === "x/" || kind === "d/") touched.jobs.add(e.key.slice(2));
-      if (!e.removed && (kind === "x/" || (kind === "p/" && (e.value as StoredJob).v === 1)))
-        touched.userRequests++;
-      if (kind === "q/") touched.jobs.add(parseShardName(e.key.slice(2)).id);
-      else if (e.key === KEY.leader || e.key === KEY.epoch) touched.leadership = true;
+  /** Applies watched changes; those that are applied already are skipped. */
+  apply(events: readonly ChangeEvent[], revision: number): ReplicaChange {
+    const change: ReplicaChange = { jobs: new Set(), leadership: false, userRequests: 0 };
+    for (const event of events) {
+      if (event.modRevision <= this.revision) continue;
+      const key = parseKey(event.key);
+      if (key === null) continue;
+      if (event.removed) this.remove(key);
+      else this.put(key, event.value, event.modRevision);
+      this.noteChange(change, key, event.removed);
     }
-    if (ledger > this.revision) this.revision = ledger;
-    return touched;
+    if (revision > this.revision) this.revision = revision;
+    return change;
   }
 
-  private put(key: string, value: unknown, mark: number): void {
-    const name = key.slice(2);
-    if (key.startsWith("p/")) {
-      const known = this.activeJobs.has(name);
-      this.activeJobs.set(name, { value: value as StoredJob, modRevision: mark });
-      if (!known) this.addDependencies(name, value as StoredJob);
-    } else if (key.startsWith("d/")) {
-      this.finalRecords.set(name, value as StoredFinal);
-      if ((value as StoredFinal).s === "cancelled") this.failDependents(name);
-    } else if (key.startsWith("q/")) {
-      const { id, n } = parseShardName(name);
-      let of = this.shards.get(id);
-      if (of === undefined) {
-        of = new Map();
-        this.shards.set(id, of);
-      }
-      of.set(n, { value: value as StoredShard, modRevision: mark });
-    } else if (key.startsWith("x/")) {
-      this.cancellations.set(name, { told: (value as StoredCancellation).told !== false });
-    } else if (key.startsWith("g/")) {
-      this.machineShards.set(Number(name), {
-        value: value as StoredMachineShard,
-        modRevision: mark,
-      });
-    } else if (key === KEY.leader)
-      this.leader = { value: value as StoredLeader, modRevision: mark };
-    else if (key === KEY.machineTypes) {
-      this.machineTypes = value as MachineType[];
-      this.machineTypesModRevision = mark;
-    } else if (key === KEY.epoch) this.epoch = { value: value as { n: number }, modRevision: mark };
+  /** Active jobs that depend on this one. */
+  dependentsOf(id: string): ReadonlySet<string> {
+    return this.dependencies.dependentsOf(id);
   }
 
-  private remove(key: string): void {
-    const name = key.slice(2);
-    if (key.startsWith("p/")) {
-      for (const other of this.activeJobs.get(name)?.value.j.after ?? []) {
-        const of = this.dependents.get(other);
-        of?.delete(name);
-        if (of?.size === 0) this.dependents.delete(other);
-      }
-      this.activeJobs.delete(name);
-      this.excludedJobs.delete(name);
-    } else if (key.startsWith("d/")) this.finalRecords.delete(name);
-    else if (key.startsWith("q/")) {
-      const { id, n } = parseShardName(name);
-      const of = this.shards.get(id);
-      of?.delete(n);
-      if (of?.size === 0) this.shards.delete(id);
-    } else if (key.startsWith("x/")) this.cancellations.delete(name);
-    else if (key.startsWith("g/")) this.machineShards.delete(Number(name));
-    else if (key === KEY.leader) this.leader = null;
+  /** The outcome of a job, as an event for its dependents; null: it has none, as far as is stored. */
+  outcomeOf(id: string): "done" | "failed" | null {
+    return this.dependencies.outcomeOf(id);
   }
 
-  /** Live jobs that name this one. */
-  dependentsOf(id: string): ReadonlySet<string> {
-    return this.dependents.get(id) ?? NO_DEPENDENTS;
+  /** Stored shards of a large job, by their index. */
+  shardsOf(id: string): ReadonlyMap<number, Versioned<JobShardRecord>> {
+    return this.shards.get(id) ?? NO_SHARDS;
   }
 
-  /** How a job ended, as an event for those that name it; null: it has not, as far as is stored. */
-  outcomeOf(id: string): "done" | "failed" | null {
+  /**
+   * What a user is told of a job, or null if no such job was ever accepted.
+   *
+   * The one place that decides when a cancellation is confirmed, whichever node is asked and however (cancellation,
+   * query, repeated submission): with the stored end, and the leader stores that when no task can be on a machine or
+   * start any more. So a node that answers a worker heartbeat need not know of a confirmed cancellation, however stale
+   * its replica is: there is nothing left to keep alive. (Confirmed earlier, it bound a leader that the key-value store
+   * refused, which could not know of it, and whose answers kept the tasks for longer than `cancel_s`.)
+   */
+  view(id: string): JobView | null {
     const final = this.finalRecords.get(id);
-    if (final !== undefined) return final.s === "done" ? "done" : "failed";
-    return this.excludedJobs.has(id) ? "failed" : null;
+    if (final !== undefined) {
+      const done = final.outcome === "done" ? final.tasks : 0;
+      return { id, state: final.outcome, done, running: 0 };
+    }
+    const job = this.activeJobs.get(id);
+    if (job === undefined) return null;
+    let { done, running } = this.countTasks(job);
+    for (const shard of this.shardsOf(id).values()) {
+      const counts = this.countTasks(shard);
+      done += counts.done;
+      running += counts.running;
+    }
+    if (this.cancellations.get(id)?.confirmedAtOnce || this.dependencies.canNeverStart(id)) {
+      return { id, state: "cancelled", done, running: 0 };
+    }
+    return { id, state: running > 0 ? "running" : "queued", done, running };
   }
 
-  private addDependencies(id: string, job: StoredJob): void {
-    const after = job.j.after ?? [];
-    for (const other of after) {
-      const of = this.dependents.get(other) ?? new Set();
-      this.dependents.set(other, of);
-      of.add(id);
-    }
-    if (after.length > 0 && this.isExcluded(id, job)) {
-      this.excludedJobs.add(id);
-      this.failDependents(id);
+  private put(key: StoredKey, value: unknown, modRevision: number): void {
+    switch (key.kind) {
+      case "activeJob":
+        this.putJob(key.id, { value: decodeJobRecord(value), modRevision });
+        break;
+      case "jobShard":
+        this.putShard(key.id, key.index, { value: decodeJobShardRecord(value), modRevision });
+        break;
+      case "finalRecord":
+        this.putFinalRecord(key.id, decodeFinalRecord(value));
+        break;
+      case "cancellation":
+        this.cancellations.set(key.id, decodeCancellation(value));
+        break;
+      case "machineShard":
+        this.machineShards.set(key.index, { value: value as StoredMachineShard, modRevision });
+        break;
+      case "leader":
+        this.leader = { value: decodeLeader(value), modRevision };
+        break;
+      case "epoch":
+        this.epoch = { value: decodeEpoch(value), modRevision };
+        break;
+      case "machineTypes":
+        this.machineTypes = value as readonly MachineType[];
+        this.machineTypesModRevision = modRevision;
+        break;
+      default:
+        assertNever(key);
     }
   }
 
-  /** By its dependencies, residuated by the ends that are known of the jobs it names. */
-  private isExcluded(id: string, job: StoredJob): boolean {
-    let dependencies = parseResiduals(job.r);
-    for (const other of job.j.after ?? []) {
-      const end = this.outcomeOf(other);
-      if (end !== null) dependencies = residuateByOutcome(dependencies, other, end);
+  private remove(key: StoredKey): void {
+    switch (key.kind) {
+      case "activeJob":
+        this.removeJob(key.id);
+        break;
+      case "jobShard":
+        this.removeShard(key.id, key.index);
+        break;
+      case "finalRecord":
+        this.finalRecords.delete(key.id);
+        break;
+      case "cancellation":
+        this.cancellations.delete(key.id);
+        break;
+      case "machineShard":
+        this.machineShards.delete(key.index);
+        break;
+      case "leader":
+        this.leader = null;
+        break;
+      case "epoch":
+      case "machineTypes":
+        // Never deleted.
+        break;
+      default:
+        assertNever(key);
     }
-    return isEventExcluded(dependencies, eventName("start", id));
   }
 
-  /** The failed event of one residuates the next: downward, each job once, whatever the depth. */
-  private failDependents(first: string): void {
-    const next = [first];
-    for (let id = next.pop(); id !== undefined; id = next.pop()) {
-      for (const follower of this.dependentsOf(id)) {
-        const job = this.activeJobs.get(follower);
-        if (job === undefined || this.excludedJobs.has(follower)) continue;
-        if (!this.isExcluded(follower, job.value)) continue;
-        this.excludedJobs.add(follower);
-        next.push(follower);
-      }
+  private noteChange(change: ReplicaChange, key: StoredKey, removed: boolean): void {
+    switch (key.kind) {
+      case "activeJob":
+        change.jobs.add(key.id);
+        if (!removed && this.activeJobs.get(key.id)!.value.version === SUBMITTED_VERSION) {
+          change.userRequests++;
+        }
+        break;
+      case "cancellation":
+        change.jobs.add(key.id);
+        if (!removed) change.userRequests++;
+        break;
+      case "finalRecord":
+      case "jobShard":
+        change.jobs.add(key.id);
+        break;
+      case "leader":
+      case "epoch":
+        change.leadership = true;
+        break;
+      case "machineShard":
+      case "machineTypes":
+        break;
+      default:
+        assertNever(key);
     }
   }
 
-  /** Stored parts of a large job, by their number. */
-  shardsOf(id: string): ReadonlyMap<number, Versioned<StoredShard>> {
-    return this.shards.get(id) ?? NO_SHARDS;
+  private putJob(id: string, job: Versioned<JobRecord>): void {
+    const isKnown = this.activeJobs.has(id);
+    this.activeJobs.set(id, job);
+    if (!isKnown) this.dependencies.add(id, job.value);
   }
 
-  private countTasks(of: Versioned<StoredJob | StoredShard>): { done: number; running: number } {
-    let c = this.taskCounts.get(of);
-    if (c === undefined) {
-      c = { done: TaskRanges.parse(of.value.done).size, running: 0 };
-      for (const p of storedPlacementRanges(of.value.pl))
-        c.running += TaskRanges.parse(p.tasks).size;
-      this.taskCounts.set(of, c);
-    }
-    return c;
+  private removeJob(id: string): void {
+    this.dependencies.remove(id, this.activeJobs.get(id)?.value);
+    this.activeJobs.delete(id);
   }
 
-  /**
-   * What a user is told of a job, or null if no such job was ever accepted.
-   *
-   * The one place that decides when a cancellation is confirmed, whichever node is asked and however
-   * (cancellation, question, repeated submission): with the stored end, and the leader stores that when
-   * no task can be on a machine or start any more. So nobody who answers a worker's report need know of
-   * a confirmed cancellation, however old its copy is: there is nothing left to keep alive. (Confirmed
-   * earlier, they bound a leader that the state service refused, which could not know of them, and its
-   * answers kept the tasks for longer than `cancel_s`.)
-   */
-  view(id: string): JobView | null {
-    const final = this.finalRecords.get(id);
-    if (final !== undefined) {
-      return { id, state: final.s, done: final.s === "done" ? final.n : 0, running: 0 };
-    }
-    const live = this.activeJobs.get(id);
-    if (live === undefined) return null;
-    let { done, running } = this.countTasks(live);
-    for (const part of this.shardsOf(id).values()) {
-      const c = this.countTasks(part);
-      done += c.done;
-      running += c.running;
+  private putShard(id: string, index: number, shard: Versioned<JobShardRecord>): void {
+    let shards = this.shards.get(id);
+    if (shards === undefined) {
+      shards = new Map();
+      this.shards.set(id, shards);
     }
-    if (this.cancellations.get(id)?.told || this.excludedJobs.has(id))
-      return { id, state: "cancelled", done, running: 0 };
-    return { id, state: running > 0 ? "running" : "queued", done, running };
+    shards.set(index, shard);
   }
-}
 
-const NO_DEPENDENTS: ReadonlySet<string> = new Set();
-const NO_SHARDS: ReadonlyMap<number, Versioned<StoredShard>> = new Map();
+  private removeShard(id: string, index: number): void {
+    const shards = this.shards.get(id);
+    shards?.delete(index);
+    if (shards?.size === 0) this.shards.delete(id);
+  }
 
-function parseShardName(name: string): { id: string; n: number } {
-  const slash = name.lastIndexOf("/");
-  return { id: name.slice(0, slash), n: Number(name.slice(slash + 1)) };
+  private putFinalRecord(id: string, final: FinalRecord): void {
+    this.finalRecords.set(id, final);
+    if (final.outcome === "cancelled") this.dependencies.failDependents(id);
+  }
+
+  private countTasks(stored: Versioned<JobRecord | JobShardRecord>): TaskCounts {
+    let counts = this.taskCounts.get(stored);
+    if (counts === undefined) {
+      counts = { done: TaskRanges.parse(stored.value.doneTasks).size, running: 0 };
+      for (const { tasks } of storedPlacementRanges(stored.value.placements)) {
+        counts.running += TaskRanges.parse(tasks).size;
+      }
+      this.taskCounts.set(stored, counts);
+    }
+    return counts;
+  }
 }
--- a/src/core/state/stored-placements.ts
+++ b/src/core/state/stored-placements.ts
@@ -1,29 +1,66 @@
-/** The placements of a job as they are stored. */
+/** Codec of a job's placements: see `StoredPlacements`. */
 import type { Placement } from "../dispatch/placement.js";
 import { TaskRanges } from "../jobs/task-ranges.js";
-import type { StoredPlacements } from "./state-replica.js";
+import type { StoredPlacements } from "./stored-values.js";
 
-/** Attempt and session stand once for all machines; tasks by their number less the first. */
+/** Tasks of one attempt on one machine. */
+export interface PlacementRanges {
+  readonly machine: string;
+  readonly incarnation: number;
+  readonly attempt: number;
+  /** Ranges of task numbers, relative to the first task of the value. */
+  readonly tasks: string;
+}
+
+export function* storedPlacementRanges(
+  stored: readonly StoredPlacements[],
+): Generator<PlacementRanges> {
+  for (const [attempt, incarnation, machinesAndTasks] of stored) {
+    for (let i = 0; i + 1 < machinesAndTasks.length; i += 2) {
+      const machine = machinesAndTasks[i]!;
+      const tasks = machinesAndTasks[i + 1]!;
+      yield { machine, incarnation, attempt, tasks };
+    }
+  }
+}
+
+interface AttemptGroup {
+  readonly attempt: number;
+  readonly incarnation: number;
+  readonly tasksByMachine: Map<string, number[]>;
+}
+
+/** Attempt and incarnation are stored once for all machines; tasks by their number less `firstTask`. */
 export function encodePlacements(
   placements: Iterable<Placement>,
-  first: number,
+  firstTask: number,
 ): StoredPlacements[] {
-  const starts = new Map<string, { at: [number, number]; on: Map<string, number[]> }>();
-  for (const p of placements) {
-    const key = `${p.attempt} ${p.incarnation}`;
-    let s = starts.get(key);
-    if (s === undefined) {
-      s = { at: [p.attempt, p.incarnation], on: new Map() };
-      starts.set(key, s);
-    }
-    const tasks = s.on.get(p.machine.name);
-    if (tasks === undefined) s.on.set(p.machine.name, [p.task - first]);
-    else tasks.push(p.task - first);
+  const groups = new Map<string, AttemptGroup>();
+  for (const placement of placements) {
+    const { tasksByMachine } = groupOf(placement, groups);
+    const tasks = tasksByMachine.get(placement.machine.name);
+    const task = placement.task - firstTask;
+    if (tasks === undefined) tasksByMachine.set(placement.machine.name, [task]);
+    else tasks.push(task);
   }
-  const pl: StoredPlacements[] = [];
-  for (const s of starts.values()) {
-    const on = [...s.on].flatMap(([name, tasks]) => [name, TaskRanges.of(tasks).toString()]);
-    pl.push([...s.at, on]);
+  return Array.from(groups.values(), encodeGroup);
+}
+
+function groupOf(placement: Placement, groups: Map<string, AttemptGroup>): AttemptGroup {
+  const { attempt, incarnation } = placement;
+  const key = `${attempt} ${incarnation}`;
+  let group = groups.get(key);
+  if (group === undefined) {
+    group = { attempt, incarnation, tasksByMachine: new Map() };
+    groups.set(key, group);
+  }
+  return group;
+}
+
+function encodeGroup({ attempt, incarnation, tasksByMachine }: AttemptGroup): StoredPlacements {
+  const machinesAndTasks: string[] = [];
+  for (const [machine, tasks] of tasksByMachine) {
+    machinesAndTasks.push(machine, TaskRanges.of(tasks).toString());
   }
-  return pl;
+  return [attempt, incarnation, machinesAndTasks];
 }
--- a/src/node/leader-composition.ts
+++ b/src/node/leader-composition.ts
@@ -65,7 +65,11 @@
   private createTransactions(): LeaderTransactions {
     const { settings, adapters, watcher, log } = this.options;
     const { keyValueClient, replica } = adapters;
-    return new LeaderTransactions(settings.cluster, keyValueClient, watcher, replica, {
+    return new LeaderTransactions({
+      settings: settings.cluster,
+      keyValueClient,
+      watcher,
+      replica,
       now: steadyNowS,
       log,
       performEffects: (effects) => this.performEffects(effects),
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -1,8 +1,9 @@
 /**
- * What this node may write to the state service, and the leader's transactions: one at a time, as large as the budget
- * and the service's limits allow, each under the term that it was composed in.
+ * What this node may write to the key-value store, and the leader's transactions: one at a time, as large as the budget
+ * and the store's limits allow, each under the term that it was composed in.
  */
 import type { Logger } from "pino";
+import { assertNever } from "../core/assert-never.js";
 import type { Effect, TransactionOutcome } from "../core/effects.js";
 import type { ClusterSettings } from "../core/model/settings.js";
 import { TokenBucket } from "../core/overload/token-bucket.js";
@@ -15,15 +16,30 @@
 import { sleepSeconds } from "../time/sleep.js";
 import type { ActiveLeadership, Leadership } from "./leadership.js";
 
-/** A transaction's limit by the protocol, less room for the message around it. */
+/** The protocol's limit on a transaction, less what the message around it takes. */
 export const MAXIMUM_TRANSACTION_BYTES = 60 * 1024;
-/** Changes that a transaction has room for at the least, before one is composed. */
+/** Changes that the write budget must allow at the least, before a transaction is composed. */
 const MINIMUM_CHANGES = 3;
+/** Burst of a node's write budget at the least, in changes. */
+const MINIMUM_BURST = 4;
+/** Of the changes a second that the store accepts: what nodes other than the leader may use together. */
+const FOLLOWERS_SHARE = 5 / 6;
+const MAXIMUM_FOLLOWERS = 5;
+/** Burst of a node that does not lead, in seconds' worth of all changes that the store accepts. */
+const FOLLOWER_BURST_S = 1 / 3;
+/** Waits in parts of a heartbeat interval: the interval divided by these. */
+const REFUSAL_WAIT_DIVISOR = 30;
+const READ_RETRY_DIVISOR = 10;
 
 export interface LeaderTransactionsOptions {
+  readonly settings: ClusterSettings;
+  readonly keyValueClient: KeyValueClient;
+  readonly watcher: StateWatcher;
+  readonly replica: StateReplica;
+  /** Steady time in seconds. */
   readonly now: () => number;
   readonly log: Logger;
-  readonly performEffects: (outputs: readonly Effect[]) => void;
+  readonly performEffects: (effects: readonly Effect[]) => void;
   /** A transaction ended: there may be more to write. */
   readonly onTransactionEnd: () => void;
 }
@@ -36,41 +52,16 @@
   /** Changes in a transaction at the most: fewer for a while after one was refused for its size. */
   private changeLimit: number;
 
-  constructor(
-    private readonly cluster: ClusterSettings,
-    private readonly keyValueClient: KeyValueClient,
-    private readonly watcher: StateWatcher,
-    private readonly replica: StateReplica,
-    private readonly options: LeaderTransactionsOptions,
-  ) {
-    this.changeLimit = cluster.txnOps;
-    this.leaderBudget = new WriteBudget(cluster.stateWriteRps);
+  constructor(private readonly options: LeaderTransactionsOptions) {
+    const { txnOps, stateWriteRps } = options.settings;
+    this.changeLimit = txnOps;
+    this.leaderBudget = new WriteBudget(stateWriteRps);
     this.writeBudget = new TokenBucket(this.budgetRate(false), this.budgetBurst(false));
   }
 
-  /**
-   * The leader writes most, see `WriteBudget`. The others may use five sixths together, and a third each at
-   * a time, as submissions come in bursts; if the service refuses some, they are sent again a moment later.
-   */
-  private budgetRate(leader: boolean): number {
-    const { stateWriteRps, nodes } = this.cluster;
-    const others = Math.max(1, Math.min(5, nodes - 1));
-    return leader
-      ? this.leaderBudget.leaderChangesPerS(this.options.now())
-      : ((5 / 6) * stateWriteRps) / others;
-  }
-
-  /**
-   * One second's worth of what is a node's own at the least, which the state service allows. (The leader
-   * was once left with the burst of another node: too small for any write but the smallest.)
-   */
-  private budgetBurst(leader: boolean): number {
-    return Math.max(4, this.cluster.stateWriteRps * (leader ? LEADER_SHARE_AFTER_REFUSAL : 1 / 3));
-  }
-
-  /** The node's part in the budget follows whether it leads. */
-  setLeading(leader: boolean): void {
-    this.writeBudget.setRate(this.budgetRate(leader), this.budgetBurst(leader));
+  /** The node's share of the write budget follows whether it leads. */
+  setLeading(isLeader: boolean): void {
+    this.writeBudget.setRate(this.budgetRate(isLeader), this.budgetBurst(isLeader));
   }
 
   /** So many submissions and cancellations were stored, by whichever node. */
@@ -78,40 +69,64 @@
     this.leaderBudget.recordRequestChanges(changes);
   }
 
-  /** Sends the leader's next transaction, if one is due and none is under way. */
+  /** Sends the leader's next transaction, if one is due and none is in flight. */
   sendNext(leadership: Leadership): void {
-    const leading = leadership.current;
-    if (leading === null || this.isWriting) return;
-    const { term, scheduler } = leading;
+    const { current } = leadership;
+    if (current === null || this.isWriting) return;
     const now = this.options.now();
-    if (!term.mayAct(now)) return;
+    if (!current.term.mayAct(now)) return;
     if (leadership.fencingTokenAdvanceRequested) {
-      this.begin(leadership.advanceFencingToken(leading));
+      this.begin(leadership.advanceFencingToken(current));
       return;
     }
     this.setLeading(true);
-    const room = Math.floor(this.writeBudget.available(now));
-    if (
-      room < Math.max(MINIMUM_CHANGES, scheduler.minimumTransactionChanges) ||
-      !scheduler.hasPendingWrite
-    )
-      return;
-    // Progress waits until there is plenty: placements and ends must not wait behind it.
-    const urgentOnly = room < this.budgetBurst(true) / 2;
-    const w = scheduler.nextTransaction(
-      Math.min(room, this.changeLimit),
-      MAXIMUM_TRANSACTION_BYTES,
-      urgentOnly,
-      now,
-    );
-    if (w === null) {
+    const allowedChanges = Math.floor(this.writeBudget.available(now));
+    if (!this.isTransactionDue(current.scheduler, allowedChanges)) return;
+    const transaction = this.compose(current.scheduler, allowedChanges, now);
+    if (transaction === null) {
       // What goes into one transaction may need more changes than were tried since one was refused.
       this.raiseChangeLimit();
       return;
     }
-    this.writeBudget.takeOnCredit(w.changes.length, now);
-    this.options.log.debug({ ...w.counts, room }, "write");
-    this.begin(this.commit(leadership, leading, w));
+    this.writeBudget.takeOnCredit(transaction.changes.length, now);
+    this.options.log.debug({ ...transaction.counts, allowedChanges }, "write");
+    this.begin(this.commit(leadership, current, transaction));
+  }
+
+  /**
+   * The leader writes most, see `WriteBudget`. The others may use five sixths together, and a third each at a time, as
+   * submissions come in bursts; if the store refuses some, they are sent again a moment later.
+   */
+  private budgetRate(isLeader: boolean): number {
+    const { stateWriteRps, nodes } = this.options.settings;
+    if (isLeader) return this.leaderBudget.leaderChangesPerS(this.options.now());
+    const followers = Math.max(1, Math.min(MAXIMUM_FOLLOWERS, nodes - 1));
+    return (FOLLOWERS_SHARE * stateWriteRps) / followers;
+  }
+
+  /**
+   * One second's worth of the node's own share at the least, which the store allows. (The leader was once left with the
+   * burst of another node: too small for any transaction but the smallest.)
+   */
+  private budgetBurst(isLeader: boolean): number {
+    const seconds = isLeader ? LEADER_SHARE_AFTER_REFUSAL : FOLLOWER_BURST_S;
+    return Math.max(MINIMUM_BURST, this.options.settings.stateWriteRps * seconds);
+  }
+
+  private isTransactionDue(scheduler: Scheduler, allowedChanges: number): boolean {
+    const minimum = Math.max(MINIMUM_CHANGES, scheduler.minimumTransactionChanges);
+    return allowedChanges >= minimum && scheduler.hasPendingWrite;
+  }
+
+  private compose(
+    scheduler: Scheduler,
+    allowedChanges: number,
+    now: number,
+  ): LeaderTransaction | null {
+    // Progress waits until there is plenty: placements and ends must not wait for it.
+    const urgentOnly = allowedChanges < this.budgetBurst(true) / 2;
+    const maxChanges = Math.min(allowedChanges, this.changeLimit);
+    return scheduler.nextTransaction(maxChanges, MAXIMUM_TRANSACTION_BYTES, urgentOnly, now);
   }
 
   private begin(transaction: Promise<void>): void {
@@ -123,51 +138,78 @@
   }
 
   private raiseChangeLimit(): void {
-    this.changeLimit = Math.min(this.cluster.txnOps, this.changeLimit + 1);
+    this.changeLimit = Math.min(this.options.settings.txnOps, this.changeLimit + 1);
   }
 
   private async commit(
     leadership: Leadership,
-    leading: ActiveLeadership,
-    w: LeaderTransaction,
+    active: ActiveLeadership,
+    transaction: LeaderTransaction,
   ): Promise<void> {
-    const { term, scheduler } = leading;
-    const { now, log, performEffects: perform } = this.options;
-    const r = await this.keyValueClient.transact(w.preconditions, w.changes);
+    const { keyValueClient, replica, now, performEffects } = this.options;
+    const { preconditions, changes } = transaction;
+    const result = await keyValueClient.transact(preconditions, changes);
     const finish = (outcome: TransactionOutcome): void => {
-      if (leadership.current !== leading) return;
-      perform(scheduler.transactionEnded(w, outcome, this.replica, now()));
+      if (leadership.current !== active) return;
+      const { scheduler } = active;
+      const effects = scheduler.transactionEnded(transaction, outcome, replica, now());
+      performEffects(effects);
     };
-    if (r.kind === "ok") {
-      this.raiseChangeLimit();
-      return finish({ kind: "committed", revision: r.revision });
-    }
-    if (r.kind === "refused") {
-      log.debug({ status: r.status }, "write refused");
-      if (r.status === 400) this.handleOversizedTransaction(scheduler, w);
-      this.leaderBudget.recordRefusal(now());
-      finish({ kind: "refused" });
-      await sleepSeconds(this.cluster.heartbeatIntervalS / 30);
-      return;
-    }
-    log.info({ outcome: r }, "write not certain");
-    // Whatever happened to it, only a fresh read tells what is stored now.
-    for (;;) {
-      if (await this.watcher.readLatest()) break;
-      if (leadership.current !== leading) return;
-      await sleepSeconds(this.cluster.heartbeatIntervalS / 10);
+    switch (result.kind) {
+      case "ok":
+        this.raiseChangeLimit();
+        finish({ kind: "committed", revision: result.revision });
+        return;
+      case "refused":
+        this.handleRefusal(active.scheduler, transaction, result.status);
+        finish({ kind: "refused" });
+        await sleepSeconds(this.options.settings.heartbeatIntervalS / REFUSAL_WAIT_DIVISOR);
+        return;
+      case "failed":
+      case "unknown":
+        this.options.log.info({ outcome: result }, "write outcome unknown");
+        if (await this.readStoredOutcome(leadership, active)) {
+          finish({ kind: result.kind === "failed" ? "conflict" : "unknown" });
+        }
+        return;
+      default:
+        assertNever(result);
     }
-    if (this.replica.epoch.modRevision !== term.epochModRevision) {
-      if (leadership.current === leading) leadership.stepDown("a write found another epoch");
-      return;
+  }
+
+  private handleRefusal(
+    scheduler: Scheduler,
+    transaction: LeaderTransaction,
+    status: number,
+  ): void {
+    this.options.log.debug({ status }, "write refused");
+    if (status === 400) this.handleOversizedTransaction(scheduler, transaction);
+    this.leaderBudget.recordRefusal(this.options.now());
+  }
+
+  /**
+   * Whatever happened to a transaction, only a linearizable read tells what is stored now. False: this term no longer
+   * leads.
+   */
+  private async readStoredOutcome(
+    leadership: Leadership,
+    active: ActiveLeadership,
+  ): Promise<boolean> {
+    const { watcher, replica, settings } = this.options;
+    while (!(await watcher.readLatest())) {
+      if (leadership.current !== active) return false;
+      await sleepSeconds(settings.heartbeatIntervalS / READ_RETRY_DIVISOR);
     }
-    finish({ kind: r.kind === "failed" ? "conflict" : "unknown" });
+    if (replica.epoch.modRevision === active.term.epochModRevision) return true;
+    if (leadership.current === active) leadership.stepDown("a write found another epoch");
+    return false;
   }
 
-  /** Too large, or its lease is over. Smaller ones may pass; one that can't be smaller waits. */
-  private handleOversizedTransaction(scheduler: Scheduler, w: LeaderTransaction): void {
-    this.options.log.warn({ changes: w.changes.length }, "write refused for what it holds");
-    if (w.changes.length > 1) this.changeLimit = Math.max(1, w.changes.length >> 1);
-    else scheduler.handleRefusedValue(w, this.options.now());
+  /** Too large, or its lease has expired. Smaller ones may pass; one that can't be smaller waits. */
+  private handleOversizedTransaction(scheduler: Scheduler, transaction: LeaderTransaction): void {
+    const changes = transaction.changes.length;
+    this.options.log.warn({ changes }, "transaction too large");
+    if (changes > 1) this.changeLimit = Math.max(1, changes >> 1);
+    else scheduler.handleRefusedValue(transaction, this.options.now());
   }
 }
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -83,15 +83,15 @@
 
   private createStateWatcher(): StateWatcher {
     const { keyValueClient, replica, timing } = this.adapters;
-    return new StateWatcher(
+    return new StateWatcher({
       keyValueClient,
       replica,
-      steadyNowS,
-      timing.minimumReadIntervalS,
-      timing.requestTimeoutMs,
-      (change) => this.handleReplicaChange(change),
-      this.admission,
-    );
+      now: steadyNowS,
+      minimumIntervalS: timing.minimumReadIntervalS,
+      blockMs: timing.requestTimeoutMs,
+      onChange: (change) => this.handleReplicaChange(change),
+      observer: this.admission,
+    });
   }
 
   private handleReplicaChange(change: ReplicaChange | null): void {
@@ -157,15 +157,15 @@
     const { replica, timing } = this.adapters;
     const otherNodes = Math.max(1, cluster.nodes - 1);
     const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodes;
-    return new StandbyResponder(
-      cluster,
+    return new StandbyResponder({
+      settings: cluster,
       member,
       zone,
       replica,
-      this.leaseExtension,
-      new TokenBucket(redirectsPerS, redirectsPerS / 2),
-      timing.gracePeriodS,
-    );
+      leaseExtension: this.leaseExtension,
+      redirectBudget: new TokenBucket(redirectsPerS, redirectsPerS / 2),
+      gracePeriodS: timing.gracePeriodS,
+    });
   }
 
   private createCompletionWaiters(): CompletionWaiters {
@@ -197,7 +197,7 @@
       currentHeartbeat: () => ({
         reachesStateService: this.stateContact.reachesStateService(),
         holdsLeadership: this.leader.leadership.current !== null,
-        epoch: this.adapters.replica.epoch.value.n,
+        epoch: this.adapters.replica.epoch.value,
         zoneIndex: Math.max(0, cluster.zones.indexOf(zone)),
       }),
     });
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -40,7 +40,7 @@
     appliedAt: number,
   ): void {
     const { replica, leadership } = this.options;
-    const epoch = replica.epoch.value.n;
+    const epoch = replica.epoch.value;
     // This node's own advance of the token changes the epoch as well.
     if (epoch > term.epoch && !leadership.fencingTokenAdvanceRequested) {
       const member = replica.leader?.value.member ?? "another";
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -42,7 +42,7 @@
       return load.measure("heartbeats", () => this.handleAsLeader(leading, heartbeat, receivedAt));
     }
     if (standby.mayAnswer(heartbeat, health.connectivity(), receivedAt, Date.now())) {
-      return { kind: "answer", fencingToken: replica.epoch.value.n, commands: [] };
+      return { kind: "answer", fencingToken: replica.epoch.value, commands: [] };
     }
     const leader = replica.leader?.value.member ?? null;
     return { kind: "redirect", leader: leader === member ? null : leader };
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -1,5 +1,9 @@
-/** The state service, through its protocol. Tells apart what was not done from what may have been. */
-
+/**
+ * Client of the key-value store that holds the cluster's state, through its protocol.
+ *
+ * Results tell apart what was certainly not done from what may have been done: no method rejects because a request
+ * failed.
+ */
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import {
   HttpConnectionPool,
@@ -16,23 +20,65 @@
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
 
+/** Connections for requests that are answered at once, and for watches that block. */
+const REQUEST_CONNECTIONS = 32;
+const WATCH_CONNECTIONS = 4;
+const KEYS_PER_PAGE = 1000;
+/** Request timeouts that a page of a full read may take. */
+const PAGE_TIMEOUTS = 3;
+
 export type TransactionResult =
   | { readonly kind: "ok"; readonly revision: number }
+  /** Not executed: preconditions on these keys did not hold. */
   | { readonly kind: "failed"; readonly keys: readonly string[] }
-  /** Certainly not executed: over a limit, or the service is not available to us. */
+  /** Certainly not executed: over a limit, or the store is not available to us. Status 0: no request was sent. */
   | { readonly kind: "refused"; readonly status: number }
   /** May have been executed, or may yet be. */
   | { readonly kind: "unknown" };
 
 export type WatchResult =
   | { readonly kind: "ok"; readonly revision: number; readonly events: readonly ChangeEvent[] }
+  /** The store keeps no changes from so far back: only a full read helps. */
   | { readonly kind: "compacted" }
   | { readonly kind: "failed" };
 
+export type ReadAllResult =
+  | {
+      readonly kind: "ok";
+      readonly items: readonly KeyValueItem[];
+      /** Revision of the store before the first page was read. */
+      readonly revision: number;
+    }
+  | { readonly kind: "failed" };
+
+export type LeaseGrant =
+  | { readonly kind: "ok"; readonly leaseId: number }
+  | { readonly kind: "failed" };
+
+export type LeaseRenewal =
+  | { readonly kind: "ok" }
+  | { readonly kind: "expired" }
+  /** No answer, or none that tells: the lease may have been renewed. */
+  | { readonly kind: "failed" };
+
+type CallResult =
+  | { readonly kind: "response"; readonly response: HttpResponse }
+  | { readonly kind: "no response"; readonly mayHaveArrived: boolean };
+
+interface Call {
+  readonly method: "GET" | "POST" | "DELETE";
+  readonly path: string;
+  readonly body?: unknown;
+  readonly timeoutMs?: number;
+  readonly pool?: HttpConnectionPool;
+}
+
+const FAILED = { kind: "failed" } as const;
+
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
-  /** Steady time, in seconds, at which the service last answered other than by refusing. */
+  /** Steady time, in seconds, at which the store last answered other than by refusing. */
   lastAnswerAt = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -40,103 +86,116 @@
     private readonly now: () => number,
     private readonly timeoutMs: number,
   ) {
-    this.requestPool = new HttpConnectionPool(address, 32);
-    this.watchPool = new HttpConnectionPool(address, 4);
-  }
-
-  private async call(
-    method: string,
-    path: string,
-    body: unknown,
-    timeoutMs = this.timeoutMs,
-    peer = this.requestPool,
-  ): Promise<HttpResponse | { status: 0; sent: boolean }> {
-    try {
-      const r = await peer.request(
-        method,
-        path,
-        body === undefined ? null : encode(body),
-        timeoutMs,
-      );
-      if (r.status < 500 && r.status !== 429) this.lastAnswerAt = this.now();
-      return r;
-    } catch (e) {
-      return { status: 0, sent: e instanceof RequestError ? e.mayHaveArrived : true };
-    }
+    this.requestPool = new HttpConnectionPool(address, REQUEST_CONNECTIONS);
+    this.watchPool = new HttpConnectionPool(address, WATCH_CONNECTIONS);
   }
 
-  /** Closes its connections; nothing is asked of it any more. */
+  /** Closes the connections; no request may follow. */
   close(): void {
     this.requestPool.close();
     this.watchPool.close();
   }
 
+  /** Carries out all changes if all preconditions hold (compare-and-swap). */
   async transact(
-    conditions: readonly Precondition[],
+    preconditions: readonly Precondition[],
     changes: readonly Change[],
   ): Promise<TransactionResult> {
-    const r = await this.call("POST", PATH.transactions, encodeTransaction(conditions, changes));
-    if (r.status === 0) {
-      return (r as { sent: boolean }).sent ? { kind: "unknown" } : { kind: "refused", status: 0 };
+    const body = encodeTransaction(preconditions, changes);
+    const result = await this.call({ method: "POST", path: PATH.transactions, body });
+    if (result.kind === "no response") {
+      return result.mayHaveArrived ? { kind: "unknown" } : { kind: "refused", status: 0 };
     }
-    if (r.status === 200 || r.status === 409) {
-      const t = decodeTransactionResult(decode((r as HttpResponse).body));
-      if (t === null) return { kind: "unknown" };
-      return r.status === 200
-        ? { kind: "ok", revision: t.revision }
-        : { kind: "failed", keys: t.failedKeys };
+    const { response } = result;
+    if (response.status !== 200 && response.status !== 409) {
+      return { kind: "refused", status: response.status };
     }
-    return { kind: "refused", status: r.status };
+    const decoded = decodeTransactionResult(decode(response.body));
+    if (decoded === null) return { kind: "unknown" };
+    if (response.status === 409) return { kind: "failed", keys: decoded.failedKeys };
+    return { kind: "ok", revision: decoded.revision };
   }
 
-  /** Everything, page by page, with the revision before the first page. */
-  async readAll(): Promise<{ items: KeyValueItem[]; revision: number } | null> {
+  /** Everything, page by page. */
+  async readAll(): Promise<ReadAllResult> {
     const items: KeyValueItem[] = [];
     let revision = -1;
-    let since: string | null = null;
+    let lastKey: string | null = null;
     for (;;) {
-      const from: string = since === null ? "" : `&since=${since}`;
-      const r = await this.call(
-        "GET",
-        `${PATH.keyValues}?prefix=${from}&most=1000`,
-        undefined,
-        3 * this.timeoutMs,
-      );
-      if (r.status !== 200) return null;
-      const page = decodeRange(decode((r as HttpResponse).body));
-      if (page === null) return null;
+      const page = await this.readPage(lastKey);
+      if (page === null) return FAILED;
       if (revision < 0) revision = page.revision;
-      for (const i of page.items) items.push(i);
-      if (!page.more || page.items.length === 0) return { items, revision };
-      since = page.items[page.items.length - 1]!.key;
+      for (const item of page.items) items.push(item);
+      if (!page.more || page.items.length === 0) return { kind: "ok", items, revision };
+      lastKey = page.items[page.items.length - 1]!.key;
     }
   }
 
-  async watch(since: number, blockMs: number): Promise<WatchResult> {
-    const r = await this.call(
-      "GET",
-      `${PATH.watch}?prefix=&since=${since}&blockMs=${blockMs}`,
-      undefined,
-      blockMs + this.timeoutMs,
-      blockMs > 0 ? this.watchPool : this.requestPool,
-    );
-    if (r.status === 410) return { kind: "compacted" };
-    if (r.status !== 200) return { kind: "failed" };
-    const f = decodeWatchResponse(decode((r as HttpResponse).body));
-    return f === null ? { kind: "failed" } : { kind: "ok", revision: f.revision, events: f.events };
+  /** Changes after a revision; waits up to `blockMs` until there is one. */
+  async watch(revision: number, blockMs: number): Promise<WatchResult> {
+    const result = await this.call({
+      method: "GET",
+      path: `${PATH.watch}?prefix=&since=${revision}&blockMs=${blockMs}`,
+      timeoutMs: blockMs + this.timeoutMs,
+      pool: blockMs > 0 ? this.watchPool : this.requestPool,
+    });
+    if (result.kind === "no response") return FAILED;
+    const { response } = result;
+    if (response.status === 410) return { kind: "compacted" };
+    if (response.status !== 200) return FAILED;
+    const decoded = decodeWatchResponse(decode(response.body));
+    if (decoded === null) return FAILED;
+    return { kind: "ok", revision: decoded.revision, events: decoded.events };
+  }
+
+  async grantLease(ttlMs: number): Promise<LeaseGrant> {
+    const body = { ttlMs: Math.round(ttlMs) };
+    const result = await this.call({ method: "POST", path: PATH.leases, body });
+    if (result.kind === "no response" || result.response.status !== 200) return FAILED;
+    const leaseId = decodeLease(decode(result.response.body));
+    return leaseId === null ? FAILED : { kind: "ok", leaseId };
+  }
+
+  async extendLease(leaseId: number): Promise<LeaseRenewal> {
+    const path = `${PATH.leases}/${leaseId}/${PATH.extend}`;
+    const result = await this.call({ method: "POST", path });
+    if (result.kind === "no response") return FAILED;
+    switch (result.response.status) {
+      case 200:
+        return { kind: "ok" };
+      case 404:
+        return { kind: "expired" };
+      default:
+        return FAILED;
+    }
   }
 
-  async grantLease(ttlMs: number): Promise<number | null> {
-    const r = await this.call("POST", PATH.leases, { ttlMs: Math.round(ttlMs) });
-    return r.status === 200 ? decodeLease(decode((r as HttpResponse).body)) : null;
+  /** Best effort: a lease that is not revoked expires. */
+  async revokeLease(leaseId: number): Promise<void> {
+    await this.call({ method: "DELETE", path: `${PATH.leases}/${leaseId}` });
   }
 
-  async extendLease(lease: number): Promise<"ok" | "ended" | "failed"> {
-    const r = await this.call("POST", `${PATH.leases}/${lease}/${PATH.extend}`, undefined);
-    return r.status === 200 ? "ok" : r.status === 404 ? "ended" : "failed";
+  private async readPage(lastKey: string | null): Promise<ReturnType<typeof decodeRange>> {
+    const since = lastKey === null ? "" : `&since=${lastKey}`;
+    const result = await this.call({
+      method: "GET",
+      path: `${PATH.keyValues}?prefix=${since}&most=${KEYS_PER_PAGE}`,
+      timeoutMs: PAGE_TIMEOUTS * this.timeoutMs,
+    });
+    if (result.kind === "no response" || result.response.status !== 200) return null;
+    return decodeRange(decode(result.response.body));
   }
 
-  async revokeLease(lease: number): Promise<void> {
-    await this.call("DELETE", `${PATH.leases}/${lease}`, undefined);
+  private async call(call: Call): Promise<CallResult> {
+    const { method, path, body, timeoutMs = this.timeoutMs, pool = this.requestPool } = call;
+    try {
+      const encoded = body === undefined ? null : encode(body);
+      const response = await pool.request(method, path, encoded, timeoutMs);
+      if (response.status < 500 && response.status !== 429) this.lastAnswerAt = this.now();
+      return { kind: "response", response };
+    } catch (error) {
+      const mayHaveArrived = error instanceof RequestError ? error.mayHaveArrived : true;
+      return { kind: "no response", mayHaveArrived };
+    }
   }
 }
--- a/tests/admission-control.test.ts
+++ b/tests/admission-control.test.ts
@@ -61,7 +61,7 @@
   return {
     cluster: leader.scheduler.cluster,
     growing: false,
-    epoch: value.n,
+    epoch: value,
     epochModRevision: modRevision,
   };
 }
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -4,7 +4,8 @@
 import { test } from "node:test";
 import type { Effect } from "../src/core/effects.js";
 import { maxValueBytes } from "../src/core/state/job-values.js";
-import { KEY, StateReplica } from "../src/core/state/state-replica.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { KEY } from "../src/core/state/stored-values.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { TestLeader } from "./support/test-leader.js";
 
@@ -59,7 +60,7 @@
   leader.isStoreAvailable = false;
   leader.submit(jobSpec("low", { team: "maps", priority: "low" }));
   let writes = 0;
-  const isPersisted = () => leader.replica.activeJobs.get("low")!.value.pl.length > 0;
+  const isPersisted = () => leader.replica.activeJobs.get("low")!.value.placements.length > 0;
   for (; writes < 60 && !isPersisted(); writes++) {
     leader.submit(jobSpec(`urgent-${writes}a`, { team: "maps", priority: "high" }));
     leader.submit(jobSpec(`urgent-${writes}b`, { team: "maps", priority: "high" }));
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -131,7 +131,7 @@
   workers.runFor(20);
   leader.cancel("broken");
   workers.runFor(3);
-  assert.equal(leader.replica.finalRecords.get("broken")?.s, "cancelled");
+  assert.equal(leader.replica.finalRecords.get("broken")?.outcome, "cancelled");
   const starts = workers.starts.length;
   workers.runFor(15);
   assert.equal(workers.starts.length, starts);
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -6,7 +6,7 @@
 import type { Change } from "../src/core/state/key-value.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
 import { Leadership } from "../src/node/leadership.js";
-import type { KeyValueClient } from "../src/state/key-value-client.js";
+import type { KeyValueClient, LeaseRenewal } from "../src/state/key-value-client.js";
 import type { StateWatcher } from "../src/state/state-watcher.js";
 
 const TTL_S = 4;
@@ -15,14 +15,14 @@
 class Candidate {
   now = 100;
   readonly sentAt: number[] = [];
-  readonly waiting: ((answer: "ok" | "ended" | "failed") => void)[] = [];
+  readonly pendingRenewals: ((renewal: LeaseRenewal) => void)[] = [];
   readonly leadership: Leadership;
 
   constructor() {
     const records = new StateReplica();
     records.reset([], 0);
     const store = {
-      grantLease: async () => 7,
+      grantLease: async () => ({ kind: "ok", leaseId: 7 }),
       transact: async (_: unknown, changes: readonly Change[]) => {
         const events = changes.map((c) => ({
           key: c.key,
@@ -35,7 +35,7 @@
       },
       extendLease: () => {
         this.sentAt.push(this.now);
-        return new Promise((resolve) => this.waiting.push(resolve));
+        return new Promise((resolve) => this.pendingRenewals.push(resolve));
       },
       revokeLease: async () => {},
     };
@@ -72,14 +72,14 @@
   // An answer counts from when its renewal was sent, and an older one takes nothing back.
   const { term } = candidate.leadership.current!;
   assert.equal(term.mayAct(104), false);
-  candidate.waiting[5]!("ok");
+  candidate.pendingRenewals[5]!({ kind: "ok" });
   await nextTurn();
   assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
-  candidate.waiting[0]!("ok");
+  candidate.pendingRenewals[0]!({ kind: "ok" });
   await nextTurn();
   assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
   assert.equal(term.mayAct(106 + 0.9 * TTL_S), false);
-  candidate.waiting[1]!("ended");
+  candidate.pendingRenewals[1]!({ kind: "expired" });
   await nextTurn();
   assert.equal(candidate.leadership.current, null);
 });
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -3,6 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { maxValueBytes } from "../src/core/state/job-values.js";
+import { encodeJobRecord } from "../src/core/state/stored-values.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { settingsText } from "./support/node-settings.js";
@@ -54,8 +55,11 @@
 test("a job in one large value is cut into parts in one transaction, and every task is kept", () => {
   const old = before(400, 100);
   const stored = old.replica.activeJobs.get("big")!;
-  assert.equal(stored.value.c, undefined);
-  assert.ok(JSON.stringify(stored.value).length > 2048, "it would not fit any more");
+  assert.equal(stored.value.shardSize, null);
+  assert.ok(
+    JSON.stringify(encodeJobRecord(stored.value)).length > 2048,
+    "it would not fit any more",
+  );
   const placed = placements(old);
   assert.equal(placed.length, 400);
 
@@ -69,7 +73,7 @@
   assert.ok(h.largestWritten.ops <= 8, `${h.largestWritten.ops} changes`);
   assert.equal(
     h.replica.shardsOf("big").size,
-    Math.ceil(400 / h.replica.activeJobs.get("big")!.value.c!),
+    Math.ceil(400 / h.replica.activeJobs.get("big")!.value.shardSize!),
   );
 
   // The former version, back in its place, reads what was cut; so does the next leader.
@@ -97,7 +101,7 @@
     }
     for (let i = 0; i < 20; i++) last.tick();
   }
-  assert.equal(last.replica.finalRecords.get("big")?.s, "done");
+  assert.equal(last.replica.finalRecords.get("big")?.outcome, "done");
   assert.equal(last.replica.shardsOf("big").size, 0);
   assert.ok(
     last.largestWritten.bytes <= 2048 && last.largestWritten.ops <= 8,
@@ -190,8 +194,8 @@
   h.submit(ARRAY);
   h.submit(GANG);
   runToEnd(h);
-  assert.equal(h.replica.finalRecords.get("array")?.s, "done");
-  assert.equal(h.replica.finalRecords.get("gang")?.s, "done");
+  assert.equal(h.replica.finalRecords.get("array")?.outcome, "done");
+  assert.equal(h.replica.finalRecords.get("gang")?.outcome, "done");
   assert.ok(
     h.largestWritten.bytes <= 2048 && h.largestWritten.ops <= 8,
     JSON.stringify(h.largestWritten),
@@ -230,7 +234,9 @@
       ]),
     );
     assert.ok(h.rejectedTransactions > 0, "the limits were met");
-    const ends = ["array", "gang", "middle", "list"].map((id) => h.replica.finalRecords.get(id)?.s);
+    const ends = ["array", "gang", "middle", "list"].map(
+      (id) => h.replica.finalRecords.get(id)?.outcome,
+    );
     assert.deepEqual(ends, ["done", "done", "done", "done"], JSON.stringify(takes));
     assert.ok(
       h.largestWritten.bytes <= takes.bytes && h.largestWritten.ops <= takes.ops,
@@ -253,6 +259,6 @@
   for (const [name, tasks] of on) h.receiveHeartbeatOnly(name, ended(tasks));
   for (let i = 0; i < 200; i++) h.tick(0.5);
   assert.ok(h.rejectedTransactions > 0, "the limits were met");
-  assert.equal(h.replica.finalRecords.get("big")?.s, "done");
+  assert.equal(h.replica.finalRecords.get("big")?.outcome, "done");
   assert.ok(h.largestWritten.bytes <= 1000, `${h.largestWritten.bytes} bytes`);
 });
--- a/tests/parts.test.ts
+++ b/tests/parts.test.ts
@@ -2,7 +2,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { needsShards, shardSizeFor } from "../src/core/state/job-shards.js";
-import { KEY, type StateReplica } from "../src/core/state/state-replica.js";
+import type { StateReplica } from "../src/core/state/state-replica.js";
+import { encodeJobRecord, encodeJobShardRecord, KEY } from "../src/core/state/stored-values.js";
 import { jobSpec } from "./support/job-builders.js";
 import { SimulatedWorkers } from "./support/simulated-workers.js";
 import { TestLeader } from "./support/test-leader.js";
@@ -17,8 +18,9 @@
 
 /** Largest value that stands in the records, in bytes as the state service counts them. */
 function largest(records: StateReplica, id: string): number {
-  const values: unknown[] = [records.activeJobs.get(id)?.value ?? null];
-  for (const p of records.shardsOf(id).values()) values.push(p.value);
+  const job = records.activeJobs.get(id);
+  const values: unknown[] = [job === undefined ? null : encodeJobRecord(job.value)];
+  for (const shard of records.shardsOf(id).values()) values.push(encodeJobShardRecord(shard.value));
   return Math.max(...values.map((v) => JSON.stringify(v).length));
 }
 
@@ -80,7 +82,7 @@
   assert.equal(h.replica.view("huge")?.running, 240);
   h.cancel("huge");
   w.runFor(8);
-  assert.equal(h.replica.finalRecords.get("huge")?.s, "cancelled");
+  assert.equal(h.replica.finalRecords.get("huge")?.outcome, "cancelled");
   assert.equal(h.replica.shardsOf("huge").size, 0);
 });
 
--- a/tests/pieces.test.ts
+++ b/tests/pieces.test.ts
@@ -67,7 +67,14 @@
 });
 
 test("the leader stops before its lease can lapse, and answers on for a bounded time", () => {
-  const t = new LeadershipTerm("n0", 4, 17, 9, 3, 100);
+  const t = new LeadershipTerm({
+    epoch: 4,
+    epochModRevision: 17,
+    leaseId: 9,
+    leaseS: 3,
+    grantSentAt: 100,
+    acquiredAtMs: 0,
+  });
   assert.equal(t.mayAct(102.6), true);
   assert.equal(t.mayAct(102.7), false);
   assert.equal(t.isWithinGracePeriod(122, 21), true);
--- a/tests/pipelines.test.ts
+++ b/tests/pipelines.test.ts
@@ -11,7 +11,8 @@
   residuateByOutcome,
 } from "../src/core/jobs/pipeline.js";
 import type { JobSpec } from "../src/core/model/jobs.js";
-import { KEY, StateReplica } from "../src/core/state/state-replica.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { encodeFinalRecord, encodeJobRecord, KEY } from "../src/core/state/stored-values.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { leaderWithTwoMachines, type TestLeader } from "./support/test-leader.js";
 
@@ -88,9 +89,13 @@
   assert.equal(n.states("late"), "cancelled");
   // Their own ends are stored by and by, in any order; a node that starts then says the same.
   n.end("chain500", "cancelled");
-  const items = [...n.records.activeJobs].map(([id, m]) => ({ key: `p/${id}`, ...m }));
+  const items = [...n.records.activeJobs].map(([id, { value, modRevision }]) => ({
+    key: `p/${id}`,
+    value: encodeJobRecord(value) as unknown,
+    modRevision,
+  }));
   for (const [id, f] of n.records.finalRecords)
-    items.push({ key: `d/${id}`, value: f as never, modRevision: 5 });
+    items.push({ key: `d/${id}`, value: encodeFinalRecord(f), modRevision: 5 });
   for (const order of [items, [...items].reverse()]) {
     const fresh = new StateReplica();
     fresh.reset(order, 9);
@@ -196,7 +201,7 @@
   for (const id of ["a", "b", "c"]) h.notifyJobChanged(id);
   h.tick();
   assert.deepEqual(
-    ["a", "b", "c"].map((id) => h.replica.finalRecords.get(id)?.s),
+    ["a", "b", "c"].map((id) => h.replica.finalRecords.get(id)?.outcome),
     ["cancelled", "cancelled", "cancelled"],
   );
   assert.equal(h.scheduler.cluster.jobs.size, 0);
@@ -225,6 +230,6 @@
   );
   for (let i = 0; i < 10; i++) h.tick();
   assert.equal(h.scheduler.cluster.jobs.size, 0);
-  assert.ok(ids.every((id) => h.replica.finalRecords.get(id)?.s === "cancelled"));
+  assert.ok(ids.every((id) => h.replica.finalRecords.get(id)?.outcome === "cancelled"));
   assert.doesNotMatch(h.takeTrace(), /start wide/);
 });
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -2,7 +2,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { dependenciesOf, formatResiduals } from "../src/core/jobs/pipeline.js";
-import { KEY, StateReplica } from "../src/core/state/state-replica.js";
+import { StateReplica } from "../src/core/state/state-replica.js";
+import { KEY } from "../src/core/state/stored-values.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
--- a/tests/support/admission-model.ts
+++ b/tests/support/admission-model.ts
@@ -23,7 +23,7 @@
 } from "../../src/admission/index.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { Change, Precondition } from "../../src/core/state/key-value.js";
-import { KEY, type StoredJob } from "../../src/core/state/state-replica.js";
+import { decodeJobRecord, encodeJobRecord, KEY } from "../../src/core/state/stored-values.js";
 import { compareDecisionLogs } from "./decision-logs.js";
 import { SimulatedKeyValueStore } from "./simulated-key-value-store.js";
 
@@ -88,7 +88,7 @@
   /** A controller acquires leadership, under a new epoch. */
   acquireLeadership(): void {
     const { value, modRevision } = this.store.replica.epoch;
-    const change: Change = { op: "put", key: KEY.epoch, value: { n: value.n + 1 } };
+    const change: Change = { op: "put", key: KEY.epoch, value: { n: value + 1 } };
     assert.ok(this.store.commit([{ key: KEY.epoch, modRevision }], [change]));
   }
 
@@ -110,7 +110,7 @@
   writeWindow(make: (version: number, epoch: number) => AdmissionWindow): void {
     const { window, modRevision } = this.storedWindow;
     const { epoch } = this.store.replica;
-    const next = make((window?.version ?? 0) + 1, epoch.value.n);
+    const next = make((window?.version ?? 0) + 1, epoch.value);
     const preconditions = [
       { key: KEY.epoch, modRevision: epoch.modRevision },
       { key: ADMISSION_KEY.window, modRevision },
@@ -171,7 +171,17 @@
   ): "committed" | "failed" | "uncertain" {
     const batch = new ClaimBatch(this.controllers[index]!.replica);
     assert.ok(batch.tryAdmit(job));
-    const value: StoredJob = { j: job, at: 0, r: [], v: 1, n: 1, o: 0, done: "", pl: [] };
+    const value = encodeJobRecord({
+      spec: job,
+      submittedAtMs: 0,
+      residuals: [],
+      version: 1,
+      nextAttempt: 1,
+      ownerEpoch: 0,
+      doneTasks: "",
+      placements: [],
+      shardSize: null,
+    });
     const isNew = [KEY.activeJob(job.id), KEY.finalRecord(job.id)].map((key) => ({
       key,
       modRevision: 0,
@@ -267,7 +277,7 @@
       } else if (key === ADMISSION_KEY.window) {
         window = decodeWindow(value);
       } else if (key.startsWith("p/")) {
-        yield { job: (value as StoredJob).j, window, epoch };
+        yield { job: decodeJobRecord(value).spec, window, epoch };
       }
     }
   }
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -67,11 +67,15 @@
   ];
   await store.revokeLease(7);
   store.close();
+  if (all.kind !== "ok") throw new Error("the full read failed");
   return [
     transactions.map(txnForm),
-    [all?.items.map((i) => [i.key, i.value, i.modRevision]), all?.revision],
+    [all.items.map((i) => [i.key, i.value, i.modRevision]), all.revision],
     follows.map((f) => (f.kind === "ok" ? [f.revision, f.events.length] : f.kind)),
-    [lease, extended],
+    [
+      lease.kind === "ok" ? lease.leaseId : null,
+      extended.map(({ kind }) => (kind === "expired" ? "ended" : kind)),
+    ],
   ];
 }
 const page = (key: string, more: boolean): unknown => ({
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -22,10 +22,20 @@
 import { TokenBucket } from "../../src/core/overload/token-bucket.js";
 import type { Change, KeyValueItem, Precondition } from "../../src/core/state/key-value.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
+import {
+  encodeEpoch,
+  encodeFinalRecord,
+  encodeJobRecord,
+  encodeJobShardRecord,
+} from "../../src/core/state/stored-values.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
 import { Leadership } from "../../src/node/leadership.js";
 import { MachineTypeCatalog } from "../../src/node/machine-type-catalog.js";
-import { KeyValueClient, type TransactionResult } from "../../src/state/key-value-client.js";
+import {
+  KeyValueClient,
+  type LeaseGrant,
+  type TransactionResult,
+} from "../../src/state/key-value-client.js";
 import { StateWatcher } from "../../src/state/state-watcher.js";
 import { decodeCatalog } from "../../src/wire/cloud.js";
 import { decodeJob } from "../../src/wire/jobs.js";
@@ -59,13 +69,16 @@
   const add = (key: string, value: unknown, mark: number) =>
     out.push({ key: key, value: value, modRevision: mark });
   for (const [id, live] of records.activeJobs) {
-    add(`p/${id}`, live.value, live.modRevision);
-    for (const [n, part] of records.shardsOf(id)) add(`q/${id}/${n}`, part.value, part.modRevision);
+    add(`p/${id}`, encodeJobRecord(live.value), live.modRevision);
+    for (const [n, shard] of records.shardsOf(id)) {
+      add(`q/${id}/${n}`, encodeJobShardRecord(shard.value), shard.modRevision);
+    }
   }
-  for (const [id, final] of records.finalRecords) add(`d/${id}`, final, 1);
-  for (const [id, cancel] of records.cancellations) add(`x/${id}`, { at: 0, told: cancel.told }, 1);
+  for (const [id, final] of records.finalRecords) add(`d/${id}`, encodeFinalRecord(final), 1);
+  for (const [id, cancel] of records.cancellations)
+    add(`x/${id}`, { at: 0, told: cancel.confirmedAtOnce }, 1);
   for (const [n, group] of records.machineShards) add(`g/${n}`, group.value, group.modRevision);
-  add("epoch", records.epoch.value, records.epoch.modRevision);
+  add("epoch", encodeEpoch(records.epoch.value), records.epoch.modRevision);
   return out.map((i) => ({
     key: i.key,
     mark: i.modRevision,
@@ -122,8 +135,8 @@
     this.records.apply(events, mark);
     return { kind: "ok", revision: mark };
   }
-  override async grantLease(): Promise<number> {
-    return 7;
+  override async grantLease(): Promise<LeaseGrant> {
+    return { kind: "ok", leaseId: 7 };
   }
   override async revokeLease(): Promise<void> {}
 }
@@ -143,14 +156,15 @@
   const records = new StateReplica();
   records.reset([], 0);
   const store = new RecordingStore(records);
-  const follower = new CaughtUp(
-    store,
-    records,
-    () => 0,
-    0,
-    0,
-    () => {},
-  );
+  const follower = new CaughtUp({
+    keyValueClient: store,
+    replica: records,
+    now: () => 0,
+    minimumIntervalS: 0,
+    blockMs: 0,
+    onChange: () => {},
+    observer: null,
+  });
   follower.isLoaded = true;
   const { scheduler } = new TestLeader();
   const leadership = new Leadership(store, follower, records, {
--- a/tests/support/leader-trace.ts
+++ b/tests/support/leader-trace.ts
@@ -1,10 +1,8 @@
 /** How the lines of a test leader's trace describe what goes in and out. */
 import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Change } from "../../src/core/state/key-value.js";
-import {
-  type StoredPlacements,
-  storedPlacementRanges,
-} from "../../src/core/state/state-replica.js";
+import { storedPlacementRanges } from "../../src/core/state/stored-placements.js";
+import type { StoredPlacements } from "../../src/core/state/stored-values.js";
 
 const MACHINE_SHARD_PREFIX = "g/";
 
--- a/tests/support/simulated-effects.ts
+++ b/tests/support/simulated-effects.ts
@@ -2,7 +2,7 @@
 import { assertNever } from "../../src/core/assert-never.js";
 import type { Effect } from "../../src/core/effects.js";
 import type { WorkerHeartbeat } from "../../src/core/model/workers.js";
-import { KEY } from "../../src/core/state/state-replica.js";
+import { KEY } from "../../src/core/state/stored-values.js";
 import type { SimulatedLeader, SimulatedLeadership } from "./simulated-leadership.js";
 import type { SimulatedMachines } from "./simulated-machines.js";
 import type { SimulationContext } from "./simulation-context.js";
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -84,7 +84,7 @@
   /** For part of a lease any node answers, so that workers do not all come back at once. */
   private answerBetweenLeaders({ fencingToken }: WorkerHeartbeat): HeartbeatAnswer | null {
     const { clock, store } = this.context;
-    const epoch = store.replica.epoch.value.n;
+    const epoch = store.replica.epoch.value;
     const vacantForS = clock.now - this.leadership.leaderlessSince;
     const mayAnswer = epoch > 0 && fencingToken <= epoch && vacantForS < WORKER_LEASE_S / 3;
     return mayAnswer ? { token: epoch, commands: [] } : null;
--- a/tests/support/simulated-leader-loop.ts
+++ b/tests/support/simulated-leader-loop.ts
@@ -1,7 +1,8 @@
 /** What a simulated leader does by itself: it is elected, follows the stored state, plans and writes. */
 import type { TransactionOutcome } from "../../src/core/effects.js";
 import { Scheduler } from "../../src/core/scheduler.js";
-import { KEY, StateReplica } from "../../src/core/state/state-replica.js";
+import { StateReplica } from "../../src/core/state/state-replica.js";
+import { KEY } from "../../src/core/state/stored-values.js";
 import type { LeaderTransaction } from "../../src/core/state/write-composer.js";
 import type { SimulatedEffects } from "./simulated-effects.js";
 import {
@@ -43,7 +44,7 @@
   private electLeader(): void {
     const { clock, cluster, store } = this.context;
     const { value, modRevision } = store.replica.epoch;
-    const epoch = value.n + 1;
+    const epoch = value + 1;
     store.commit(
       [{ key: KEY.epoch, modRevision }],
       [{ op: "put", key: KEY.epoch, value: { n: epoch } }],
--- a/tests/support/simulated-leadership.ts
+++ b/tests/support/simulated-leadership.ts
@@ -55,7 +55,7 @@
     const { replica, scheduler } = leader;
     const changes = store.changesSince(replica.revision);
     const { jobs } = replica.apply(changes, store.revision);
-    if (replica.epoch.value.n > leader.epoch && !leader.isAdvancingToken) {
+    if (replica.epoch.value > leader.epoch && !leader.isAdvancingToken) {
       this.end("another epoch");
     } else {
       for (const id of jobs) scheduler.handleJobChange(replica, id, clock.now);
@@ -68,7 +68,7 @@
       if (heartbeat.fencingToken > epoch) return false;
       const isExtendable = heartbeat.tasks.some(({ state, job }) => {
         const active = state === "exited" ? undefined : replica.activeJobs.get(job);
-        return active !== undefined && hasExtendableLease(active.value.j.kind);
+        return active !== undefined && hasExtendableLease(active.value.spec.kind);
       });
       const answersForS = isExtendable ? LEASE_EXTENSION_S : GRACE_PERIOD_S;
       return this.context.clock.now < actsUntil + answersForS;
--- a/tests/support/simulated-users.ts
+++ b/tests/support/simulated-users.ts
@@ -2,7 +2,7 @@
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { Change } from "../../src/core/state/key-value.js";
-import { KEY, type StoredJob } from "../../src/core/state/state-replica.js";
+import { encodeJobRecord, KEY } from "../../src/core/state/stored-values.js";
 import { jobSpec } from "./job-builders.js";
 import type { SimulatedMachines } from "./simulated-machines.js";
 import type { SimulationContext } from "./simulation-context.js";
@@ -32,16 +32,17 @@
     const image = `i${choices.below(3)}`;
     const dependencies = after.length > 0 ? { after } : {};
     const spec = jobSpec(id, { ...shape, team, image, ...dependencies });
-    const value: StoredJob = {
-      j: this.specSeenByLeader(spec),
-      at: clock.now * 1000,
-      r: formatResiduals(dependenciesOf(id, after)),
-      v: 1,
-      n: 1,
-      o: 0,
-      done: "",
-      pl: [],
-    };
+    const value = encodeJobRecord({
+      spec: this.specSeenByLeader(spec),
+      submittedAtMs: clock.now * 1000,
+      residuals: formatResiduals(dependenciesOf(id, after)),
+      version: 1,
+      nextAttempt: 1,
+      ownerEpoch: 0,
+      doneTasks: "",
+      placements: [],
+      shardSize: null,
+    });
     jobs.submitted.set(id, spec);
     const absent = [KEY.activeJob(id), KEY.finalRecord(id)];
     const change: Change = { op: "put", key: KEY.activeJob(id), value };
--- a/tests/support/simulation-rules.ts
+++ b/tests/support/simulation-rules.ts
@@ -31,7 +31,7 @@
   const key = `${job}/${task}#${attempt}`;
   trace.add(`start ${key} on ${machine.name}`);
   for (const dependency of jobs.submitted.get(job)!.after ?? []) {
-    if (store.replica.finalRecords.get(dependency)?.s !== "done") {
+    if (store.replica.finalRecords.get(dependency)?.outcome !== "done") {
       trace.addViolation("too_early", `${key}: ${dependency}`);
     }
   }
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -3,7 +3,7 @@
  * state service, workers and users, with every message kept until a seeded choice delivers, repeats or loses
  * it. After each event the protocol's rules are checked by what the workers themselves have.
  */
-import { KEY } from "../../src/core/state/state-replica.js";
+import { KEY } from "../../src/core/state/stored-values.js";
 import { FaultInjection } from "./fault-injection.js";
 import { clusterForSeed, type SimulatedCluster } from "./simulated-clusters.js";
 import { SimulatedEffects } from "./simulated-effects.js";
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -4,7 +4,9 @@
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { Scheduler } from "../../src/core/scheduler.js";
-import { KEY, type StateReplica } from "../../src/core/state/state-replica.js";
+import type { ChangeEvent, KeyValueItem } from "../../src/core/state/key-value.js";
+import type { StateReplica } from "../../src/core/state/state-replica.js";
+import { KEY } from "../../src/core/state/stored-values.js";
 import { type LeaderTransaction, largestValueBytes } from "../../src/core/state/write-composer.js";
 import { HeartbeatBuilder } from "./heartbeat-builder.js";
 import { describeChanges, describeCommand, describeHeartbeat } from "./leader-trace.js";
@@ -31,6 +33,8 @@
  * Direct commands are held back until a test lets the worker answer.
  */
 export class TestLeader {
+  /** What was written to the store, as it was written, by its key; null: deleted since. */
+  readonly writtenItems = new Map<string, KeyValueItem | null>();
   readonly traceLines: string[] = [];
   readonly replica: StateReplica;
   readonly scheduler: Scheduler;
@@ -153,7 +157,7 @@
     }));
     const description = describeChanges(changes);
     if (description !== null) this.traceLines.push(`write ${description}`);
-    this.replica.apply(events, this.revision);
+    this.applyStored(events);
     this.performEffects(
       this.scheduler.transactionEnded(
         transaction,
@@ -246,10 +250,12 @@
 
   private put(key: string, value: unknown): void {
     this.revision++;
-    this.replica.apply(
-      [{ key, value, removed: value === null, modRevision: this.revision }],
-      this.revision,
-    );
+    this.applyStored([{ key, value, removed: value === null, modRevision: this.revision }]);
+  }
+
+  private applyStored(events: readonly ChangeEvent[]): void {
+    for (const event of events) this.writtenItems.set(event.key, event.removed ? null : event);
+    this.replica.apply(events, this.revision);
   }
 
   private probe(machine: string): void {
--- a/tests/term.test.ts
+++ b/tests/term.test.ts
@@ -18,12 +18,19 @@
 });
 
 test("the leader stops by its own clock before its lease lapses, however long it is", () => {
-  for (const ttlS of [0.5, 1.5, 3.948]) {
-    const term = new LeadershipTerm("n0", 1, 1, 7, ttlS, 100);
-    assert.ok(term.mayAct(100 + 0.89 * ttlS));
-    assert.ok(!term.mayAct(100 + 0.9 * ttlS));
+  for (const leaseS of [0.5, 1.5, 3.948]) {
+    const term = new LeadershipTerm({
+      epoch: 1,
+      epochModRevision: 1,
+      leaseId: 7,
+      leaseS,
+      grantSentAt: 100,
+      acquiredAtMs: 0,
+    });
+    assert.ok(term.mayAct(100 + 0.89 * leaseS));
+    assert.ok(!term.mayAct(100 + 0.9 * leaseS));
     term.extendFrom(101);
-    assert.ok(term.mayAct(101 + 0.89 * ttlS));
-    assert.ok(!term.mayAct(101 + 0.9 * ttlS));
+    assert.ok(term.mayAct(101 + 0.89 * leaseS));
+    assert.ok(!term.mayAct(101 + 0.9 * leaseS));
   }
 });
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -93,21 +93,18 @@
   }
   for (let i = 0; i < 6; i++) h.tick();
   const items = (): KeyValueItem[] => {
-    const out: KeyValueItem[] = [];
-    for (const [id, m] of h.replica.activeJobs) {
-      out.push({ key: `p/${id}`, ...m });
-      for (const [n, q] of h.replica.shardsOf(id)) out.push({ key: `q/${id}/${n}`, ...q });
-    }
-    for (const [id, value] of h.replica.finalRecords)
-      out.push({ key: `d/${id}`, value, modRevision: 1 });
-    for (const [n, g] of h.replica.machineShards) out.push({ key: `g/${n}`, ...g });
-    return out;
+    const stored = new Map<string, KeyValueItem | null>(trace().map((item) => [item.key, item]));
+    for (const [key, item] of h.writtenItems) stored.set(key, item);
+    return [...stored.values()].filter(
+      (item) => item !== null && /^[pqdg]\//.test(item.key),
+    ) as KeyValueItem[];
   };
-  assert.ok(h.replica.activeJobs.get("new")!.value.pl.length > 0, "it wrote something");
+  assert.ok(h.replica.activeJobs.get("new")!.value.placements.length > 0, "it wrote something");
   for (const i of items()) shapeOf(i.key).parse(JSON.parse(JSON.stringify(i.value)));
   assert.deepEqual(specKeys(items()), known);
   // Residuals too are those that production stores for a job by itself.
-  const r = (id: string) => h.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
+  const r = (id: string) =>
+    h.replica.activeJobs.get(id)!.value.residuals.join().replaceAll(id, "JOB");
   const waiting = trace().find((i) => i.key === "p/waiting")!.value as { r: string[] };
   h.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
   assert.equal(r("other"), waiting.r.join().replaceAll("waiting", "JOB"));
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -3,6 +3,7 @@
 import { test } from "node:test";
 import type { JobKind, JobSpec } from "../src/core/model/jobs.js";
 import type { StateReplica } from "../src/core/state/state-replica.js";
+import { encodeJobRecord } from "../src/core/state/stored-values.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { CONSTRAINTS, type Constraint, placeFaults, without } from "./support/placement-checker.js";
 import { ProtocolRuleChecker } from "./support/protocol-rule-checker.js";
@@ -97,8 +98,8 @@
   assert.equal(new Set(startedIn(old, "j")).size, 2);
   // As the version before stored a job that must be in one zone.
   const stored = old.replica.activeJobs.get("j")!;
-  const job = { ...stored.value.j, oneZone: true };
-  const value = { ...stored.value, j: job };
+  const job = { ...stored.value.spec, oneZone: true };
+  const value = encodeJobRecord({ ...stored.value, spec: job });
   store(old.replica, "p/j", value);
   const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
@@ -120,7 +121,8 @@
   const old = leaderWithTwoMachines();
   old.submit(jobSpec("j", { tasks: 7, cpus: 1, kind: "service" }));
   const stored = old.replica.activeJobs.get("j")!;
-  const value = { ...stored.value, j: { ...stored.value.j, oneZone: true, tasks: 8 } };
+  const job = { ...stored.value.spec, oneZone: true, tasks: 8 };
+  const value = encodeJobRecord({ ...stored.value, spec: job });
   store(old.replica, "p/j", value);
   const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
