--- a/src/core/jobs/task-ranges.ts
+++ b/src/core/jobs/task-ranges.ts
@@ -1,83 +1,96 @@
 /** A set of task numbers kept as sorted, disjoint, closed ranges, written `0-5,7`. */
 export class TaskRanges {
-  private readonly ranges: [number, number][] = [];
+  private readonly ranges: [first: number, last: number][] = [];
   private count = 0;
 
+  /** Reads the form that `toString` writes; the stored text is trusted to be sorted and disjoint. */
   static parse(text: string): TaskRanges {
-    const r = new TaskRanges();
-    if (text === "") return r;
-    for (const part of text.split(",")) {
-      const [a, b] = part.split("-");
-      const from = Number(a);
-      const to = b === undefined ? from : Number(b);
-      r.ranges.push([from, to]);
-      r.count += to - from + 1;
+    const parsed = new TaskRanges();
+    if (text === "") return parsed;
+    for (const range of text.split(",")) {
+      const [firstText, lastText] = range.split("-");
+      const first = Number(firstText);
+      const last = lastText === undefined ? first : Number(lastText);
+      parsed.ranges.push([first, last]);
+      parsed.count += last - first + 1;
     }
-    return r;
+    return parsed;
   }
 
-  static of(numbers: Iterable<number>): TaskRanges {
-    const r = new TaskRanges();
-    for (const n of [...numbers].sort((a, b) => a - b)) r.add(n);
-    return r;
+  static of(tasks: Iterable<number>): TaskRanges {
+    const ranges = new TaskRanges();
+    for (const task of [...tasks].sort((a, b) => a - b)) ranges.add(task);
+    return ranges;
   }
 
+  /** Number of tasks in the set. */
   get size(): number {
     return this.count;
   }
+
   get rangeCount(): number {
     return this.ranges.length;
   }
 
-  /** Index of the first span that ends at or after n. */
-  private indexOfRangeEndingFrom(n: number): number {
-    let lo = 0;
-    let hi = this.ranges.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      if (this.ranges[mid]![1] < n) lo = mid + 1;
-      else hi = mid;
-    }
-    return lo;
+  has(task: number): boolean {
+    const range = this.ranges[this.indexOfRangeEndingFrom(task)];
+    return range !== undefined && range[0] <= task;
   }
 
-  has(n: number): boolean {
-    const s = this.ranges[this.indexOfRangeEndingFrom(n)];
-    return s !== undefined && s[0] <= n;
-  }
-
-  add(n: number): boolean {
-    const i = this.indexOfRangeEndingFrom(n);
-    const at = this.ranges[i];
-    if (at !== undefined && at[0] <= n) return false;
+  /** False if the task was in the set already. */
+  add(task: number): boolean {
+    const index = this.indexOfRangeEndingFrom(task);
+    const next = this.ranges[index];
+    if (next !== undefined && next[0] <= task) return false;
     this.count++;
-    const before = i > 0 ? this.ranges[i - 1] : undefined;
-    const joinsBefore = before !== undefined && before[1] === n - 1;
-    const joinsAfter = at !== undefined && at[0] === n + 1;
-    if (joinsBefore && joinsAfter) {
-      before[1] = at[1];
-      this.ranges.splice(i, 1);
-    } else if (joinsBefore) before[1] = n;
-    else if (joinsAfter) at[0] = n;
-    else this.ranges.splice(i, 0, [n, n]);
+    const previous = index > 0 ? this.ranges[index - 1] : undefined;
+    const joinsPrevious = previous !== undefined && previous[1] === task - 1;
+    const joinsNext = next !== undefined && next[0] === task + 1;
+    if (joinsPrevious && joinsNext) {
+      previous[1] = next[1];
+      this.ranges.splice(index, 1);
+    } else if (joinsPrevious) {
+      previous[1] = task;
+    } else if (joinsNext) {
+      next[0] = task;
+    } else {
+      this.ranges.splice(index, 0, [task, task]);
+    }
     return true;
   }
 
-  /** Numbers below `limit` that are not in the set, in order. */
+  /** Task numbers below `limit` that are not in the set, in ascending order. */
   *missing(limit: number): Generator<number> {
-    let next = 0;
-    for (const [a, b] of this.ranges) {
-      for (; next < a && next < limit; next++) yield next;
-      next = b + 1;
+    let task = 0;
+    for (const [first, last] of this.ranges) {
+      for (; task < first && task < limit; task++) yield task;
+      task = last + 1;
     }
-    for (; next < limit; next++) yield next;
+    for (; task < limit; task++) yield task;
   }
 
+  /** Task numbers in the set, in ascending order. */
   *[Symbol.iterator](): Generator<number> {
-    for (const [a, b] of this.ranges) for (let n = a; n <= b; n++) yield n;
+    for (const [first, last] of this.ranges) {
+      for (let task = first; task <= last; task++) yield task;
+    }
   }
 
   toString(): string {
-    return this.ranges.map(([a, b]) => (a === b ? `${a}` : `${a}-${b}`)).join(",");
+    return this.ranges
+      .map(([first, last]) => (first === last ? `${first}` : `${first}-${last}`))
+      .join(",");
+  }
+
+  /** Index of the first range that ends at or after the task; `ranges.length` if there is none. */
+  private indexOfRangeEndingFrom(task: number): number {
+    let low = 0;
+    let high = this.ranges.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      if (this.ranges[middle]![1] < task) low = middle + 1;
+      else high = middle;
+    }
+    return low;
   }
 }
--- a/src/core/overload/token-bucket.ts
+++ b/src/core/overload/token-bucket.ts
@@ -1,8 +1,9 @@
-/** A budget of so many a second with a burst; time is given by the caller, in seconds. */
+/** A token bucket: a budget per second with a burst. The caller passes the time, in seconds. */
 export class TokenBucket {
   private availableTokens: number;
   private refilledAt = 0;
 
+  /** `burst`: the most tokens that it holds; it starts full. */
   constructor(
     private ratePerS: number,
     private burst: number,
@@ -10,43 +11,43 @@
     this.availableTokens = burst;
   }
 
-  private refill(now: number): void {
-    if (now > this.refilledAt) {
-      this.availableTokens = Math.min(
-        this.burst,
-        this.availableTokens + (now - this.refilledAt) * this.ratePerS,
-      );
-      this.refilledAt = now;
-    }
-  }
-
-  setRate(rate: number, burst: number): void {
-    this.ratePerS = rate;
+  /** Tokens above the new burst are lost. */
+  setRate(ratePerS: number, burst: number): void {
+    this.ratePerS = ratePerS;
     this.burst = burst;
     this.availableTokens = Math.min(this.availableTokens, burst);
   }
 
-  tryTake(n: number, now: number): boolean {
+  /** Takes all of the tokens, or none and returns false. */
+  tryTake(tokens: number, now: number): boolean {
     this.refill(now);
-    if (this.availableTokens < n) return false;
-    this.availableTokens -= n;
+    if (this.availableTokens < tokens) return false;
+    this.availableTokens -= tokens;
     return true;
   }
 
-  /** Takes even what is not there: for what must not wait, at the expense of what may. */
-  takeOnCredit(n: number, now: number): void {
+  /** Takes the tokens even below zero: for what must not wait, at the expense of what may. */
+  takeOnCredit(tokens: number, now: number): void {
     this.refill(now);
-    this.availableTokens -= n;
+    this.availableTokens -= tokens;
   }
 
+  /** Tokens that can be taken now; negative after `takeOnCredit` took more than there were. */
   available(now: number): number {
     this.refill(now);
     return this.availableTokens;
   }
 
-  /** Seconds until n can be taken. */
-  secondsUntilAvailable(n: number, now: number): number {
+  /** Seconds until so many tokens can be taken. */
+  secondsUntilAvailable(tokens: number, now: number): number {
     this.refill(now);
-    return this.availableTokens >= n ? 0 : (n - this.availableTokens) / this.ratePerS;
+    return this.availableTokens >= tokens ? 0 : (tokens - this.availableTokens) / this.ratePerS;
+  }
+
+  private refill(now: number): void {
+    if (now <= this.refilledAt) return;
+    const refilled = this.availableTokens + (now - this.refilledAt) * this.ratePerS;
+    this.availableTokens = Math.min(this.burst, refilled);
+    this.refilledAt = now;
   }
 }
