--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -1,264 +1,285 @@
-/** The state service lowers its limits: what was stored before is cut, and goes on. */
+/** The state service lowers its limits: larger values that are stored already are split, and nothing is lost. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { maxValueBytes } from "../src/core/state/job-values.js";
+import type { TaskStatus } from "../src/core/model/workers.js";
 import { encodeJobRecord } from "../src/core/state/stored-values.js";
 import { decodeSettings } from "../src/wire/settings.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { settingsText } from "./support/node-settings.js";
 import { TestLeader } from "./support/test-leader.js";
 
-const LOW = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
+/** Limits to come, as the settings announce them. */
+const LOW_LIMITS = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
+const LOW_VALUE_BYTES = 2048;
+const LOW_TXN_OPS = 8;
+/** Machines and tasks of the job that a leader under the former limits stored. */
+const MACHINES = 100;
+const TASKS = 400;
 
-const read = (state: object) => {
+const machineName = (index: number): string => `m-00000${index}a`;
+
+const decodeWithState = (state: object) => {
   const base = JSON.parse(settingsText()) as { settings: { state: object } };
-  const s = { ...base.settings.state, ...state };
-  return decodeSettings(settingsText({ settings: { ...base.settings, state: s } }));
+  const changed = { ...base.settings.state, ...state };
+  return decodeSettings(settingsText({ settings: { ...base.settings, state: changed } }));
 };
 
-test("of the limits now and those to come the smaller holds; bad ones are named", () => {
-  const s = read(LOW);
-  assert.ok("settings" in s);
-  const { valueKb, txnOps, stateWriteRps, stateRps } = s.settings.cluster;
+const LOW = { bytes: LOW_VALUE_BYTES, ops: LOW_TXN_OPS };
+
+/** All that the leader wrote kept to these limits. */
+function hasKeptTo(leader: TestLeader, limits: { bytes: number; ops: number }): boolean {
+  const { bytes, ops } = leader.largestWritten;
+  return bytes <= limits.bytes && ops <= limits.ops;
+}
+
+test("of the present and the announced limits the smaller holds; invalid ones are named", () => {
+  const low = decodeWithState(LOW_LIMITS);
+  assert.ok("settings" in low);
+  const { valueKb, txnOps, stateWriteRps, stateRps } = low.settings.cluster;
   assert.deepEqual([valueKb, txnOps, stateWriteRps, stateRps], [2, 8, 21, 150]);
-  const larger = read({ next: { value_kb: 64 } });
+  const larger = decodeWithState({ next: { value_kb: 64 } });
   assert.ok("settings" in larger);
   assert.equal(larger.settings.cluster.valueKb, 8);
-  const bad = read({ next: { value_kb: -1 } });
-  assert.ok("faults" in bad);
+  const invalid = decodeWithState({ next: { value_kb: -1 } });
+  assert.ok("faults" in invalid);
   assert.deepEqual(
-    bad.faults.map((f) => f.split(":")[0]),
+    invalid.faults.map((fault) => fault.split(":")[0]),
     ["settings.state.next.value_kb"],
   );
 });
 
-/** Machines and a job under way, as a leader under the former limits stored them. */
-function before(tasks: number, machines: number): TestLeader {
-  const h = new TestLeader();
-  const all = () => {
-    for (let i = 0; i < machines; i++) h.receiveHeartbeatOnly(`m-00000${i}a`, []);
-    h.tick(0.5);
+/** Machines and an active job, as a leader under the former limits stored them. */
+function leaderUnderFormerLimits(tasks: number, machines: number): TestLeader {
+  const leader = new TestLeader();
+  const heartbeatRound = () => {
+    for (let i = 0; i < machines; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+    leader.tick(0.5);
   };
-  for (let i = 0; i < 4; i++) all();
-  h.submit(jobSpec("big", { team: "maps", tasks, cpus: 0.9, memoryGb: 0.1 }));
-  for (let i = 0; i < 4; i++) all();
-  return h;
+  for (let round = 0; round < 4; round++) heartbeatRound();
+  leader.submit(jobSpec("big", { team: "maps", tasks, cpus: 0.9, memoryGb: 0.1 }));
+  for (let round = 0; round < 4; round++) heartbeatRound();
+  return leader;
 }
-const placements = (h: TestLeader) =>
-  [...h.scheduler.cluster.jobs.get("big")!.placements.values()]
-    .map((p) => `${p.task}#${p.attempt} ${p.machine.name}`)
+
+const placementsOfBig = (leader: TestLeader) => [
+  ...leader.scheduler.cluster.jobs.get("big")!.placements.values(),
+];
+
+const placementTexts = (leader: TestLeader) =>
+  placementsOfBig(leader)
+    .map(({ task, attempt, machine }) => `${task}#${attempt} ${machine.name}`)
     .sort();
-const successor = (old: TestLeader, epoch: number, state: object) =>
-  new TestLeader({ replica: old.replica, epoch, now: old.now + 5, state: state as never });
 
-test("a job in one large value is cut into parts in one transaction, and every task is kept", () => {
-  const old = before(400, 100);
-  const stored = old.replica.activeJobs.get("big")!;
+function tasksByMachine(leader: TestLeader): Map<string, number[]> {
+  const tasks = new Map<string, number[]>();
+  for (const { machine, task } of placementsOfBig(leader)) {
+    tasks.set(machine.name, [...(tasks.get(machine.name) ?? []), task]);
+  }
+  return tasks;
+}
+
+const takeOver = (former: TestLeader, epoch: number, state: object) =>
+  new TestLeader({ replica: former.replica, epoch, now: former.now + 5, state: state as never });
+
+test("a job in one oversized value is resharded in one transaction, and every placement is kept", () => {
+  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const stored = former.replica.activeJobs.get("big")!;
   assert.equal(stored.value.shardSize, null);
   assert.ok(
-    JSON.stringify(encodeJobRecord(stored.value)).length > 2048,
+    JSON.stringify(encodeJobRecord(stored.value)).length > LOW_VALUE_BYTES,
     "it would not fit any more",
   );
-  const placed = placements(old);
-  assert.equal(placed.length, 400);
+  const placed = placementTexts(former);
+  assert.equal(placed.length, TASKS);
 
-  const h = successor(old, 2, LOW);
-  assert.deepEqual(placements(h), placed);
-  h.tick();
-  assert.ok(
-    h.largestWritten.bytes <= 2048 && h.largestWritten.bytes > 0,
-    `${h.largestWritten.bytes} bytes`,
-  );
-  assert.ok(h.largestWritten.ops <= 8, `${h.largestWritten.ops} changes`);
-  assert.equal(
-    h.replica.shardsOf("big").size,
-    Math.ceil(400 / h.replica.activeJobs.get("big")!.value.shardSize!),
-  );
+  const leader = takeOver(former, 2, LOW_LIMITS);
+  assert.deepEqual(placementTexts(leader), placed);
+  leader.tick();
+  const { bytes, ops } = leader.largestWritten;
+  assert.ok(bytes <= LOW_VALUE_BYTES && bytes > 0, `${bytes} bytes`);
+  assert.ok(ops <= LOW_TXN_OPS, `${ops} changes`);
+  const { shardSize } = leader.replica.activeJobs.get("big")!.value;
+  assert.equal(leader.replica.shardsOf("big").size, Math.ceil(TASKS / shardSize!));
 
-  // The former version, back in its place, reads what was cut; so does the next leader.
+  // A leader of the former version, restored, reads the shards; so does the next leader.
   for (const [epoch, state] of [
     [3, {}],
-    [4, LOW],
+    [4, LOW_LIMITS],
   ] as const) {
-    assert.deepEqual(placements(successor(h, epoch, state)), placed);
+    assert.deepEqual(placementTexts(takeOver(leader, epoch, state)), placed);
   }
-  // Its tasks end in an order that makes the longest values.
-  const last = successor(h, 5, LOW);
+  const last = takeOver(leader, 5, LOW_LIMITS);
   last.epoch = 5;
-  const on = new Map<string, number[]>();
-  for (const p of last.scheduler.cluster.jobs.get("big")!.placements.values()) {
-    on.set(p.machine.name, [...(on.get(p.machine.name) ?? []), p.task]);
-  }
-  for (const odd of [1, 0]) {
-    for (const [name, tasks] of on) {
-      const report = tasks.map((t) =>
-        odd === 0 || t % 2 === 1
-          ? taskStatus("big", t, 1, "exited", "done")
-          : taskStatus("big", t, 1),
-      );
-      last.receiveHeartbeat(name, report);
-    }
-    for (let i = 0; i < 20; i++) last.tick();
-  }
+  endEveryOtherTaskFirst(last);
   assert.equal(last.replica.finalRecords.get("big")?.outcome, "done");
   assert.equal(last.replica.shardsOf("big").size, 0);
-  assert.ok(
-    last.largestWritten.bytes <= 2048 && last.largestWritten.ops <= 8,
-    JSON.stringify(last.largestWritten),
-  );
+  assert.ok(hasKeptTo(last, LOW), JSON.stringify(last.largestWritten));
 });
 
-test("while the cut is not stored, the old value is the truth; a part that ends meanwhile is not lost", () => {
-  const old = before(400, 100);
-  const h = successor(old, 2, LOW);
-  h.epoch = 2;
-  h.isStoreAvailable = false;
-  const first = [...h.scheduler.cluster.jobs.get("big")!.placements.values()].filter(
-    (p) => p.machine.name === "m-000000a",
-  );
-  h.receiveHeartbeat(
-    "m-000000a",
-    first.map((p) => taskStatus("big", p.task, 1, "exited", "done")),
+/** The order of ends that makes the longest values: every other task is done, none joins a range. */
+function endEveryOtherTaskFirst(leader: TestLeader): void {
+  const tasks = tasksByMachine(leader);
+  for (const areAllDone of [false, true]) {
+    for (const [machine, tasksThere] of tasks) {
+      const statuses = tasksThere.map((task) =>
+        areAllDone || task % 2 === 1
+          ? taskStatus("big", task, 1, "exited", "done")
+          : taskStatus("big", task, 1),
+      );
+      leader.receiveHeartbeat(machine, statuses);
+    }
+    for (let tick = 0; tick < 20; tick++) leader.tick();
+  }
+}
+
+test("until resharding is stored the old value holds; a task that ends meanwhile is not lost", () => {
+  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const leader = takeOver(former, 2, LOW_LIMITS);
+  leader.epoch = 2;
+  leader.isStoreAvailable = false;
+  const ended = placementsOfBig(leader).filter(({ machine }) => machine.name === machineName(0));
+  leader.receiveHeartbeat(
+    machineName(0),
+    ended.map(({ task }) => taskStatus("big", task, 1, "exited", "done")),
   );
-  assert.deepEqual(placements(successor(h, 3, {})), placements(old));
-  h.isStoreAvailable = true;
-  h.tick();
-  const next = successor(h, 4, LOW);
-  assert.equal(next.scheduler.cluster.jobs.get("big")!.doneTasks.size, first.length);
-  assert.equal(placements(next).length, 400 - first.length);
+  assert.deepEqual(placementTexts(takeOver(leader, 3, {})), placementTexts(former));
+  leader.isStoreAvailable = true;
+  leader.tick();
+  const next = takeOver(leader, 4, LOW_LIMITS);
+  assert.equal(next.scheduler.cluster.jobs.get("big")!.doneTasks.size, ended.length);
+  assert.equal(placementTexts(next).length, TASKS - ended.length);
 });
 
-test("records of machines in large values are moved to small ones, each machine in some at any moment", () => {
-  const old = before(1, 90);
-  const names = (h: TestLeader) =>
-    new Set([...h.replica.machineShards.values()].flatMap((g) => Object.keys(g.value)));
-  assert.equal(names(old).size, 90);
-  const h = successor(old, 2, LOW);
-  h.isStoreAvailable = false;
-  for (let i = 0; i < 40; i++) {
-    const w = h.scheduler.nextTransaction(8, 60_000);
-    if (w === null) break;
-    h.commitWrite(w);
-    assert.equal(names(h).size, 90, `after ${i + 1} writes`);
+test("oversized machine-record shards are split, and each machine stands in a shard after every write", () => {
+  const former = leaderUnderFormerLimits(1, 90);
+  const storedMachines = (leader: TestLeader) =>
+    new Set([...leader.replica.machineShards.values()].flatMap(({ value }) => Object.keys(value)));
+  assert.equal(storedMachines(former).size, 90);
+  const leader = takeOver(former, 2, LOW_LIMITS);
+  leader.isStoreAvailable = false;
+  for (let writes = 1; writes <= 40; writes++) {
+    const transaction = leader.scheduler.nextTransaction(LOW_TXN_OPS, 60_000);
+    if (transaction === null) break;
+    leader.commitWrite(transaction);
+    assert.equal(storedMachines(leader).size, 90, `after ${writes} writes`);
   }
-  for (const g of h.replica.machineShards.values()) {
-    assert.ok(JSON.stringify(g.value).length <= 2048, `${JSON.stringify(g.value).length} bytes`);
+  for (const { value } of leader.replica.machineShards.values()) {
+    const bytes = JSON.stringify(value).length;
+    assert.ok(bytes <= LOW_VALUE_BYTES, `${bytes} bytes`);
   }
-  assert.ok(
-    h.largestWritten.bytes <= 2048 && h.largestWritten.ops <= 8,
-    JSON.stringify(h.largestWritten),
-  );
+  assert.ok(hasKeptTo(leader, LOW), JSON.stringify(leader.largestWritten));
 });
 
-/** Machines do as they are told, and every task is done as soon as it starts, until no job is left. */
-function runToEnd(h: TestLeader, machines = 10, rounds = 120): void {
-  const running = new Map<string, Set<string>>();
-  for (let round = 0; round < rounds && h.scheduler.cluster.jobs.size > 0; round++) {
-    for (const o of h.unansweredRequests.splice(0)) {
-      const on = running.get(o.machine) ?? new Set();
-      running.set(o.machine, on);
-      for (const c of o.commands) {
-        const key = `${c.job} ${c.task} ${c.attempt}`;
-        if (c.op === "start") on.add(key);
-        else if (c.op === "forget") on.delete(key);
+/** Workers carry out their commands, and every task is done as soon as it starts. */
+class InstantWorkers {
+  /** Tasks on each machine, by `job task attempt`. */
+  private readonly tasks = new Map<string, Set<string>>();
+
+  constructor(
+    private readonly leader: TestLeader,
+    private readonly machines: number,
+  ) {}
+
+  /** Until no job is left, for so many rounds at most. */
+  runToEnd(rounds: number): void {
+    const { leader } = this;
+    for (let round = 0; round < rounds && leader.scheduler.cluster.jobs.size > 0; round++) {
+      this.answerCommands();
+      this.answerProbes();
+      for (let i = 0; i < this.machines; i++) {
+        leader.receiveHeartbeatOnly(machineName(i), this.statusesOf(machineName(i)));
       }
-      const report = h.makeHeartbeat(o.machine, doneOn(on));
-      const answer = { kind: "answered", executed: true, heartbeat: report } as const;
-      h.performEffects(h.scheduler.commandsAnswered(o.machine, o.commands, answer, h.now));
+      leader.tick(0.5);
     }
-    for (const name of h.pendingProbes.splice(0)) {
-      h.performEffects(
-        h.scheduler.probeAnswered(name, h.makeHeartbeat(name, doneOn(running.get(name))), h.now),
+  }
+
+  private answerCommands(): void {
+    const { leader } = this;
+    for (const { machine, commands } of leader.unansweredRequests.splice(0)) {
+      const there = this.tasks.get(machine) ?? new Set();
+      this.tasks.set(machine, there);
+      for (const { op, job, task, attempt } of commands) {
+        if (op === "start") there.add(`${job} ${task} ${attempt}`);
+        else if (op === "forget") there.delete(`${job} ${task} ${attempt}`);
+      }
+      const heartbeat = leader.makeHeartbeat(machine, this.statusesOf(machine));
+      const answer = { kind: "answered", executed: true, heartbeat } as const;
+      leader.performEffects(
+        leader.scheduler.commandsAnswered(machine, commands, answer, leader.now),
       );
     }
-    for (let i = 0; i < machines; i++) {
-      h.receiveHeartbeatOnly(`m-00000${i}a`, doneOn(running.get(`m-00000${i}a`)));
+  }
+
+  private answerProbes(): void {
+    const { leader } = this;
+    for (const machine of leader.pendingProbes.splice(0)) {
+      const heartbeat = leader.makeHeartbeat(machine, this.statusesOf(machine));
+      leader.performEffects(leader.scheduler.probeAnswered(machine, heartbeat, leader.now));
     }
-    h.tick(0.5);
   }
-}
 
-const doneOn = (on: Set<string> | undefined) =>
-  [...(on ?? [])].map((k) => {
-    const [job, n, attempt] = k.split(" ");
-    return taskStatus(job!, Number(n), Number(attempt), "exited", "done");
-  });
+  private statusesOf(machine: string): TaskStatus[] {
+    return [...(this.tasks.get(machine) ?? [])].map((text) => {
+      const [job, task, attempt] = text.split(" ");
+      return taskStatus(job!, Number(task), Number(attempt), "exited", "done");
+    });
+  }
+}
 
 const ARRAY = jobSpec("array", { team: "maps", tasks: 1500, cpus: 0.02, memoryGb: 0.01 });
 const GANG = jobSpec("gang", { team: "maps", kind: "gang", tasks: 100, cpus: 0.1, memoryGb: 0.1 });
 
 test("a large array and a large gang run to their ends under the low limits", () => {
-  const h = new TestLeader({ state: LOW });
-  for (let i = 0; i < 10; i++) h.receiveHeartbeat(`m-00000${i}a`, []);
-  h.submit(ARRAY);
-  h.submit(GANG);
-  runToEnd(h);
-  assert.equal(h.replica.finalRecords.get("array")?.outcome, "done");
-  assert.equal(h.replica.finalRecords.get("gang")?.outcome, "done");
-  assert.ok(
-    h.largestWritten.bytes <= 2048 && h.largestWritten.ops <= 8,
-    JSON.stringify(h.largestWritten),
-  );
+  const leader = new TestLeader({ state: LOW_LIMITS });
+  for (let i = 0; i < 10; i++) leader.receiveHeartbeat(machineName(i), []);
+  leader.submit(ARRAY);
+  leader.submit(GANG);
+  new InstantWorkers(leader, 10).runToEnd(120);
+  assert.equal(leader.replica.finalRecords.get("array")?.outcome, "done");
+  assert.equal(leader.replica.finalRecords.get("gang")?.outcome, "done");
+  assert.ok(hasKeptTo(leader, LOW), JSON.stringify(leader.largestWritten));
 });
 
-test("values and transactions that are refused within the known limits are cut until they are taken", () => {
-  for (const takes of [
+test("values and transactions that are refused within the known limits shrink until they are accepted", () => {
+  for (const storeLimits of [
     { bytes: 1024, ops: 8 },
     { bytes: 1200, ops: 3 },
   ]) {
-    const h = new TestLeader({ state: LOW });
-    for (let i = 0; i < 100; i++) h.receiveHeartbeat(`m-00000${i}a`, []);
-    h.storeLimits = takes;
-    h.largestWritten.bytes = 0;
-    h.largestWritten.ops = 0;
+    const leader = new TestLeader({ state: LOW_LIMITS });
+    for (let i = 0; i < MACHINES; i++) leader.receiveHeartbeat(machineName(i), []);
+    leader.storeLimits = storeLimits;
+    leader.largestWritten.bytes = 0;
+    leader.largestWritten.ops = 0;
     // Each machine takes one task, so that the values name many machines.
     const wide = { team: "maps", cpus: 3, memoryGb: 0.1 };
-    h.submit(jobSpec("array", { ...wide, tasks: 700 }));
-    h.submit(jobSpec("gang", { ...wide, kind: "gang", tasks: 100 }));
-    // Too small for parts under the known limits, and too large for one value under the real ones.
-    h.submit(jobSpec("middle", { ...wide, kind: "gang", tasks: 30 }));
-    h.submit(jobSpec("list", { ...wide, tasks: 60 }));
-    runToEnd(h, 100, 400);
-    console.log(
-      "DBG",
-      h.rejectedTransactions,
-      h.largestWritten,
-      takes,
-      [...h.scheduler.cluster.jobs.values()].map((j) => [
-        j.spec.id,
-        j.shardSize,
-        j.doneTasks.size,
-        j.placementCount,
-        maxValueBytes(j),
-      ]),
-    );
-    assert.ok(h.rejectedTransactions > 0, "the limits were met");
-    const ends = ["array", "gang", "middle", "list"].map(
-      (id) => h.replica.finalRecords.get(id)?.outcome,
-    );
-    assert.deepEqual(ends, ["done", "done", "done", "done"], JSON.stringify(takes));
-    assert.ok(
-      h.largestWritten.bytes <= takes.bytes && h.largestWritten.ops <= takes.ops,
-      JSON.stringify(h.largestWritten),
+    leader.submit(jobSpec("array", { ...wide, tasks: 700 }));
+    leader.submit(jobSpec("gang", { ...wide, kind: "gang", tasks: 100 }));
+    // Too small for shards under the known limits, and too large for one value under the real ones.
+    leader.submit(jobSpec("middle", { ...wide, kind: "gang", tasks: 30 }));
+    leader.submit(jobSpec("list", { ...wide, tasks: 60 }));
+    new InstantWorkers(leader, MACHINES).runToEnd(400);
+    assert.ok(leader.rejectedTransactions > 0, "the limits were met");
+    const outcomes = ["array", "gang", "middle", "list"].map(
+      (id) => leader.replica.finalRecords.get(id)?.outcome,
     );
+    assert.deepEqual(outcomes, ["done", "done", "done", "done"], JSON.stringify(storeLimits));
+    assert.ok(hasKeptTo(leader, storeLimits), JSON.stringify(leader.largestWritten));
   }
 });
 
-test("limits below the known ones are met in a takeover, and while a job is being cut", () => {
-  const old = before(400, 100);
-  const h = successor(old, 2, LOW);
-  h.epoch = 2;
-  h.storeLimits = { bytes: 1000, ops: 8 };
-  const on = new Map<string, number[]>();
-  for (const p of h.scheduler.cluster.jobs.get("big")!.placements.values()) {
-    on.set(p.machine.name, [...(on.get(p.machine.name) ?? []), p.task]);
+test("limits below the known ones are met in a takeover, and while a job is being resharded", () => {
+  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const leader = takeOver(former, 2, LOW_LIMITS);
+  leader.epoch = 2;
+  leader.storeLimits = { bytes: 1000, ops: LOW_TXN_OPS };
+  for (const [machine, tasks] of tasksByMachine(leader)) {
+    const statuses = tasks.map((task) => taskStatus("big", task, 1, "exited", "done"));
+    leader.receiveHeartbeatOnly(machine, statuses);
   }
-  const ended = (tasks: readonly number[]) =>
-    tasks.map((t) => taskStatus("big", t, 1, "exited" as const, "done" as const));
-  for (const [name, tasks] of on) h.receiveHeartbeatOnly(name, ended(tasks));
-  for (let i = 0; i < 200; i++) h.tick(0.5);
-  assert.ok(h.rejectedTransactions > 0, "the limits were met");
-  assert.equal(h.replica.finalRecords.get("big")?.outcome, "done");
-  assert.ok(h.largestWritten.bytes <= 1000, `${h.largestWritten.bytes} bytes`);
+  for (let tick = 0; tick < 200; tick++) leader.tick(0.5);
+  assert.ok(leader.rejectedTransactions > 0, "the limits were met");
+  assert.equal(leader.replica.finalRecords.get("big")?.outcome, "done");
+  const { bytes } = leader.largestWritten;
+  assert.ok(bytes <= 1000, `${bytes} bytes`);
 });
