--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -1,4 +1,4 @@
-/** How a leader keeps its term when the state service's answers come late. */
+/** How a leader keeps its leadership when the key-value store answers late. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -9,28 +9,30 @@
 import type { KeyValueClient, LeaseRenewal } from "../src/state/key-value-client.js";
 import type { StateWatcher } from "../src/state/state-watcher.js";
 
-const TTL_S = 4;
+const LEASE_S = 4;
+const RENEWAL_INTERVAL_S = LEASE_S / 4;
 
-/** A node that took the term; renewals are answered when the test says so. */
-class Candidate {
+/** A controller that acquired leadership; its renewals are answered when the test says so. */
+class TestCandidate {
   now = 100;
+  /** Times at which renewals were sent. */
   readonly sentAt: number[] = [];
   readonly pendingRenewals: ((renewal: LeaseRenewal) => void)[] = [];
   readonly leadership: Leadership;
 
   constructor() {
-    const records = new StateReplica();
-    records.reset([], 0);
-    const store = {
+    const replica = new StateReplica();
+    replica.reset([], 0);
+    const client = {
       grantLease: async () => ({ kind: "ok", leaseId: 7 }),
-      transact: async (_: unknown, changes: readonly Change[]) => {
-        const events = changes.map((c) => ({
-          key: c.key,
-          value: c.op === "put" ? c.value : null,
-          removed: c.op === "delete",
+      transact: async (_preconditions: unknown, changes: readonly Change[]) => {
+        const events = changes.map((change) => ({
+          key: change.key,
+          value: change.op === "put" ? change.value : null,
+          removed: change.op === "delete",
           modRevision: 1,
         }));
-        records.apply(events, 1);
+        replica.apply(events, 1);
         return { kind: "ok", revision: 1 };
       },
       extendLease: () => {
@@ -40,12 +42,12 @@
       revokeLease: async () => {},
     };
     this.leadership = new Leadership(
-      store as unknown as KeyValueClient,
+      client as unknown as KeyValueClient,
       { readLatest: async () => true } as unknown as StateWatcher,
-      records,
+      replica,
       {
         member: "n0",
-        leaseS: TTL_S,
+        leaseS: LEASE_S,
         gracePeriodS: 60,
         now: () => this.now,
         log: pino({ level: "silent" }),
@@ -58,28 +60,29 @@
   }
 }
 
-test("renewals go out four times a lease, though none is answered yet", async (t) => {
+test("renewals are sent four times a lease, answered or not, and each answer counts from when it was asked", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
-  const candidate = new Candidate();
+  const candidate = new TestCandidate();
   await nextTurn();
   assert.notEqual(candidate.leadership.current, null);
-  for (let i = 0; i < 8; i++) {
-    candidate.now += TTL_S / 4;
-    t.mock.timers.tick((1000 * TTL_S) / 4);
+  for (let renewal = 0; renewal < 8; renewal++) {
+    candidate.now += RENEWAL_INTERVAL_S;
+    t.mock.timers.tick(1000 * RENEWAL_INTERVAL_S);
     await nextTurn();
   }
   assert.deepEqual(candidate.sentAt, [101, 102, 103, 104, 105, 106, 107, 108]);
-  // An answer counts from when its renewal was sent, and an older one takes nothing back.
+  const answer = async (renewal: number, result: LeaseRenewal): Promise<void> => {
+    candidate.pendingRenewals[renewal]!(result);
+    await nextTurn();
+  };
+  // An answer counts from when its renewal was sent, and an older one shortens nothing.
   const { term } = candidate.leadership.current!;
   assert.equal(term.mayAct(104), false);
-  candidate.pendingRenewals[5]!({ kind: "ok" });
-  await nextTurn();
-  assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
-  candidate.pendingRenewals[0]!({ kind: "ok" });
-  await nextTurn();
-  assert.equal(term.mayAct(106 + 0.89 * TTL_S), true);
-  assert.equal(term.mayAct(106 + 0.9 * TTL_S), false);
-  candidate.pendingRenewals[1]!({ kind: "expired" });
-  await nextTurn();
+  await answer(5, { kind: "ok" });
+  assert.equal(term.mayAct(106 + 0.89 * LEASE_S), true);
+  await answer(0, { kind: "ok" });
+  assert.equal(term.mayAct(106 + 0.89 * LEASE_S), true);
+  assert.equal(term.mayAct(106 + 0.9 * LEASE_S), false);
+  await answer(1, { kind: "expired" });
   assert.equal(candidate.leadership.current, null);
 });
--- /dev/null
+++ b/tests/token-bucket.test.ts
@@ -0,0 +1,21 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { TokenBucket } from "../src/core/overload/token-bucket.js";
+
+test("a token bucket refills with time, and no further than its burst", () => {
+  const bucket = new TokenBucket(10, 5);
+  assert.equal(bucket.tryTake(5, 0), true);
+  assert.equal(bucket.tryTake(1, 0.05), false);
+  assert.equal(bucket.tryTake(1, 0.1), true);
+  bucket.takeOnCredit(4, 0.1);
+  assert.equal(bucket.secondsUntilAvailable(1, 0.1).toFixed(2), "0.50");
+  assert.equal(bucket.available(100), 5);
+});
+
+test("a token bucket that is given a new rate takes on the new burst as well", () => {
+  const bucket = new TokenBucket(5, 5);
+  bucket.setRate(20, 20);
+  assert.equal(bucket.available(10), 20);
+  bucket.setRate(5, 5);
+  assert.equal(bucket.available(10), 5);
+});
