--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -388,7 +388,7 @@
     for (const { job, version, shards, closedShards } of w.jobWrites) {
       if (version === null) {
         const state = job.isCancelled ? "cancelled" : "done";
-        this.context.log("job over", { job: job.spec.id, state });
+        this.context.log("job finished", { job: job.spec.id, state });
         this.context.cluster.jobs.delete(job.spec.id);
         continue;
       }
--- a/src/core/state/oversized-values.ts
+++ b/src/core/state/oversized-values.ts
@@ -26,7 +26,7 @@
     if (bytes === 0) return;
     this.context.valueSizeLimit.recordRefused(bytes, now);
     this.machinePool.shrinkRecordShards();
-    this.context.log("value refused", { key: w.changes[0]!.key, bytes });
+    this.context.log("value too large", { key: w.changes[0]!.key, bytes });
     for (const { job } of w.jobWrites) this.releaseUnpersistedPlacements(job, now);
     for (const job of this.context.cluster.jobs.values()) this.reshardIfTooLarge(job);
     this.context.cycleRequested = true;
