--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -27,8 +27,8 @@
     const isNewest = this.isNewest(listed);
     for (const entry of listed) {
       if (this.machinePool.terminated.has(entry.name)) continue;
-      const { name, type, zone, spot } = entry;
-      const machine = this.context.findOrAddMachine(name, type, zone, spot, now);
+      const { name } = entry;
+      const machine = this.context.findOrAddMachine(name, entry, now);
       if (machine === null) continue;
       if (isNewest) this.listedAgeS.set(name, entry.ageS);
       this.update(machine, entry, now);
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -161,9 +161,8 @@
   }
 
   private addProvisioned(request: RequestedMachines, names: readonly string[], now: number): void {
-    const { type, zone, spot, count } = request;
-    for (const name of names) this.context.findOrAddMachine(name, type, zone, spot, now);
-    if (names.length < count) this.backOff(request, now);
+    for (const name of names) this.context.findOrAddMachine(name, request, now);
+    if (names.length < request.count) this.backOff(request, now);
   }
 
   /** The cloud has no more machines of this kind: it is asked for others meanwhile. */
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -9,47 +9,51 @@
 import type { MachineType } from "./model/machines.js";
 import type { Team } from "./model/settings.js";
 
+/** CPUs and GPUs that a team's tasks take; those whose end is not proven count. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 
 export class Cluster {
+  /** Active jobs, by id. */
   readonly jobs = new Map<string, ActiveJob>();
+  /** By name. */
   readonly machines = new Map<string, Machine>();
+  /** By team. */
   readonly usage = new Map<string, TeamUsage>();
+  /** By name. */
   readonly teams = new Map<string, Team>();
-  /** Classes of which a starving job has just gone first, and until when the others do. */
+  /** By class of jobs: a starving job of it has just gone first, and until then other classes do. */
   readonly classCooldownUntil = new Map<string, number>();
   readonly gangStarts = new GangStarts();
 
   constructor(teams: readonly Team[]) {
-    for (const t of teams) this.teams.set(t.name, t);
+    for (const team of teams) this.teams.set(team.name, team);
   }
 
   usageOf(team: string): TeamUsage {
-    let u = this.usage.get(team);
-    if (u === undefined) {
-      u = { cpus: 0, gpus: 0 };
-      this.usage.set(team, u);
+    let usage = this.usage.get(team);
+    if (usage === undefined) {
+      usage = { cpus: 0, gpus: 0 };
+      this.usage.set(team, usage);
     }
-    return u;
+    return usage;
   }
 
-  /** How many more tasks of this shape the team's limit allows; a limit of 0 is none. */
+  /** How many more tasks of this job the team's quota allows. */
   quotaSlots(spec: JobSpec): number {
     const team = this.teams.get(spec.team);
     if (team === undefined) return 0;
-    const u = this.usageOf(spec.team);
-    let n = Number.MAX_SAFE_INTEGER;
-    if (team.cpusMax > 0 && spec.cpus > 0)
-      n = Math.min(n, Math.floor((team.cpusMax - u.cpus + AMOUNT_TOLERANCE) / spec.cpus));
-    if (team.gpusMax > 0 && spec.gpus > 0)
-      n = Math.min(n, Math.floor((team.gpusMax - u.gpus + AMOUNT_TOLERANCE) / spec.gpus));
-    return Math.max(0, n);
+    const usage = this.usageOf(spec.team);
+    const slots = Math.min(
+      slotsWithin(team.cpusMax, usage.cpus, spec.cpus),
+      slotsWithin(team.gpusMax, usage.gpus, spec.gpus),
+    );
+    return Math.max(0, slots);
   }
 
-  /** Does what is placed keep the team's limit, as far as is known now? */
+  /** What is placed keeps the team's quota, as far as is known now. */
   isWithinLimit(teamName: string): boolean {
     const team = this.teams.get(teamName);
     if (team === undefined) return true;
@@ -60,60 +64,65 @@
     );
   }
 
-  /** A machine is of another kind than was thought: what is placed on it counts where it is. */
-  correctMachine(m: Machine, type: MachineType, zone: string, spot: boolean): void {
-    for (const p of m.placements.values()) {
-      p.job.zones.remove(m.zone);
-      p.job.zones.add(zone);
+  /** The machine proved to be of another kind: what is placed on it counts where it is. */
+  correctMachine(machine: Machine, type: MachineType, zone: string, spot: boolean): void {
+    for (const { job } of machine.placements.values()) {
+      job.zones.remove(machine.zone);
+      job.zones.add(zone);
     }
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
+    machine.type = type;
+    machine.zone = zone;
+    machine.spot = spot;
   }
 
-  /** Books a placement on its machine and against its team, where it counts until released. */
-  addPlacement(p: Placement, unrecorded = false): void {
-    if (unrecorded) p.job.unrecorded.add(p);
-    else p.job.placements.set(p.task, p);
-    const part = p.job.shardOf(p.task);
-    if (p.version > part.placedVersion) part.placedVersion = p.version;
-    if (part.hasUnpersistedPlacement) p.job.unpersistedSince ??= p.placedAt;
-    p.job.invalidatePendingCount();
-    p.machine.placements.set(p.key, p);
-    p.job.zones.add(p.machine.zone);
-    const { cpus, gpus, memoryGb } = p.job.spec;
-    p.machine.cpusUsed += cpus;
-    p.machine.gpusUsed += gpus;
-    p.machine.memoryUsedGb += memoryGb;
-    const u = this.usageOf(p.job.spec.team);
-    u.cpus += cpus;
-    u.gpus += gpus;
+  /**
+   * Books a placement on its machine and against its team's quota, where it counts until released. `unrecorded`: a
+   * worker reports an attempt that is not in the stored state.
+   */
+  addPlacement(placement: Placement, unrecorded = false): void {
+    const { job, machine, task, version } = placement;
+    if (unrecorded) job.unrecorded.add(placement);
+    else job.placements.set(task, placement);
+    const shard = job.shardOf(task);
+    if (version > shard.placedVersion) shard.placedVersion = version;
+    if (shard.hasUnpersistedPlacement) job.unpersistedSince ??= placement.placedAt;
+    job.invalidatePendingCount();
+    machine.placements.set(placement.key, placement);
+    job.zones.add(machine.zone);
+    const { cpus, gpus, memoryGb } = job.spec;
+    machine.cpusUsed += cpus;
+    machine.gpusUsed += gpus;
+    machine.memoryUsedGb += memoryGb;
+    const usage = this.usageOf(job.spec.team);
+    usage.cpus += cpus;
+    usage.gpus += gpus;
   }
 
   /** The attempt is proven gone. */
-  releasePlacement(p: Placement, now: number): void {
-    if (!p.machine.placements.delete(p.key)) return;
-    if (p.job.placements.get(p.task) === p) p.job.placements.delete(p.task);
-    p.job.unrecorded.delete(p);
-    p.job.zones.remove(p.machine.zone);
-    const { cpus, gpus, memoryGb } = p.job.spec;
-    p.machine.cpusUsed -= cpus;
-    p.machine.gpusUsed -= gpus;
-    p.machine.memoryUsedGb -= memoryGb;
-    if (p.machine.placements.size === 0) p.machine.idleSince = now;
-    const u = this.usageOf(p.job.spec.team);
-    u.cpus -= cpus;
-    u.gpus -= gpus;
-    p.job.markChanged(p.task);
+  releasePlacement(placement: Placement, now: number): void {
+    const { job, machine, task } = placement;
+    if (!machine.placements.delete(placement.key)) return;
+    if (job.placements.get(task) === placement) job.placements.delete(task);
+    job.unrecorded.delete(placement);
+    job.zones.remove(machine.zone);
+    const { cpus, gpus, memoryGb } = job.spec;
+    machine.cpusUsed -= cpus;
+    machine.gpusUsed -= gpus;
+    machine.memoryUsedGb -= memoryGb;
+    if (machine.placements.size === 0) machine.idleSince = now;
+    const usage = this.usageOf(job.spec.team);
+    usage.cpus -= cpus;
+    usage.gpus -= gpus;
+    job.markChanged(task);
   }
 
   /**
-   * Jobs within their team's guarantee: those that fit it together with the team's earlier
-   * unfinished jobs. A guarantee of 0 promises nothing of that resource, and so cannot be
-   * exceeded in it, as long as the team is guaranteed anything at all.
+   * Ids of the jobs within their team's guarantee: those that fit it together with the team's earlier unfinished
+   * jobs. A guarantee of 0 promises nothing of that resource, and so cannot be exceeded in it, as long as the team is
+   * guaranteed anything at all.
    */
   jobsWithinGuarantee(): Set<string> {
-    const out = new Set<string>();
+    const within = new Set<string>();
     const sums = new Map<string, TeamUsage>();
     const byAge = [...this.jobs.values()].sort((a, b) => a.submittedAtMs - b.submittedAtMs);
     for (const job of byAge) {
@@ -127,8 +136,14 @@
       const fits =
         (team.cpus <= 0 || sum.cpus <= team.cpus + AMOUNT_TOLERANCE) &&
         (team.gpus <= 0 || sum.gpus <= team.gpus + AMOUNT_TOLERANCE);
-      if (fits) out.add(job.spec.id);
+      if (fits) within.add(job.spec.id);
     }
-    return out;
+    return within;
   }
 }
+
+/** How many more tasks that each take `amount` keep a limit; a limit of 0 is none. */
+function slotsWithin(limit: number, used: number, amount: number): number {
+  if (limit <= 0 || amount <= 0) return Number.MAX_SAFE_INTEGER;
+  return Math.floor((limit - used + AMOUNT_TOLERANCE) / amount);
+}
--- /dev/null
+++ b/src/core/dispatch/direct-request-results.ts
@@ -0,0 +1,77 @@
+/** What the results of direct requests to workers say: commands, and probes. */
+
+import type { CommandOutcome } from "../effects.js";
+import type { LeaderContext } from "../leader-context.js";
+import type { Machine } from "../machines/machine.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../model/workers.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
+import { taskKey } from "./placement.js";
+import type { Reconciler } from "./reconciler.js";
+
+/** Applies the results of direct requests to the machines that they went to. */
+export class DirectRequestResults {
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly dispatcher: CommandDispatcher,
+    private readonly reconciler: Reconciler,
+  ) {}
+
+  /** A direct request with these commands was answered, or not. */
+  applyCommandOutcome(
+    machineName: string,
+    commands: readonly WorkerCommand[],
+    outcome: CommandOutcome,
+    now: number,
+  ): void {
+    this.dispatcher.tokenRequestsInFlight.delete(machineName);
+    const machine = this.context.cluster.machines.get(machineName);
+    if (machine === undefined) return;
+    machine.hasRequestInFlight = false;
+    this.noteStartOutcomes(machine, commands, outcome);
+    if (outcome.kind === "lost") this.dispatcher.noteUnansweredRequest(machine, now);
+    else this.handleAnswer(machine, outcome.heartbeat, now);
+    this.dispatcher.sendDue(machine, now);
+  }
+
+  /** A probe was answered, or not (null). `lateTimeout`: see `Scheduler.probeAnswered`. */
+  applyProbeAnswer(
+    machineName: string,
+    heartbeat: WorkerHeartbeat | null,
+    now: number,
+    lateTimeout: boolean,
+  ): void {
+    this.dispatcher.probesInFlight.delete(machineName);
+    const machine = this.context.cluster.machines.get(machineName);
+    if (machine === undefined) return;
+    machine.hasRequestInFlight = false;
+    const retryS = this.context.settings.heartbeatIntervalS / 3;
+    if (heartbeat !== null) this.handleAnswer(machine, heartbeat, now);
+    else if (lateTimeout) machine.nextRequestAt = now + retryS;
+    else this.dispatcher.noteUnansweredRequest(machine, now);
+    this.dispatcher.sendDue(machine, now);
+  }
+
+  private handleAnswer(machine: Machine, heartbeat: WorkerHeartbeat, now: number): void {
+    if (machine.unreachableSince !== null) this.context.cycleRequested = true;
+    machine.unreachableSince = null;
+    this.reconciler.handleHeartbeat(heartbeat, now);
+  }
+
+  /** A start that was certainly not executed is planned again; one that may yet arrive is remembered. */
+  private noteStartOutcomes(
+    machine: Machine,
+    commands: readonly WorkerCommand[],
+    outcome: CommandOutcome,
+  ): void {
+    for (const command of commands) {
+      if (command.op !== "start") continue;
+      const key = taskKey(command.job, command.task, command.attempt);
+      const placement = machine.placements.get(key);
+      if (placement !== undefined) placement.startsInFlight--;
+      if (outcome.kind === "lost" && outcome.mayArrive) {
+        machine.unansweredStarts.set(key, this.context.epoch);
+      } else if (outcome.kind === "answered" && outcome.executed) continue;
+      else if (placement?.state === "sent") placement.state = "planned";
+    }
+  }
+}
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -61,8 +61,7 @@
   }
 
   private findMachine(heartbeat: WorkerHeartbeat, now: number): Machine | null {
-    const { machine, type, zone, spot } = heartbeat;
-    return this.context.findOrAddMachine(machine, type, zone, spot, now);
+    return this.context.findOrAddMachine(heartbeat.machine, heartbeat, now);
   }
 
   /** What the worker says of its machine corrects the record of it, or adds one. */
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -38,6 +38,12 @@
       readonly fields: Record<string, unknown>;
     };
 
+/** What a scale-out asks for. */
+export type RequestedMachines = Pick<
+  Extract<Effect, { kind: "scale out" }>,
+  "type" | "zone" | "spot" | "count"
+>;
+
 /** How a direct request to a worker ended. */
 export type CommandOutcome =
   /** `executed`: false if the worker dropped the commands. */
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -1,43 +1,54 @@
 /**
- * The leader: one state machine for pipelines, machines, quota and commands.
+ * The leader: one state machine for jobs, machines, quotas and commands.
  *
- * It takes inputs (changed records, reports, answers, the passing of time) and returns what to
- * send. It has no clock, socket or randomness of its own. What it wants written is asked for with
- * `nextWrite`, because how much may be written at a time is limited outside.
+ * It takes inputs (changed keys, heartbeats, results, the passing of time) and returns the effects to be carried out.
+ * It has no clock, socket or randomness of its own; times are in seconds of the node's steady clock. What it wants
+ * written is asked for with `nextTransaction`, because how much may be written at a time is limited outside.
  */
 
 import { MachinePool } from "./capacity/machine-pool.js";
+import type { Cluster } from "./cluster.js";
 import { CommandDispatcher } from "./dispatch/command-dispatcher.js";
-import { taskKey } from "./dispatch/placement.js";
+import { DirectRequestResults } from "./dispatch/direct-request-results.js";
 import { isNewer, Reconciler } from "./dispatch/reconciler.js";
 import type {
   CommandOutcome,
   Effect,
+  RequestedMachines,
   ScaleOutResult,
-  SchedulerOptions,
   TransactionOutcome,
 } from "./effects.js";
 import { JobLifecycle } from "./jobs/job-lifecycle.js";
-import { LeaderContext } from "./leader-context.js";
+import { LeaderContext, type LeaderContextOptions } from "./leader-context.js";
+import { FencingTokenAdvance, type StoredEpoch } from "./leadership/fencing-token-advance.js";
+import { takeOver } from "./leadership/takeover.js";
 import { FaultAttribution } from "./machines/fault-attribution.js";
 import type { Machine } from "./machines/machine.js";
 import { MachineMonitor } from "./machines/machine-monitor.js";
-import { runsServiceTasks } from "./machines/machine-predicates.js";
 import type { ListedMachine, MachineType } from "./model/machines.js";
-import type { ClusterSettings } from "./model/settings.js";
 import type { WorkerCommand, WorkerHeartbeat } from "./model/workers.js";
 import { SchedulingCycle } from "./planning/scheduling-cycle.js";
-import type { MachineRecordShard } from "./state/machine-record-shards.js";
 import { OversizedValueHandler } from "./state/oversized-values.js";
 import type { StateReplica } from "./state/state-replica.js";
+import { TransactionResults } from "./state/transaction-results.js";
 import {
   composeTransaction,
   hasPendingWrite,
   type LeaderTransaction,
-  largestValueBytes,
   minimumTransactionChanges,
 } from "./state/write-composer.js";
 
+/** Machines are checked at most so many times in a heartbeat interval. */
+const MACHINE_CHECKS_PER_INTERVAL = 20;
+
+/** What a worker's heartbeat leads to. */
+export interface HeartbeatResult {
+  /** Commands that go with the answer. */
+  readonly commands: WorkerCommand[];
+  readonly effects: Effect[];
+}
+
+/** The leader's state machine, from the moment at which leadership was acquired. */
 export class Scheduler {
   private readonly context: LeaderContext;
   private readonly dispatcher: CommandDispatcher;
@@ -46,308 +57,208 @@
   private readonly monitor: MachineMonitor;
   private readonly jobLifecycle: JobLifecycle;
   private readonly reconciler: Reconciler;
+  private readonly directRequestResults: DirectRequestResults;
   private readonly schedulingCycle: SchedulingCycle;
   private readonly oversizedValues: OversizedValueHandler;
-  private isAdvancingFencingToken = false;
-  private fencingTokenAdvancedAt: number;
-  /** Set while a write is out whose result is not known: nothing else may be written. */
+  private readonly transactionResults: TransactionResults;
+  private readonly fencingTokenAdvance: FencingTokenAdvance;
+  /** A transaction is out whose result is not known: nothing else may be written. */
   private hasTransactionInFlight = false;
 
-  constructor(
-    settings: ClusterSettings,
-    options: SchedulerOptions,
-    epoch: number,
-    epochMark: number,
-    startedAt: number,
-  ) {
-    this.context = new LeaderContext(settings, options, epoch, epochMark, startedAt);
-    this.dispatcher = new CommandDispatcher(this.context);
-    this.faultAttribution = new FaultAttribution(this.context, this.dispatcher);
-    this.machinePool = new MachinePool(this.context, this.dispatcher);
-    this.monitor = new MachineMonitor(this.context, this.dispatcher, this.machinePool);
-    this.jobLifecycle = new JobLifecycle(this.context, this.dispatcher, this.machinePool);
-    const { context, dispatcher: dispatch, faultAttribution: faults, machinePool: fleet } = this;
-    this.reconciler = new Reconciler(context, dispatch, faults, fleet);
-    this.schedulingCycle = new SchedulingCycle(context, dispatch, fleet, this.monitor);
-    this.oversizedValues = new OversizedValueHandler(context, fleet);
-    this.fencingTokenAdvancedAt = startedAt;
+  constructor(options: LeaderContextOptions) {
+    const context = new LeaderContext(options);
+    const dispatcher = new CommandDispatcher(context);
+    const faultAttribution = new FaultAttribution(context, dispatcher);
+    const machinePool = new MachinePool(context, dispatcher);
+    const monitor = new MachineMonitor(context, dispatcher, machinePool);
+    const jobLifecycle = new JobLifecycle(context, dispatcher, machinePool);
+    this.context = context;
+    this.dispatcher = dispatcher;
+    this.faultAttribution = faultAttribution;
+    this.machinePool = machinePool;
+    this.monitor = monitor;
+    this.jobLifecycle = jobLifecycle;
+    this.reconciler = new Reconciler(context, dispatcher, faultAttribution, machinePool);
+    this.directRequestResults = new DirectRequestResults(context, dispatcher, this.reconciler);
+    this.schedulingCycle = new SchedulingCycle(context, dispatcher, machinePool, monitor);
+    this.oversizedValues = new OversizedValueHandler(context, machinePool);
+    const targets = { context, dispatcher, machinePool, jobLifecycle };
+    this.transactionResults = new TransactionResults(targets);
+    this.fencingTokenAdvance = new FencingTokenAdvance(context, dispatcher);
   }
 
-  get cluster() {
+  /** The leader's view, for those that only read it. */
+  get cluster(): Cluster {
     return this.context.cluster;
   }
+
   /** The cloud gives more machines when they are asked for. */
   isGrowing(now: number): boolean {
     return this.machinePool.isGrowing(now);
   }
-  /** Set by the node while it is behind: what can wait is to leave it time. */
-  set overloaded(held: boolean) {
-    this.dispatcher.isOverloaded = held;
-  }
 
-  // ---------------------------------------------------------------- inputs
-
-  /** Everything stored, as of taking the term. */
-  takeOver(records: StateReplica, now: number): Effect[] {
-    this.machinePool.recordShards.load(records.machineShards);
-    for (const g of records.machineShards.values()) {
-      for (const [name, [address, type, zone, spot]] of Object.entries(g.value)) {
-        const machine = this.context.findOrAddMachine(name, type, zone, spot, now);
-        if (machine === null) continue;
-        machine.address = address;
-        machine.isPersisted = true;
-        machine.state = "up";
-        this.context.awaitFirstContact(machine);
-      }
-    }
-    for (const id of records.activeJobs.keys()) this.jobLifecycle.handleJobChange(records, id, now);
-    // Those that a job is needed by may have been read after it.
-    for (const job of this.context.cluster.jobs.values()) {
-      this.jobLifecycle.inheritUrgency(records, job.spec.after ?? []);
-      if (job.placementCount > 0) this.context.cluster.gangStarts.noteStart(job, now);
-    }
-    this.releaseEarlierIncarnations(now);
-    this.restartIncompleteGangs();
-    // They mostly come by themselves within a report interval, and a direct request costs more than
-    // a report: those that run replicas are fenced soon, the others when they are overdue.
-    const up = [...this.context.cluster.machines.values()];
-    for (const m of up) {
-      const { heartbeatIntervalS: reportS, leaseS } = this.context.settings;
-      m.nextRequestAt =
-        now + (runsServiceTasks(m) ? reportS / 4 : Math.max(1.5 * reportS, leaseS / 3));
-      this.dispatcher.dueMachines.add(m);
-    }
-    return this.context.takeEffects();
+  /** Set by the node while it lags behind: what can wait is to leave it time. */
+  set isOverloaded(overloaded: boolean) {
+    this.dispatcher.isOverloaded = overloaded;
   }
 
-  /**
-   * The records may name tasks of a machine's earlier session beside those of a later one, if the former leader
-   * ended before it had stored that the earlier ones are gone. A later session proves that they are. (Nine jobs of a
-   * day waited to its end for such tasks: nothing that the machine reports speaks of them.)
-   */
-  private releaseEarlierIncarnations(now: number): void {
-    for (const m of this.context.cluster.machines.values()) {
-      for (const p of [...m.placements.values()]) {
-        if (p.incarnation < m.incarnation)
-          this.dispatcher.handleTaskLost(p, "earlier session", now);
-      }
-    }
-  }
-
-  /**
-   * A former leader had stored that a gang lost tasks, and ended before it had stopped the others, which is not
-   * stored. Those cannot complete, and nothing is placed for the gang while they are there.
-   */
-  private restartIncompleteGangs(): void {
-    for (const job of this.context.cluster.jobs.values()) {
-      if (job.spec.kind !== "gang" || job.placements.size === 0 || job.pendingCount === 0) continue;
-      this.dispatcher.restartGang(job, "a gang task was lost before this term");
-    }
+  /** False until the first `setMachineTypes`: nothing can be placed or scaled out before. */
+  get hasMachineTypes(): boolean {
+    return this.context.hasMachineTypes;
   }
 
   setMachineTypes(types: readonly MachineType[]): void {
-    this.context.machineTypes = new Map(types.map((t) => [t.name, t]));
+    this.context.machineTypes = new Map(types.map((type) => [type.name, type]));
     this.context.cycleRequested = true;
   }
-  get hasMachineTypes(): boolean {
-    return this.context.machineTypes.size > 0;
+
+  // ---------------------------------------------------------------- stored state
+
+  /** Loads everything stored, once, as of the moment at which leadership was acquired. */
+  takeOver(replica: StateReplica, now: number): Effect[] {
+    const { context, dispatcher, machinePool, jobLifecycle } = this;
+    takeOver({ context, dispatcher, machinePool, jobLifecycle }, replica, now);
+    return this.context.takeEffects();
   }
 
-  /** Some job's keys changed (or were read again after a doubtful write). */
-  handleJobChange(records: StateReplica, id: string, now: number): void {
-    this.jobLifecycle.handleJobChange(records, id, now);
+  /** Some keys of a job changed, or were read again after a transaction with an unknown outcome. */
+  handleJobChange(replica: StateReplica, id: string, now: number): void {
+    this.jobLifecycle.handleJobChange(replica, id, now);
   }
 
-  /** A worker's report came in and is answered with these commands. */
-  handleHeartbeat(
-    r: WorkerHeartbeat,
-    now: number,
-  ): { commands: WorkerCommand[]; outputs: Effect[] } {
-    const before = this.context.cluster.machines.get(r.machine);
-    if (before !== undefined && !isNewer(r, before)) {
+  // ---------------------------------------------------------------- workers
+
+  /** A worker's heartbeat arrived, and is answered with the commands returned. */
+  handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): HeartbeatResult {
+    const known = this.context.cluster.machines.get(heartbeat.machine);
+    if (known !== undefined && !isNewer(heartbeat, known)) {
       // A late copy. Its answer renews nothing that the original did not, and starts nothing.
-      return { commands: [], outputs: this.context.takeEffects() };
+      return { commands: [], effects: this.context.takeEffects() };
     }
-    const m = this.reconciler.handleHeartbeat(r, now);
-    if (m === null) return { commands: [], outputs: this.context.takeEffects() };
-    if (now - m.lastHeartbeatAt > this.context.settings.leaseS / 2)
-      this.context.cycleRequested = true;
-    m.lastHeartbeatAt = now;
-    m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
-    // This answer tells it the token; it reports again at once if that was news to it.
-    if (!m.hasAcknowledgedToken)
-      m.nextRequestAt = Math.max(
-        m.nextRequestAt,
-        now + this.context.settings.heartbeatIntervalS / 4,
-      );
+    const machine = this.reconciler.handleHeartbeat(heartbeat, now);
+    if (machine === null) return { commands: [], effects: this.context.takeEffects() };
+    this.noteAnsweredHeartbeat(machine, now);
     // Stops and forgets can be repeated; starts go only where their fate can be known.
-    const commands = m.hasAcknowledgedToken ? this.dispatcher.commandsFor(m, now, false) : [];
-    this.dispatcher.sendDue(m, now);
-    return { commands, outputs: this.context.takeEffects() };
+    const commands = machine.hasAcknowledgedToken
+      ? this.dispatcher.commandsFor(machine, now, false)
+      : [];
+    this.dispatcher.sendDue(machine, now);
+    return { commands, effects: this.context.takeEffects() };
   }
 
-  /** The former leader, while it may not act, answered a report without commands. */
-  noteGracePeriodAnswer(r: WorkerHeartbeat, now: number): void {
-    const m = this.context.cluster.machines.get(r.machine);
-    if (m === undefined || !isNewer(r, m)) return;
-    m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
-    m.lastMessageAt = Math.max(m.lastMessageAt, now);
+  /** A heartbeat was answered without commands in the grace period, in which this node may not act. */
+  noteGracePeriodAnswer(heartbeat: WorkerHeartbeat, now: number): void {
+    const machine = this.context.cluster.machines.get(heartbeat.machine);
+    if (machine === undefined || !isNewer(heartbeat, machine)) return;
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    machine.lastMessageAt = Math.max(machine.lastMessageAt, now);
   }
 
+  /** Addresses of all workers. */
   workerAddresses(): Set<string> {
-    return new Set([...this.context.cluster.machines.values()].map((m) => m.address));
+    const addresses = new Set<string>();
+    for (const machine of this.context.cluster.machines.values()) addresses.add(machine.address);
+    return addresses;
   }
 
-  /** A direct command was answered, or not. */
+  /** A direct request with these commands was answered, or not. */
   commandsAnswered(
-    machine: string,
+    machineName: string,
     commands: readonly WorkerCommand[],
     outcome: CommandOutcome,
     now: number,
   ): Effect[] {
-    this.dispatcher.tokenRequestsInFlight.delete(machine);
-    const m = this.context.cluster.machines.get(machine);
-    if (m === undefined) return [];
-    m.hasRequestInFlight = false;
-    for (const c of commands) {
-      if (c.op !== "start") continue;
-      const key = taskKey(c.job, c.task, c.attempt);
-      const p = m.placements.get(key);
-      if (p !== undefined) p.startsInFlight--;
-      if (outcome.kind === "lost") {
-        if (outcome.mayArrive) m.unansweredStarts.set(key, this.context.epoch);
-        else if (p !== undefined && p.state === "sent") p.state = "planned";
-      } else if (!outcome.executed && p !== undefined && p.state === "sent") p.state = "planned";
-    }
-    if (outcome.kind === "lost") this.dispatcher.noteUnansweredRequest(m, now);
-    else this.handleDirectAnswer(m, outcome.heartbeat, now);
-    this.dispatcher.sendDue(m, now);
+    this.directRequestResults.applyCommandOutcome(machineName, commands, outcome, now);
     return this.context.takeEffects();
   }
 
-  /** A direct request was answered. */
-  private handleDirectAnswer(m: Machine, report: WorkerHeartbeat, now: number): void {
-    if (m.unreachableSince !== null) this.context.cycleRequested = true;
-    m.unreachableSince = null;
-    this.reconciler.handleHeartbeat(report, now);
-  }
-
-  /** `late`: the answer was not waited for in time, as this node was held up; that tells nothing. */
+  /**
+   * A probe was answered, or not (null). `lateTimeout`: this node was held up and saw the timeout too late, which says
+   * nothing of the worker.
+   */
   probeAnswered(
-    machine: string,
-    report: WorkerHeartbeat | null,
+    machineName: string,
+    heartbeat: WorkerHeartbeat | null,
     now: number,
-    late = false,
+    lateTimeout = false,
   ): Effect[] {
-    this.dispatcher.probesInFlight.delete(machine);
-    const m = this.context.cluster.machines.get(machine);
-    if (m === undefined) return [];
-    m.hasRequestInFlight = false;
-    if (report !== null) this.handleDirectAnswer(m, report, now);
-    else if (late) m.nextRequestAt = now + this.context.settings.heartbeatIntervalS / 3;
-    else this.dispatcher.noteUnansweredRequest(m, now);
-    this.dispatcher.sendDue(m, now);
+    this.directRequestResults.applyProbeAnswer(machineName, heartbeat, now, lateTimeout);
     return this.context.takeEffects();
   }
 
   // ---------------------------------------------------------------- time
 
+  /** Time passed. `wallMs`: the time of day, in milliseconds. */
   tick(now: number, wallMs: number): Effect[] {
-    if (now - this.monitor.checkedAt >= this.context.settings.heartbeatIntervalS / 20) {
+    const checkIntervalS = this.context.settings.heartbeatIntervalS / MACHINE_CHECKS_PER_INTERVAL;
+    if (now - this.monitor.checkedAt >= checkIntervalS) {
       this.monitor.checkMachines(now);
-      this.checkUnansweredStarts(now);
+      this.fencingTokenAdvance.requestIfNeeded(now);
     }
     this.faultAttribution.drainSlowMachines(now);
     this.faultAttribution.review(now);
     this.schedulingCycle.runIfDue(now, wallMs);
     this.machinePool.runCloudRequests(now);
-    for (const m of [...this.dispatcher.dueMachines]) this.dispatcher.sendDue(m, now);
+    for (const machine of [...this.dispatcher.dueMachines]) this.dispatcher.sendDue(machine, now);
     return this.context.takeEffects();
   }
 
-  /** Unanswered starts that matter (cancelled, or ended and not to be forgotten) need a new token. */
-  private checkUnansweredStarts(now: number): void {
-    if (
-      this.isAdvancingFencingToken ||
-      now - this.fencingTokenAdvancedAt < this.context.settings.leaseS / 2
-    )
-      return;
-    for (const m of this.context.cluster.machines.values()) {
-      if (m.unansweredStarts.size === 0 || m.state !== "up" || !m.hasAcknowledgedToken) continue;
-      if (now - m.lastMessageAt > 2 * this.context.settings.heartbeatIntervalS) continue;
-      for (const key of m.unansweredStarts.keys()) {
-        const p = m.placements.get(key);
-        const matters =
-          p === undefined ? m.exitedTasks.has(key) : p.stop !== null && p.state === "sent";
-        if (!matters) continue;
-        this.isAdvancingFencingToken = true;
-        this.context.effects.push({ kind: "advance fencing token" });
-        return;
-      }
-    }
-  }
-
-  /** The epoch was raised, or not (null), to fence off late starts. */
-  fencingTokenAdvanced(epoch: { n: number; mark: number } | null, now: number): Effect[] {
-    this.isAdvancingFencingToken = false;
-    this.fencingTokenAdvancedAt = now;
-    if (epoch === null) return [];
-    this.context.epoch = epoch.n;
-    this.context.epochModRevision = epoch.mark;
-    for (const m of this.context.cluster.machines.values()) {
-      m.hasAcknowledgedToken = false;
-      this.dispatcher.dueMachines.add(m);
-    }
-    for (const m of [...this.dispatcher.dueMachines]) this.dispatcher.sendDue(m, now);
+  /** The fencing token was advanced to a new epoch, or not (null). */
+  fencingTokenAdvanced(stored: StoredEpoch | null, now: number): Effect[] {
+    this.fencingTokenAdvance.finish(stored, now);
     return this.context.takeEffects();
   }
 
   // ---------------------------------------------------------------- cloud
 
-  scaleOutAnswered(
-    request: { type: string; zone: string; spot: boolean; count: number },
-    result: ScaleOutResult,
-    now: number,
-  ): Effect[] {
-    this.machinePool.handleScaleOutResult(request, result, now);
+  scaleOutAnswered(requested: RequestedMachines, result: ScaleOutResult, now: number): Effect[] {
+    this.machinePool.handleScaleOutResult(requested, result, now);
     return this.context.takeEffects();
   }
 
+  /** `ok`: all of these machines, and everything on them, are gone for certain. */
   releaseAnswered(machines: readonly string[], ok: boolean, now: number): Effect[] {
     this.machinePool.handleReleaseResult(machines, ok, now);
     return this.context.takeEffects();
   }
 
+  /** Null: the cloud gave no list. */
   machineListAnswered(machines: readonly ListedMachine[] | null, now: number): Effect[] {
     this.machinePool.handleMachineList(machines, now);
     return this.context.takeEffects();
   }
 
-  // ---------------------------------------------------------------- writes
+  // ---------------------------------------------------------------- transactions
 
-  /** The next transaction, or null if there is nothing to write. At most `maxOps` changes. */
+  /**
+   * The next transaction, or null if there is nothing to write or an earlier one is out. Its result is to be given to
+   * `transactionEnded`. `urgentOnly`: progress, and what is no more, can wait.
+   */
   nextTransaction(
-    maxOps: number,
+    maxChanges: number,
     maxBytes: number,
     urgentOnly = false,
     now = 0,
   ): LeaderTransaction | null {
-    if (this.hasTransactionInFlight || this.isAdvancingFencingToken) return null;
-    const maySendValue = (bytes: number): boolean =>
-      this.context.valueSizeLimit.mayWrite(bytes, now);
-    const priorityStepS = this.context.settings.heartbeatIntervalS;
-    const limits = { maxChanges: maxOps, maxBytes, urgentOnly, maySendValue, priorityStepS };
-    const w = composeTransaction(
-      this.context.cluster,
+    if (this.hasTransactionInFlight || this.fencingTokenAdvance.isInFlight) return null;
+    const { cluster, valueSizeLimit, epochModRevision, settings } = this.context;
+    const transaction = composeTransaction(
+      cluster,
       this.machinePool.recordShards,
-      this.context.epochModRevision,
-      limits,
+      epochModRevision,
+      {
+        maxChanges,
+        maxBytes,
+        urgentOnly,
+        maySendValue: (bytes) => valueSizeLimit.mayWrite(bytes, now),
+        priorityStepS: settings.heartbeatIntervalS,
+      },
     );
-    this.hasTransactionInFlight = w !== null;
-    return w;
+    this.hasTransactionInFlight = transaction !== null;
+    return transaction;
   }
 
-  /** Changes that the next transaction must have room for. */
+  /** Changes that must fit the next transaction. */
   get minimumTransactionChanges(): number {
     return Math.min(this.context.settings.txnOps, minimumTransactionChanges(this.context.cluster));
   }
@@ -356,70 +267,33 @@
     return hasPendingWrite(this.context.cluster, this.machinePool.recordShards);
   }
 
-  /** A single value was refused for what it holds; nothing else was in its transaction. */
-  handleRefusedValue(w: LeaderTransaction, now: number): void {
-    this.oversizedValues.handleRefusedValue(w, now);
+  /** The only value of this transaction was refused for its size. */
+  handleRefusedValue(transaction: LeaderTransaction, now: number): void {
+    this.oversizedValues.handleRefusedValue(transaction, now);
   }
 
   /**
-   * How a write ended. After `conflict` and `unknown` the caller has read the records again and
-   * given them to `recordChanged` before it calls this.
+   * A transaction ended. After `conflict` and `unknown` the caller has read the stored state again, and given it to
+   * `handleJobChange`, before it calls this.
    */
   transactionEnded(
-    w: LeaderTransaction,
+    transaction: LeaderTransaction,
     outcome: TransactionOutcome,
-    records: StateReplica,
+    replica: StateReplica,
     now: number,
   ): Effect[] {
     this.hasTransactionInFlight = false;
-    if (outcome.kind === "committed") this.applyCommitted(w, outcome.revision);
-    else if (outcome.kind !== "refused") this.reconcileWithReplica(w, records, now);
-    const machines = new Set<Machine>();
-    for (const { job } of w.jobWrites) {
-      for (const p of job.allPlacements()) if (p.state === "planned") machines.add(p.machine);
-    }
-    for (const m of machines) this.dispatcher.sendDue(m, now);
+    this.transactionResults.apply(transaction, outcome, replica, now);
     return this.context.takeEffects();
   }
 
-  private applyCommitted(w: LeaderTransaction, revision: number): void {
-    if (this.context.valueSizeLimit.isReduced)
-      this.context.valueSizeLimit.recordAccepted(largestValueBytes(w));
-    for (const { job, version, parts, closed } of w.jobWrites) {
-      if (version === null) {
-        const state = job.isCancelled ? "cancelled" : "done";
-        this.context.log("job over", { job: job.spec.id, state });
-        this.context.cluster.jobs.delete(job.spec.id);
-        continue;
-      }
-      for (const part of parts) job.markPersisted(part, version, revision);
-      for (const part of closed) job.removeShard(part);
-    }
-    for (const { group, version, names } of w.machineShardWrites) {
-      group.modRevision = revision;
-      group.persistedVersion = Math.max(group.persistedVersion, version);
-      for (const name of names) this.markMachinePersisted(name, group);
-    }
-  }
-
-  private markMachinePersisted(name: string, group: MachineRecordShard): void {
-    const m = this.context.cluster.machines.get(name);
-    if (m === undefined || m.isPersisted) return;
-    m.isPersisted = true;
-    group.unpersistedMachines--;
-    this.context.cycleRequested = true;
-  }
-
-  /** Whatever became of the write, the records that were read after it tell what is stored. */
-  private reconcileWithReplica(w: LeaderTransaction, records: StateReplica, now: number): void {
-    this.machinePool.recordShards.refreshModRevisions(records);
-    for (const { job } of w.jobWrites) {
-      const { id } = job.spec;
-      const live = records.activeJobs.get(id);
-      if (live !== undefined) job.refreshFromReplica(live, records.shardsOf(id));
-      this.jobLifecycle.handleJobChange(records, id, now);
-      if (!records.activeJobs.has(id) && records.finalRecords.has(id))
-        this.jobLifecycle.remove(job, now);
-    }
+  private noteAnsweredHeartbeat(machine: Machine, now: number): void {
+    const { leaseS, heartbeatIntervalS } = this.context.settings;
+    if (now - machine.lastHeartbeatAt > leaseS / 2) this.context.cycleRequested = true;
+    machine.lastHeartbeatAt = now;
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    // The answer tells it the fencing token; if that was news to it, its next heartbeat follows at once.
+    if (machine.hasAcknowledgedToken) return;
+    machine.nextRequestAt = Math.max(machine.nextRequestAt, now + heartbeatIntervalS / 4);
   }
 }
--- /dev/null
+++ b/src/core/state/transaction-results.ts
@@ -0,0 +1,113 @@
+/** What the end of a transaction says about what is stored. */
+
+import { assertNever } from "../assert-never.js";
+import type { MachinePool } from "../capacity/machine-pool.js";
+import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
+import type { TransactionOutcome } from "../effects.js";
+import type { JobLifecycle } from "../jobs/job-lifecycle.js";
+import type { LeaderContext } from "../leader-context.js";
+import type { Machine } from "../machines/machine.js";
+import type { MachineRecordShard } from "./machine-record-shards.js";
+import type { StateReplica } from "./state-replica.js";
+import { type LeaderTransaction, largestValueBytes } from "./write-composer.js";
+
+/** Parts of the leader that the end of a transaction concerns. */
+export interface TransactionResultTargets {
+  readonly context: LeaderContext;
+  readonly dispatcher: CommandDispatcher;
+  readonly machinePool: MachinePool;
+  readonly jobLifecycle: JobLifecycle;
+}
+
+/** Applies the results of the leader's transactions to its view. */
+export class TransactionResults {
+  private readonly context: LeaderContext;
+  private readonly dispatcher: CommandDispatcher;
+  private readonly machinePool: MachinePool;
+  private readonly jobLifecycle: JobLifecycle;
+
+  constructor(targets: TransactionResultTargets) {
+    this.context = targets.context;
+    this.dispatcher = targets.dispatcher;
+    this.machinePool = targets.machinePool;
+    this.jobLifecycle = targets.jobLifecycle;
+  }
+
+  /** A transaction ended; see `Scheduler.transactionEnded`. */
+  apply(
+    transaction: LeaderTransaction,
+    outcome: TransactionOutcome,
+    replica: StateReplica,
+    now: number,
+  ): void {
+    switch (outcome.kind) {
+      case "committed":
+        this.applyCommitted(transaction, outcome.revision);
+        break;
+      case "conflict":
+      case "unknown":
+        this.reconcile(transaction, replica, now);
+        break;
+      case "refused":
+        break;
+      default:
+        assertNever(outcome);
+    }
+    this.sendPersistedStarts(transaction, now);
+  }
+
+  private applyCommitted(transaction: LeaderTransaction, revision: number): void {
+    const { valueSizeLimit } = this.context;
+    if (valueSizeLimit.isReduced) valueSizeLimit.recordAccepted(largestValueBytes(transaction));
+    this.applyJobWrites(transaction, revision);
+    for (const { group, version, names } of transaction.machineShardWrites) {
+      group.modRevision = revision;
+      group.persistedVersion = Math.max(group.persistedVersion, version);
+      for (const name of names) this.markMachinePersisted(name, group);
+    }
+  }
+
+  /** Whatever became of the transaction, the replica, which was read after it, tells what is stored. */
+  private reconcile(transaction: LeaderTransaction, replica: StateReplica, now: number): void {
+    this.machinePool.recordShards.refreshModRevisions(replica);
+    for (const { job } of transaction.jobWrites) {
+      const { id } = job.spec;
+      const stored = replica.activeJobs.get(id);
+      if (stored !== undefined) job.refreshFromReplica(stored, replica.shardsOf(id));
+      this.jobLifecycle.handleJobChange(replica, id, now);
+      if (stored === undefined && replica.finalRecords.has(id)) this.jobLifecycle.remove(job, now);
+    }
+  }
+
+  private applyJobWrites(transaction: LeaderTransaction, revision: number): void {
+    for (const { job, version, parts, closed } of transaction.jobWrites) {
+      if (version === null) {
+        const state = job.isCancelled ? "cancelled" : "done";
+        this.context.log("job finished", { job: job.spec.id, state });
+        this.context.cluster.jobs.delete(job.spec.id);
+        continue;
+      }
+      for (const shard of parts) job.markPersisted(shard, version, revision);
+      for (const shard of closed) job.removeShard(shard);
+    }
+  }
+
+  private markMachinePersisted(name: string, shard: MachineRecordShard): void {
+    const machine = this.context.cluster.machines.get(name);
+    if (machine === undefined || machine.isPersisted) return;
+    machine.isPersisted = true;
+    shard.unpersistedMachines--;
+    this.context.cycleRequested = true;
+  }
+
+  /** Starts that waited for this transaction go out. */
+  private sendPersistedStarts(transaction: LeaderTransaction, now: number): void {
+    const machines = new Set<Machine>();
+    for (const { job } of transaction.jobWrites) {
+      for (const placement of job.allPlacements()) {
+        if (placement.state === "planned") machines.add(placement.machine);
+      }
+    }
+    for (const machine of machines) this.dispatcher.sendDue(machine, now);
+  }
+}
--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -31,7 +31,7 @@
   handleLag(lagS: number, isOverloaded: boolean): void {
     const { leadership, load, log } = this.options;
     const leading = leadership.current;
-    if (leading !== null) leading.scheduler.overloaded = isOverloaded;
+    if (leading !== null) leading.scheduler.isOverloaded = isOverloaded;
     const line = load.line(lagS);
     if (line !== null) log.info({ leads: leading !== null, ...line }, "load");
   }
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -167,7 +167,7 @@
       term.epochModRevision = this.records.epoch.modRevision;
       this.options.log.info({ epoch: n }, "token raised");
       this.options.performEffects(
-        scheduler.fencingTokenAdvanced({ n, mark: term.epochModRevision }, now),
+        scheduler.fencingTokenAdvanced({ epoch: n, modRevision: term.epochModRevision }, now),
       );
     } else if (this.records.epoch.value.n > term.epoch)
       this.stepDown("epoch taken while raising it");
--- a/src/node/scheduler-factory.ts
+++ b/src/node/scheduler-factory.ts
@@ -24,7 +24,13 @@
   create(epoch: number, epochModRevision: number, now: number): Scheduler {
     const { settings, machineTypes } = this.options;
     const options = this.schedulerOptions();
-    const scheduler = new Scheduler(settings.cluster, options, epoch, epochModRevision, now);
+    const scheduler = new Scheduler({
+      settings: settings.cluster,
+      options,
+      epoch,
+      epochModRevision,
+      startedAt: now,
+    });
     scheduler.setMachineTypes(machineTypes.known);
     return scheduler;
   }
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -65,10 +65,10 @@
   ): HeartbeatAnswer {
     const { term, scheduler } = leading;
     if (!term.mayAct(receivedAt)) return this.handleInGracePeriod(leading, heartbeat, receivedAt);
-    const { commands, outputs } = scheduler.handleHeartbeat(heartbeat, receivedAt);
+    const { commands, effects } = scheduler.handleHeartbeat(heartbeat, receivedAt);
     // Its effects may end the term.
     const fencingToken = term.epoch;
-    this.options.performEffects(outputs);
+    this.options.performEffects(effects);
     this.options.onHeartbeatHandled();
     return { kind: "answer", fencingToken, commands };
   }
--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -69,8 +69,8 @@
   const { lastMessageAt: lastHeard, leaseRenewedAt: lastRenewed } = m;
   h.now += 2;
   h.takeTrace();
-  const { commands, outputs } = h.scheduler.handleHeartbeat(old, h.now);
-  assert.deepEqual([commands, outputs], [[], []]);
+  const { commands, effects } = h.scheduler.handleHeartbeat(old, h.now);
+  assert.deepEqual([commands, effects], [[], []]);
   assert.deepEqual([m.lastMessageAt, m.leaseRenewedAt], [lastHeard, lastRenewed]);
   h.scheduler.noteGracePeriodAnswer(old, h.now);
   assert.deepEqual([m.lastMessageAt, m.leaseRenewedAt], [lastHeard, lastRenewed]);
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -170,8 +170,8 @@
     return leader.makeHeartbeat(machine, [taskStatus("gang", task, 1, state)], { type: "big" });
   };
   const receive = (machine: string, state: TaskState): void => {
-    const { outputs } = leader.scheduler.handleHeartbeat(heartbeat(machine, state), leader.now);
-    leader.performEffects(outputs);
+    const { effects } = leader.scheduler.handleHeartbeat(heartbeat(machine, state), leader.now);
+    leader.performEffects(effects);
   };
   const takeSent = (): string[] => {
     const requests = leader.unansweredRequests.splice(0);
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -90,7 +90,7 @@
   assert.equal(/forget/.test(t), false);
   assert.match(t, /raise the token/);
   h.epoch = 2;
-  h.performEffects(h.scheduler.fencingTokenAdvanced({ n: 2, mark: 50 }, h.now));
+  h.performEffects(h.scheduler.fencingTokenAdvanced({ epoch: 2, modRevision: 50 }, h.now));
   assert.equal(h.takeTrace(), "\nsend m1a: fence\nsend m2b: fence\n");
   h.answerRequest([taskStatus("j", 0, 1, "exited", "done")]);
   h.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
@@ -145,7 +145,7 @@
   assert.match(t, /raise the token/);
   assert.equal(/d\/j cancelled/.test(t), false);
   h.epoch = 2;
-  h.performEffects(h.scheduler.fencingTokenAdvanced({ n: 2, mark: 50 }, h.now));
+  h.performEffects(h.scheduler.fencingTokenAdvanced({ epoch: 2, modRevision: 50 }, h.now));
   h.takeTrace();
   h.answerRequest([]);
   assert.match(h.takeTrace(), /write d\/j cancelled; remove p\/j; remove x\/j/);
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -24,7 +24,7 @@
 test("an overloaded leader does not step down for heartbeats that it has not read yet", () => {
   const stepsDown = (overloaded: boolean): boolean => {
     const leader = leaderWith(8);
-    leader.scheduler.overloaded = overloaded;
+    leader.scheduler.isOverloaded = overloaded;
     leader.takeTrace();
     // Time enough for heartbeats of all, but only one of eight machines sends any.
     for (let second = 0; second < 14; second++) {
--- a/tests/support/simulated-effects.ts
+++ b/tests/support/simulated-effects.ts
@@ -10,7 +10,7 @@
 type EffectOf<Kind extends Effect["kind"]> = Extract<Effect, { kind: Kind }>;
 
 /** Log lines of the leader that help to read a trace. */
-const TRACED_LOG_MESSAGES = new Set(["task lost", "scale in", "orphaned task", "job over"]);
+const TRACED_LOG_MESSAGES = new Set(["task lost", "scale in", "orphaned task", "job finished"]);
 
 export class SimulatedEffects {
   /** The cloud releases nothing until then. */
@@ -202,7 +202,7 @@
         leader.epochRevision = leader.replica.epoch.modRevision;
         trace.add(`token ${n}`);
       }
-      const advanced = isCommitted ? { n, mark: leader.epochRevision } : null;
+      const advanced = isCommitted ? { epoch: n, modRevision: leader.epochRevision } : null;
       this.hand(leader, () => leader.scheduler.fencingTokenAdvanced(advanced, clock.now));
     });
   }
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -75,9 +75,9 @@
     }
     if (isPartitioned) return null;
     if (leader === null) return this.answerBetweenLeaders(heartbeat);
-    const { commands, outputs } = leader.scheduler.handleHeartbeat(heartbeat, clock.now);
+    const { commands, effects } = leader.scheduler.handleHeartbeat(heartbeat, clock.now);
     const token = leader.epoch;
-    this.effects.perform(leader, outputs);
+    this.effects.perform(leader, effects);
     return { token, commands };
   }
 
--- a/tests/support/simulated-leader-loop.ts
+++ b/tests/support/simulated-leader-loop.ts
@@ -60,7 +60,13 @@
       logsTasks: true,
       controllersPerZone: new Map<string, number>(),
     };
-    const scheduler = new Scheduler(cluster.settings, options, epoch, epochRevision, clock.now);
+    const scheduler = new Scheduler({
+      settings: cluster.settings,
+      options,
+      epoch,
+      epochModRevision: epochRevision,
+      startedAt: clock.now,
+    });
     scheduler.setMachineTypes(cluster.types);
     const leader: SimulatedLeader = {
       scheduler,
--- a/tests/support/simulated-workers.ts
+++ b/tests/support/simulated-workers.ts
@@ -120,9 +120,9 @@
     if (!hasExits && sinceHeartbeatS < HEARTBEAT_INTERVAL_S) return;
     this.lastHeartbeatAt.set(name, leader.now);
     const heartbeat = this.heartbeatOf(name);
-    const { commands, outputs } = leader.scheduler.handleHeartbeat(heartbeat, leader.now);
+    const { commands, effects } = leader.scheduler.handleHeartbeat(heartbeat, leader.now);
     for (const command of commands) this.execute(name, command);
-    leader.performEffects(outputs);
+    leader.performEffects(effects);
   }
 
   private exitTask(task: WorkerTask, cause: TaskStatus["cause"]): void {
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -77,7 +77,13 @@
       logsTasks: options.logsTasks ?? true,
       controllersPerZone: options.controllersPerZone ?? new Map<string, number>(),
     };
-    this.scheduler = new Scheduler(cluster, schedulerOptions, epoch, this.revision, this.now);
+    this.scheduler = new Scheduler({
+      settings: cluster,
+      options: schedulerOptions,
+      epoch,
+      epochModRevision: this.revision,
+      startedAt: this.now,
+    });
     this.scheduler.setMachineTypes(MACHINE_TYPES);
     this.performEffects(this.scheduler.takeOver(this.replica, this.now));
   }
@@ -171,16 +177,16 @@
   ): void {
     const heartbeat = this.makeHeartbeat(machine, tasks, change);
     this.traceLines.push(`> ${machine} reports ${describeHeartbeat(heartbeat)}`);
-    const { commands, outputs } = this.scheduler.handleHeartbeat(heartbeat, this.now);
+    const { commands, effects } = this.scheduler.handleHeartbeat(heartbeat, this.now);
     for (const command of commands) this.traceLines.push(`answer ${describeCommand(command)}`);
-    this.performEffects(outputs);
+    this.performEffects(effects);
     this.tick();
   }
 
   /** A heartbeat, with nothing written down and no time passing. */
   receiveHeartbeatOnly(machine: string, tasks: TaskStatus[]): void {
     const heartbeat = this.makeHeartbeat(machine, tasks);
-    this.performEffects(this.scheduler.handleHeartbeat(heartbeat, this.now).outputs);
+    this.performEffects(this.scheduler.handleHeartbeat(heartbeat, this.now).effects);
   }
 
   /** A heartbeat of the machine's worker, not yet received. */
