--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -114,7 +114,7 @@
     if (stored.value === epoch && leader?.value.leaseId === term.leaseId) {
       term.advanceEpoch(epoch, stored.modRevision);
       log.info({ epoch }, "fencing token advanced");
-      const advanced = { n: epoch, mark: stored.modRevision };
+      const advanced = { epoch, modRevision: stored.modRevision };
       performEffects(scheduler.fencingTokenAdvanced(advanced, advancedAt));
     } else if (stored.value > term.epoch) {
       this.stepDown("the epoch was advanced by another controller");
--- a/tests/support/simulated-effects.ts
+++ b/tests/support/simulated-effects.ts
@@ -202,7 +202,7 @@
         leader.epochRevision = leader.replica.epoch.modRevision;
         trace.add(`token ${n}`);
       }
-      const advanced = isCommitted ? { n, mark: leader.epochRevision } : null;
+      const advanced = isCommitted ? { epoch: n, modRevision: leader.epochRevision } : null;
       this.hand(leader, () => leader.scheduler.fencingTokenAdvanced(advanced, clock.now));
     });
   }
