--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -1,20 +1,22 @@
 /** Where the tasks of a job failed, and what is concluded from it. */
 
-/** Since when a job is suspected of failing everywhere, and tries that have failed since. */
+/** A job is suspected of failing on any machine. */
 export interface Suspicion {
+  /** When the suspicion arose, in seconds. */
   readonly since: number;
+  /** Attempts that have failed since. */
   failedRetries: number;
 }
 
 export class FailureHistory {
-  /** Machines on which a task of it failed, and until when it keeps off them. */
-  private readonly avoidedMachines = new Map<string, number>();
   /** Machines on which a task of it ever failed; a few are enough to know. */
   readonly failedMachines = new Set<string>();
   /** The longest that a task of it ran before it failed, in seconds. */
   longestRunBeforeFailureS = 0;
-  /** It fails wherever it goes, as far as is known. */
+  /** Null: nothing speaks against the job. */
   suspicion: Suspicion | null = null;
+  /** Machines that the job avoids, and until when, in seconds. */
+  private readonly avoidedMachines = new Map<string, number>();
 
   avoid(machine: string, until: number): void {
     this.avoidedMachines.set(machine, until);
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,4 +1,4 @@
-/** When gangs of each class and size began, over the users' bound on beginning. */
+/** How many gangs of each class and size started lately, within the users' bound on starting. */
 import { START_BOUND_S } from "../model/constants.js";
 import type { JobSpec } from "../model/jobs.js";
 
@@ -9,12 +9,12 @@
 /** Names the class and size that a gang belongs to. */
 export const gangSizeKey = (spec: JobSpec): string => `${spec.class} ${spec.tasks}`;
 
-/** Times at which gangs began, by class and size. Not stored: a successor counts anew. */
+/** Times at which gangs started, by class and size. Not stored: a new leader counts anew. */
 export class GangStarts {
   private readonly startTimes = new Map<string, number[]>();
   private readonly counted = new WeakSet<StartedJob>();
 
-  /** A job was placed. It counts once, however often it starts again. */
+  /** A job was placed. A gang counts once, however often it starts again; other jobs do not count. */
   noteStart(job: StartedJob, now: number): void {
     if (job.spec.kind !== "gang" || this.counted.has(job)) return;
     this.counted.add(job);
@@ -24,7 +24,7 @@
     else times.push(now);
   }
 
-  /** How many of a class and size began lately. */
+  /** How many of a class and size started within the last `START_BOUND_S` seconds. */
   recentStarts(key: string, now: number): number {
     const times = this.startTimes.get(key);
     if (times === undefined) return 0;
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * The life of a job in the leader's hands: read from the records, cancelled, released by the ends of those that it
- * names, and dropped once its own end is stored.
+ * The life of a job in the leader's view: loaded from the stored state, cancelled, unblocked by the outcomes of its
+ * dependencies, and removed once its final record is stored.
  */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
@@ -14,13 +14,27 @@
 import { maxValueBytes } from "../state/job-values.js";
 import {
   type StateReplica,
+  type StoredJob,
   type StoredPlacements,
   storedPlacementRanges,
+  type Versioned,
 } from "../state/state-replica.js";
 import { ActiveJob } from "./active-job.js";
 import { eventName, isEventExcluded, residuateByEvent, residuateByOutcome } from "./pipeline.js";
+import type { CancellationCause } from "./sharded-job.js";
 import { TaskRanges } from "./task-ranges.js";
 
+/** Share of the largest value that an unsharded job may come to; beyond that it is resharded. */
+const FILL_RATIO = 0.95;
+
+/** Stored placements cannot be loaded before the catalog of machine types is known. */
+export class UnknownMachineTypesError extends Error {
+  constructor() {
+    super("machine types unknown");
+    this.name = "UnknownMachineTypesError";
+  }
+}
+
 export class JobLifecycle {
   constructor(
     private readonly context: LeaderContext,
@@ -28,102 +42,140 @@
     private readonly machinePool: MachinePool,
   ) {}
 
-  /** Some job's keys changed (or were read again after a doubtful write). */
-  handleJobChange(records: StateReplica, id: string, now: number): void {
-    const stored = records.activeJobs.get(id);
-    let job = this.context.cluster.jobs.get(id);
+  /**
+   * Some keys of a job changed, or were read again after a transaction with an unknown outcome.
+   * Throws `UnknownMachineTypesError`.
+   */
+  handleJobChange(replica: StateReplica, id: string, now: number): void {
+    const stored = replica.activeJobs.get(id);
+    const known = this.context.cluster.jobs.get(id);
     if (stored === undefined) {
-      if (job !== undefined && records.finalRecords.has(id)) this.remove(job, now);
-      this.applyOutcomeToDependents(records, id, now);
+      if (known !== undefined && replica.finalRecords.has(id)) this.remove(known, now);
+      this.applyOutcomeToDependents(replica, id, now);
       return;
     }
-    if (job === undefined) {
-      const bytes = this.context.valueSizeLimit.plannedBytes;
-      const inParts = needsShards(stored.value.j, bytes);
-      const size = inParts ? initialShardSize(stored.value.j, bytes) : null;
-      job = new ActiveJob(stored.value, stored.modRevision, records.shardsOf(id), size);
-      this.context.cluster.jobs.set(id, job);
-      this.adoptPlacements(job, stored.value.pl, 0, now);
-      for (const [n, part] of records.shardsOf(id)) {
-        this.adoptPlacements(job, part.value.pl, n * (job.shardSize ?? 0), now);
-      }
-      const bound = 0.95 * bytes;
-      if (job.shardSize === null && job.isStartAccepted && maxValueBytes(job) > bound) {
-        job.reshard(reshardingSize(job.spec, bytes, this.context.settings.txnOps));
-      }
-      for (const other of job.spec.after ?? []) this.applyOutcome(records, job, other);
-      if (!job.isBlockedOnDependencies) this.machinePool.noteJobShape(job.spec);
-      this.inheritUrgency(records, job.spec.after ?? []);
-      if (isEventExcluded(job.dependencies, eventName("start", id))) this.cancel(job, now);
+    if (known !== undefined) refreshJob(known, stored, replica);
+    const job = known ?? this.loadJob(replica, stored, now);
+    if (!replica.cancellations.has(id)) return;
+    if (job.isCancelled) job.cancellation = "by user";
+    else this.cancel(replica, job, "by user", now);
+  }
+
+  /**
+   * Priority and urgency of a job flow up to all its dependencies, direct or not: each has the highest priority, and
+   * leaves to its dependents, along the longest path, the time that they will take. `ids`: where to begin.
+   */
+  inheritUrgency(replica: StateReplica, ids: readonly string[]): void {
+    const changed = [...ids];
+    for (let id = changed.pop(); id !== undefined; id = changed.pop()) {
+      const job = this.context.cluster.jobs.get(id);
+      if (job === undefined || !this.updateUrgency(replica, job)) continue;
       this.context.cycleRequested = true;
-    } else {
-      if (stored.modRevision > job.mainShard.modRevision)
-        job.markPersisted(job.mainShard, stored.value.v, stored.modRevision);
-      for (const [n, { value, modRevision: mark }] of records.shardsOf(id)) {
-        const part = job.shards.get(n);
-        if (part !== undefined && mark > part.modRevision) job.markPersisted(part, value.v, mark);
-      }
+      changed.push(...(job.spec.after ?? []));
     }
-    if (records.cancellations.has(id)) job.cancelledByUser = true;
-    if (records.cancellations.has(id) && !job.isCancelled) {
-      this.cancel(job, now);
-      this.inheritUrgency(records, job.spec.after ?? []);
+  }
+
+  /** Its final record is stored: nothing of it is left. */
+  remove(job: ActiveJob, now: number): void {
+    for (const placement of [...job.allPlacements()]) {
+      this.context.cluster.releasePlacement(placement, now);
     }
+    this.context.cluster.jobs.delete(job.spec.id);
+    this.context.cycleRequested = true;
   }
 
-  /** `first`: the number of the first task that these stand for. */
+  private loadJob(replica: StateReplica, stored: Versioned<StoredJob>, now: number): ActiveJob {
+    const spec = stored.value.j;
+    const { plannedBytes } = this.context.valueSizeLimit;
+    const shards = replica.shardsOf(spec.id);
+    const job = new ActiveJob({
+      stored,
+      shards,
+      initialShardSize: needsShards(spec, plannedBytes)
+        ? initialShardSize(spec, plannedBytes)
+        : null,
+    });
+    this.context.cluster.jobs.set(spec.id, job);
+    this.adoptPlacements(job, stored.value.pl, 0, now);
+    for (const [index, shard] of shards) {
+      this.adoptPlacements(job, shard.value.pl, index * (job.shardSize ?? 0), now);
+    }
+    this.reshardIfTooLarge(job, plannedBytes);
+    this.loadDependencies(replica, job, now);
+    this.context.cycleRequested = true;
+    return job;
+  }
+
+  /** It stands in one value, stored when values might be larger. */
+  private reshardIfTooLarge(job: ActiveJob, plannedBytes: number): void {
+    if (job.shardSize !== null || !job.isStartAccepted) return;
+    if (maxValueBytes(job) <= FILL_RATIO * plannedBytes) return;
+    job.reshard(reshardingSize(job.spec, plannedBytes, this.context.settings.txnOps));
+  }
+
+  private loadDependencies(replica: StateReplica, job: ActiveJob, now: number): void {
+    const dependencies = job.spec.after ?? [];
+    for (const dependency of dependencies) this.applyOutcome(replica, job, dependency);
+    if (!job.isBlockedOnDependencies) this.machinePool.noteJobShape(job.spec);
+    this.inheritUrgency(replica, dependencies);
+    if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
+  }
+
+  /** `firstTask`: the task that number 0 stands for in what is stored. */
   private adoptPlacements(
     job: ActiveJob,
     stored: readonly StoredPlacements[],
-    first: number,
+    firstTask: number,
     now: number,
-  ) {
-    for (const { machine: name, incarnation: session, attempt, tasks } of storedPlacementRanges(
-      stored,
-    )) {
-      let m = this.context.cluster.machines.get(name);
-      if (m === undefined) {
-        // No record of the machine: a stand-in that counts until the cloud says it is gone.
-        const type = [...this.context.machineTypes.values()][0];
-        if (type === undefined) throw new Error("machine types unknown");
-        m = new Machine(name, type, UNKNOWN_ZONE, false, now);
-        m.state = "up";
-        this.context.awaitFirstContact(m);
-        this.context.cluster.machines.set(name, m);
-        this.machinePool.requestRelease(m, "no record of it");
-      }
+  ): void {
+    for (const { machine: name, incarnation, attempt, tasks } of storedPlacementRanges(stored)) {
+      const machine =
+        this.context.cluster.machines.get(name) ?? this.addUnrecordedMachine(name, now);
       for (const task of TaskRanges.parse(tasks)) {
-        const p = new Placement(job, first + task, attempt, m, session, 0, now);
-        p.state = "loaded";
+        const number = firstTask + task;
+        const placement = new Placement(job, number, attempt, machine, incarnation, 0, now);
+        placement.state = "loaded";
         // Whether any ran under the former leader is not stored: its first start is not told twice.
         job.firstTaskStarted = true;
-        this.context.cluster.addPlacement(p);
-        if (session > m.incarnation) m.incarnation = session;
+        this.context.cluster.addPlacement(placement);
+        if (incarnation > machine.incarnation) machine.incarnation = incarnation;
       }
     }
   }
 
-  /** Residuates a job's dependencies by the end of one that it names, if that is stored. */
-  private applyOutcome(records: StateReplica, job: ActiveJob, other: string): void {
-    const end = records.outcomeOf(other);
-    if (end !== null) job.dependencies = residuateByOutcome(job.dependencies, other, end);
+  /** No record of the machine is stored: it counts until the cloud confirms that it is terminated. */
+  private addUnrecordedMachine(name: string, now: number): Machine {
+    const [type] = this.context.machineTypes.values();
+    if (type === undefined) throw new UnknownMachineTypesError();
+    const machine = new Machine(name, type, UNKNOWN_ZONE, false, now);
+    machine.state = "up";
+    this.context.awaitFirstContact(machine);
+    this.context.cluster.machines.set(name, machine);
+    this.machinePool.requestRelease(machine, "no record of it");
+    return machine;
+  }
+
+  /** Residuates a job's dependencies by the outcome of one of them, if that is stored. */
+  private applyOutcome(replica: StateReplica, job: ActiveJob, dependency: string): void {
+    const outcome = replica.outcomeOf(dependency);
+    if (outcome === null) return;
+    job.dependencies = residuateByOutcome(job.dependencies, dependency, outcome);
   }
 
   /**
-   * The end of a job is stored. It is an event for those that name it: their starts become acceptable, or
-   * are rejected for good, and then their own failed events are applied to the next.
+   * The outcome of a job is stored. It is an event for its dependents: their starts become acceptable, or are
+   * rejected for good, and then their own failed events are applied to their dependents.
    */
-  private applyOutcomeToDependents(records: StateReplica, id: string, now: number): void {
+  private applyOutcomeToDependents(replica: StateReplica, id: string, now: number): void {
     const ended = [id];
-    for (let other = ended.pop(); other !== undefined; other = ended.pop()) {
-      for (const follower of records.dependentsOf(other)) {
-        const job = this.context.cluster.jobs.get(follower);
+    for (let dependency = ended.pop(); dependency !== undefined; dependency = ended.pop()) {
+      for (const dependent of replica.dependentsOf(dependency)) {
+        const job = this.context.cluster.jobs.get(dependent);
         if (job === undefined || job.isCancelled || job.isStartAccepted) continue;
-        this.applyOutcome(records, job, other);
-        if (isEventExcluded(job.dependencies, eventName("start", follower))) {
-          this.cancel(job, now);
-          this.inheritUrgency(records, job.spec.after ?? []);
-          ended.push(follower);
+        this.applyOutcome(replica, job, dependency);
+        if (isStartExcluded(job)) {
+          this.cancel(replica, job, "by dependency", now);
+          ended.push(dependent);
         } else if (!job.isBlockedOnDependencies) {
           this.machinePool.noteJobShape(job.spec);
           this.context.cycleRequested = true;
@@ -132,48 +184,63 @@
     }
   }
 
-  /**
-   * Priority and urgency of a job flow up to all that it needs, directly or through others: each has the
-   * highest priority, and leaves to those after it, along the longest way, the time they will take.
-   */
-  inheritUrgency(records: StateReplica, names: readonly string[]): void {
-    const changed = [...names];
-    for (let id = changed.pop(); id !== undefined; id = changed.pop()) {
-      const job = this.context.cluster.jobs.get(id);
-      if (job === undefined) continue;
-      let rank = priorityRank(job.spec.priority);
-      let dueMs = job.ownDeadlineMs ?? Number.POSITIVE_INFINITY;
-      for (const name of records.dependentsOf(id)) {
-        const next = this.context.cluster.jobs.get(name);
-        if (next === undefined || next.isCancelled) continue;
-        rank = Math.min(rank, next.effectiveRank);
-        const takesS = next.spec.estimateS + this.context.settings.heartbeatIntervalS;
-        if (next.effectiveDeadlineMs !== null)
-          dueMs = Math.min(dueMs, next.effectiveDeadlineMs - 1000 * takesS);
-      }
-      const due = dueMs === Number.POSITIVE_INFINITY ? null : dueMs;
-      if (rank === job.effectiveRank && due === job.effectiveDeadlineMs) continue;
-      job.effectiveRank = rank;
-      job.effectiveDeadlineMs = due;
-      this.context.cycleRequested = true;
-      changed.push(...(job.spec.after ?? []));
+  /** True if the job's effective priority or deadline changed. */
+  private updateUrgency(replica: StateReplica, job: ActiveJob): boolean {
+    const { heartbeatIntervalS } = this.context.settings;
+    let rank = priorityRank(job.spec.priority);
+    let deadlineMs = job.ownDeadlineMs ?? Number.POSITIVE_INFINITY;
+    for (const id of replica.dependentsOf(job.spec.id)) {
+      const dependent = this.context.cluster.jobs.get(id);
+      if (dependent === undefined || dependent.isCancelled) continue;
+      rank = Math.min(rank, dependent.effectiveRank);
+      if (dependent.effectiveDeadlineMs === null) continue;
+      const durationS = dependent.spec.estimateS + heartbeatIntervalS;
+      deadlineMs = Math.min(deadlineMs, dependent.effectiveDeadlineMs - 1000 * durationS);
     }
+    const effectiveDeadlineMs = deadlineMs === Number.POSITIVE_INFINITY ? null : deadlineMs;
+    if (rank === job.effectiveRank && effectiveDeadlineMs === job.effectiveDeadlineMs) return false;
+    job.effectiveRank = rank;
+    job.effectiveDeadlineMs = effectiveDeadlineMs;
+    return true;
   }
 
-  cancel(job: ActiveJob, now: number): void {
-    job.isCancelled = true;
+  /** A cancelled job makes nothing urgent any more. */
+  private cancel(
+    replica: StateReplica,
+    job: ActiveJob,
+    cause: CancellationCause,
+    now: number,
+  ): void {
+    this.markCancelled(job, cause, now);
+    this.inheritUrgency(replica, job.spec.after ?? []);
+  }
+
+  private markCancelled(job: ActiveJob, cause: CancellationCause, now: number): void {
+    job.cancellation = cause;
     job.dependencies = residuateByEvent(job.dependencies, eventName("failed", job.spec.id));
     job.markChanged();
-    for (const p of [...job.allPlacements()]) this.dispatcher.stop(p, "cancelled", 0);
+    for (const placement of [...job.allPlacements()]) {
+      this.dispatcher.stop(placement, "cancelled", 0);
+    }
     this.context.log("cancel", { job: job.spec.id, tasks: job.placementCount });
     this.context.cycleRequested = true;
-    for (const m of new Set([...job.allPlacements()].map((p) => p.machine)))
-      this.dispatcher.sendDue(m, now);
+    const machines = new Set([...job.allPlacements()].map((placement) => placement.machine));
+    for (const machine of machines) this.dispatcher.sendDue(machine, now);
   }
+}
 
-  remove(job: ActiveJob, now: number): void {
-    for (const p of [...job.allPlacements()]) this.context.cluster.releasePlacement(p, now);
-    this.context.cluster.jobs.delete(job.spec.id);
-    this.context.cycleRequested = true;
+/** Takes over mod revisions that are newer than those known. */
+function refreshJob(job: ActiveJob, stored: Versioned<StoredJob>, replica: StateReplica): void {
+  if (stored.modRevision > job.mainShard.modRevision) {
+    job.markPersisted(job.mainShard, stored.value.v, stored.modRevision);
+  }
+  for (const [index, { value, modRevision }] of replica.shardsOf(job.spec.id)) {
+    const shard = job.shards.get(index);
+    if (shard !== undefined && modRevision > shard.modRevision) {
+      job.markPersisted(shard, value.v, modRevision);
+    }
   }
 }
+
+const isStartExcluded = (job: ActiveJob): boolean =>
+  isEventExcluded(job.dependencies, eventName("start", job.spec.id));
