--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -54,6 +54,12 @@
 export const send = (reply: FastifyReply, status: number, body: unknown): FastifyReply =>
   reply.code(status).header("content-type", "application/msgpack").send(encode(body));
 
+/** A route with the job's id in its path. */
+interface JobRoute {
+  // biome-ignore lint/style/useNamingConvention: the name that Fastify asks for
+  readonly Params: { readonly id: string };
+}
+
 const toBuffer = (body: unknown): Buffer => (Buffer.isBuffer(body) ? body : Buffer.alloc(0));
 
 /** Registers all routes on a server. */
@@ -79,10 +85,10 @@
     app.post(PATH.jobs, (request, reply) =>
       this.limited(options.mutationLimit, reply, () => this.submit(request.body, reply)),
     );
-    app.get<{ Params: { id: string } }>(`${PATH.jobs}/:id`, (request, reply) =>
+    app.get<JobRoute>(`${PATH.jobs}/:id`, (request, reply) =>
       this.limited(options.queryLimit, reply, () => this.query(request.params.id, reply)),
     );
-    app.post<{ Params: { id: string } }>(`${PATH.jobs}/:id/${PATH.cancel}`, (request, reply) =>
+    app.post<JobRoute>(`${PATH.jobs}/:id/${PATH.cancel}`, (request, reply) =>
       this.cancel(request.params.id, reply),
     );
     // For heartbeats that were not read by `WorkerConnections`.
--- a/src/net/http-connection-pool.ts
+++ b/src/net/http-connection-pool.ts
@@ -111,7 +111,7 @@
   private requestOf(method: string, path: string, body: Buffer | null): Buffer {
     const head = Buffer.from(
       `${method} ${path} HTTP/1.1\r\nHost: ${this.address}\r\n` +
-        (body === null ? "" : `Content-Type: application/msgpack\r\n`) +
+        (body === null ? "" : "Content-Type: application/msgpack\r\n") +
         `Content-Length: ${body?.length ?? 0}\r\n\r\n`,
     );
     return body === null ? head : Buffer.concat([head, body]);
--- a/tests/background-loop.test.ts
+++ b/tests/background-loop.test.ts
@@ -32,7 +32,7 @@
   const loop: BackgroundLoop = { run: () => Promise.reject(failure), stop: () => {} };
   await assert.rejects(runInBackground("state watcher", loop, log), failure);
   assert.deepEqual(
-    lines.map(({ loop, msg }) => [loop, msg]),
+    lines.map((line) => [line.loop, line.msg]),
     [["state watcher", "background loop failed"]],
   );
 });
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -83,7 +83,7 @@
 });
 
 test("a broken gang preempts nothing, reserves no capacity and is placed after gangs that have not failed", () => {
-  const { leader, workers } = startCluster(0, 4, (job) => (broken(job) ? "error" : 20));
+  const { leader, workers } = startCluster(0, 4, (id) => (broken(id) ? "error" : 20));
   leader.submit(gang("broken", { tasks: 2, oneZone: true }));
   workers.runFor(8);
   const job = leader.scheduler.cluster.jobs.get("broken")!;
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -85,9 +85,9 @@
 }
 
 test("no kind of example is left out", async () => {
-  const made = await generated();
-  assert.deepEqual(Object.keys(made.read), Object.keys(golden.read));
-  assert.deepEqual(Object.keys(made.exchanges), Object.keys(golden.exchanges));
+  const forms = await generated();
+  assert.deepEqual(Object.keys(forms.read), Object.keys(golden.read));
+  assert.deepEqual(Object.keys(forms.exchanges), Object.keys(golden.exchanges));
 });
 
 for (const other of Object.keys(golden.exchanges)) {
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -75,7 +75,7 @@
   faults = [];
 });
 
-const send = (body: Buffer) => worker.request("POST", "/checkin", body, 2000);
+const send = (sent: Buffer) => worker.request("POST", "/checkin", sent, 2000);
 
 test("an answer carries the fencing token and the commands, also after one without commands", async () => {
   for (let i = 0; i < 2; i++) {
@@ -261,8 +261,8 @@
     const reply = await send(encode({ ...wireHeartbeat, ...change }));
     assert.equal(reply.status, 400, JSON.stringify(change));
   }
-  for (const body of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
-    assert.equal((await send(body)).status, 400);
+  for (const malformed of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
+    assert.equal((await send(malformed)).status, 400);
   }
   assert.equal((await send(Buffer.alloc(BODY_LIMIT + 1))).status, 400);
   assert.deepEqual(received, []);
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -131,8 +131,8 @@
 
 test("records of machines in large values are moved to small ones, each machine in some at any moment", () => {
   const old = before(1, 90);
-  const names = (h: TestLeader) =>
-    new Set([...h.replica.machineShards.values()].flatMap((g) => Object.keys(g.value)));
+  const names = (leader: TestLeader) =>
+    new Set([...leader.replica.machineShards.values()].flatMap((g) => Object.keys(g.value)));
   assert.equal(names(old).size, 90);
   const h = successor(old, 2, LOW);
   h.isStoreAvailable = false;
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -112,7 +112,7 @@
   }
 }
 
-const options = new Command("profile")
+const chosen = new Command("profile")
   .description("where the processor time of three controllers goes; figures of stand-ins")
   .option("--machines <n>", "stand-in workers", Number, 720)
   .option("--seconds <n>", "how long is measured", Number, 20)
@@ -125,5 +125,5 @@
   .option("--questions <n>", "users' questions a second", Number, 20)
   .parse()
   .opts<Options>();
-process.stdout.write(`${await measure(options)}\n`);
+process.stdout.write(`${await measure(chosen)}\n`);
 process.exit(0);
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -72,7 +72,7 @@
   readonly cloud = new CloudStandIn();
   readonly ruleChecker = new ProtocolRuleChecker();
   readonly connections: HttpConnectionPool[] = [];
-  private members: readonly ControllerNode[] = [];
+  private readonly members: ControllerNode[] = [];
   private readonly settingsFiles: string[] = [];
   private operatorFile: string | null = null;
   private readonly processes: (ChildProcess | null)[] = [];
@@ -83,12 +83,10 @@
     const cluster = new MultiProcessCluster(options);
     await Promise.all([cluster.stateService.start(), cluster.cloud.start()]);
     const addresses = await freeAddresses(2 * NODE_COUNT);
-    cluster.members = addresses.slice(0, NODE_COUNT).map((address, i) => ({
-      member: `n${i}`,
-      zone: ZONE,
-      address,
-      peerAddress: addresses[NODE_COUNT + i]!,
-    }));
+    for (const [i, address] of addresses.slice(0, NODE_COUNT).entries()) {
+      const peerAddress = addresses[NODE_COUNT + i]!;
+      cluster.members.push({ member: `n${i}`, zone: ZONE, address, peerAddress });
+    }
     for (const { address } of cluster.members) {
       cluster.connections.push(new HttpConnectionPool(address, MAX_CONNECTIONS));
       cluster.processes.push(null);
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -4,13 +4,13 @@
 import { taskStatus } from "./job-builders.js";
 import { SimulatedMachine, type SimulatedTask } from "./simulated-machine.js";
 import type { SimulationContext } from "./simulation-context.js";
-import { checkPlacement, checkStart } from "./simulation-rules.js";
+import { checkPlacement, checkStart, type MachineTasks } from "./simulation-rules.js";
 
 const AGE_AT_LISTING_S = 900;
 const IMAGE_PULL_S = [0, 0, 2, 9];
 const RUN_S = [2, 8, 40];
 
-export class SimulatedMachines {
+export class SimulatedMachines implements MachineTasks {
   readonly byName = new Map<string, SimulatedMachine>();
   startCount = 0;
   private nextNumber = 0;
--- a/tests/support/simulation-rules.ts
+++ b/tests/support/simulation-rules.ts
@@ -3,7 +3,6 @@
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 import type { SimulatedMachine, SimulatedTask } from "./simulated-machine.js";
-import type { SimulatedMachines } from "./simulated-machines.js";
 import type { SimulationContext } from "./simulation-context.js";
 
 /** The team that has a limit in the settings, and the CPUs that it may use. */
@@ -11,6 +10,13 @@
 const LIMIT_CPUS = 16;
 const CPU_TOLERANCE = 1e-6;
 
+/** The machines of a simulation, as the rules see them. */
+export interface MachineTasks {
+  readonly byName: ReadonlyMap<string, SimulatedMachine>;
+  /** Tasks of the job that are on machines, with the machine's name. */
+  tasksOf(job: string): Iterable<[string, TaskStatus]>;
+}
+
 /** A task has come to a machine: `counts` tells which of the job's other tasks it may stand beside. */
 export interface PlacementEvent {
   readonly machine: SimulatedMachine;
@@ -22,7 +28,7 @@
 /** A task starts. */
 export function checkStart(
   context: SimulationContext,
-  machines: SimulatedMachines,
+  machines: MachineTasks,
   machine: SimulatedMachine,
   started: SimulatedTask,
 ): void {
@@ -49,7 +55,7 @@
 /** A task comes to a machine, given those of the job's other tasks that count at this moment. */
 export function checkPlacement(
   { jobs, trace }: SimulationContext,
-  machines: SimulatedMachines,
+  machines: MachineTasks,
   { machine, placed, event, counts }: PlacementEvent,
 ): void {
   const { job, task, attempt } = placed.status;
@@ -64,7 +70,7 @@
 
 function checkQuota(
   { jobs, trace }: SimulationContext,
-  machines: SimulatedMachines,
+  machines: MachineTasks,
   startedJob: string,
 ): void {
   if (jobs.submitted.get(startedJob)!.team !== LIMITED_TEAM) return;
@@ -78,7 +84,7 @@
 /** A user is told a job's state. */
 export function checkView(
   { jobs, trace }: SimulationContext,
-  machines: SimulatedMachines,
+  machines: MachineTasks,
   { id, state }: JobView,
 ): void {
   const before = jobs.reportedFinalStates.get(id);
