--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -51,7 +51,7 @@
   /** How long a submission or cancellation may wait for its transaction, in seconds. */
   readonly maxWaitS: number;
   /** Admits everything if it is left out. */
-  readonly gate?: SubmissionGate;
+  readonly gate?: SubmissionGate | undefined;
 }
 
 /** What is stored of a job as it is submitted. */
