--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -4,7 +4,14 @@
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
 import type { ListedMachine } from "../model/machines.js";
-import type { MachinePool } from "./machine-pool.js";
+
+/** What the machine pool does for the reconciler. */
+export interface MachineReleases {
+  /** Names of machines that are proven to be terminated. */
+  readonly terminated: ReadonlySet<string>;
+  /** Has a machine released; it counts until the cloud has confirmed that it is terminated. */
+  requestRelease(machine: Machine, why: string): void;
+}
 
 /** Adds machines that are listed, and releases those that failed or are no longer listed. */
 export class MachineListReconciler {
@@ -14,7 +21,7 @@
   constructor(
     private readonly context: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
-    private readonly machinePool: Pick<MachinePool, "terminated" | "requestRelease">,
+    private readonly machinePool: MachineReleases,
   ) {}
 
   /** Whether no machine has been listed yet. */
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -10,7 +10,7 @@
 import type { ListedMachine } from "../model/machines.js";
 import { MachineRecordShards } from "../state/machine-record-shards.js";
 import { BootTimeouts } from "./boot-timeouts.js";
-import { MachineListReconciler } from "./machine-list.js";
+import { MachineListReconciler, type MachineReleases } from "./machine-list.js";
 import { offerKey } from "./offers.js";
 import {
   countLateBootsByOffer,
@@ -19,8 +19,8 @@
   type JobShape,
   planScaleOut,
   type ScaleOutRequest,
-  type ScalingContext,
 } from "./scaling.js";
+import type { ScalingContext } from "./scaling-context.js";
 
 /** Part of a stored value that the records of machines in it may fill; the rest is for records that are added later. */
 const SHARD_FILL_RATIO = 0.6;
@@ -32,7 +32,7 @@
 export type RequestedMachines = Omit<ScaleOutRequest, "why">;
 
 /** Requests machines from the cloud, a request of each sort at a time, and releases those that are not needed. */
-export class MachinePool {
+export class MachinePool implements MachineReleases {
   readonly recordShards: MachineRecordShards;
   /** Names of machines that are proven to be terminated. */
   readonly terminated = new Set<string>();
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -3,7 +3,7 @@
 import { taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
-import type { ScalingContext } from "./scaling.js";
+import type { ScalingContext } from "./scaling-context.js";
 
 /** Work without GPUs is put on GPU machines only as a last resort. */
 const GPU_WASTE_FACTOR = 100;
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -4,10 +4,10 @@
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
-import type { MachineType } from "../model/machines.js";
 import { mayRelocate } from "../planning/zone-relocation.js";
 import { isBootLate } from "./boot-timeouts.js";
 import { cheapestOffer, offerKey, type ZonePredicate } from "./offers.js";
+import type { ScalingContext } from "./scaling-context.js";
 
 /** Limit of the protocol. */
 const MAXIMUM_MACHINES_PER_REQUEST = 50;
@@ -28,21 +28,6 @@
   runningTasks: number;
 }
 
-/** What scaling depends on, as of one moment. */
-export interface ScalingContext {
-  readonly cluster: Cluster;
-  readonly types: readonly MachineType[];
-  readonly now: number;
-  /** By `offerKey`: until when an offer that was refused for lack of capacity is not requested. */
-  readonly capacityBackoffUntil: ReadonlyMap<string, number>;
-  /** Spare capacity to keep for each class of jobs, as a ratio to what it uses. */
-  readonly spareRatio: number;
-  readonly maxMachines: number;
-  readonly machinesByZone: ReadonlyMap<string, number>;
-  /** By `offerKey`. */
-  readonly lateBootsByOffer: ReadonlyMap<string, number>;
-}
-
 /** Free capacity on booting machines: takes up to so many tasks of a job, and counts them in its zones. */
 type BootingCapacity = (job: ActiveJob, zones: ZoneOccupancy, tasks: number) => number;
 
