--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -43,7 +43,11 @@
   private preemptFor(job: ActiveJob, context: PlanningContext, searches: SearchBudget): void {
     const zones = job.zones.copy();
     let missingSlots = job.pendingCount - reserveSlotsBeingFreed(job, zones, context);
-    for (let n = 0; missingSlots > 0 && n < MAX_SEARCHES_PER_JOB && searches.left > 0; n++) {
+    for (
+      let searchCount = 0;
+      missingSlots > 0 && searchCount < MAX_SEARCHES_PER_JOB && searches.left > 0;
+      searchCount++
+    ) {
       searches.left--;
       const choice = findPreemption(job, zones, context);
       if (choice === null) {
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -18,17 +18,17 @@
   for (const job of waiting) urgencies.set(job, urgencyOf(job, context));
   markStarvingJobs(waiting, context);
   markReachableGuarantees(waiting, context);
-  return waiting.sort((a, b) => {
-    const [urgencyA, urgencyB] = [urgencies.get(a)!, urgencies.get(b)!];
+  return waiting.sort((first, second) => {
+    const [firstUrgency, secondUrgency] = [urgencies.get(first)!, urgencies.get(second)!];
     return (
-      queuePrecedence(a) - queuePrecedence(b) ||
-      urgencyA.lateness - urgencyB.lateness ||
-      (a.isStarving && b.isStarving
+      queuePrecedence(first) - queuePrecedence(second) ||
+      firstUrgency.lateness - secondUrgency.lateness ||
+      (first.isStarving && second.isStarving
         ? 0
-        : estimatedMachineSeconds(a) - estimatedMachineSeconds(b)) ||
-      urgencyA.latestStartAtMs - urgencyB.latestStartAtMs ||
-      a.submittedAtMs - b.submittedAtMs ||
-      (a.spec.id < b.spec.id ? -1 : 1)
+        : estimatedMachineSeconds(first) - estimatedMachineSeconds(second)) ||
+      firstUrgency.latestStartAtMs - secondUrgency.latestStartAtMs ||
+      first.submittedAtMs - second.submittedAtMs ||
+      (first.spec.id < second.spec.id ? -1 : 1)
     );
   });
 }
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -27,7 +27,8 @@
 /** A leader that has just received the first heartbeat of every machine. */
 function leaderOfManyMachines(): TestLeader {
   const leader = new TestLeader();
-  for (let i = 0; i < MACHINES; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+  for (let index = 0; index < MACHINES; index++)
+    leader.receiveHeartbeatOnly(machineName(index), []);
   return leader;
 }
 
@@ -52,7 +53,7 @@
 test("placements of low priority are persisted while urgent ones come as fast as transactions commit", () => {
   const leader = new TestLeader();
   const sendHeartbeats = () => {
-    for (let i = 0; i < 40; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+    for (let index = 0; index < 40; index++) leader.receiveHeartbeatOnly(machineName(index), []);
   };
   sendHeartbeats();
   leader.flushWrites();
@@ -85,7 +86,7 @@
     new Set(leader.unansweredRequests.map((request) => request.machine)),
     withReplicas,
   );
-  for (let i = 0; i < 4; i++) leader.tick(1.6);
+  for (let step = 0; step < 4; step++) leader.tick(1.6);
   assert.ok(
     leader.unansweredRequests.length <= MAX_REQUESTS_IN_FLIGHT,
     `${leader.unansweredRequests.length} at once`,
@@ -110,7 +111,8 @@
   for (let step = 0; step < 60; step++) {
     leader.now += 0.15;
     // A heartbeat interval is 3 s: each heartbeat comes in time, a twentieth of them at a step.
-    for (let i = step % 20; i < MACHINES; i += 20) leader.receiveHeartbeatOnly(machineName(i), []);
+    for (let index = step % 20; index < MACHINES; index += 20)
+      leader.receiveHeartbeatOnly(machineName(index), []);
     count(leader.scheduler.tick(leader.now, leader.now * 1000));
   }
   assert.ok(probes <= 40 * 0.25 * 9 + 10, `${probes} probes in 9 s`);
@@ -143,8 +145,8 @@
   for (let step = 0; step < 45; step++) {
     leader.now += 0.3;
     if (step % 10 === 0) {
-      for (let i = 0; i < MACHINES; i++) {
-        if (i % 5 > 0) leader.receiveHeartbeatOnly(machineName(i), []);
+      for (let index = 0; index < MACHINES; index++) {
+        if (index % 5 > 0) leader.receiveHeartbeatOnly(machineName(index), []);
       }
     }
     leader.performEffects(leader.scheduler.tick(leader.now, leader.now * 1000));
@@ -160,12 +162,12 @@
   leader.submit(jobSpec("j", { tasks: 100, team: "maps" }));
   for (const { machine, commands } of leader.unansweredRequests.splice(0)) {
     const tasks = commands.map(({ job, task, attempt }) => taskStatus(job, task, attempt));
-    const report = leader.makeHeartbeat(machine, tasks);
+    const heartbeat = leader.makeHeartbeat(machine, tasks);
     leader.performEffects(
       leader.scheduler.commandsAnswered(
         machine,
         commands,
-        { kind: "answered", executed: true, heartbeat: report },
+        { kind: "answered", executed: true, heartbeat: heartbeat },
         leader.now,
       ),
     );
@@ -180,23 +182,23 @@
   const leader = new TestLeader();
   for (const index of [0, 2, 4, 6]) leader.receiveHeartbeat(machineName(index), []);
   // Each machine runs a small job to begin with.
-  for (let i = 0; i < 4; i++) {
-    leader.submit(jobSpec(`s${i}`, { kind: "gang", cpus: 4, team: "maps" }));
+  for (let index = 0; index < 4; index++) {
+    leader.submit(jobSpec(`s${index}`, { kind: "gang", cpus: 4, team: "maps" }));
   }
-  for (let i = 0; i < 4; i++) leader.answerRequest([taskStatus(`s${i}`, 0, 1)]);
+  for (let index = 0; index < 4; index++) leader.answerRequest([taskStatus(`s${index}`, 0, 1)]);
   leader.submit(
     jobSpec("big", { kind: "gang", cpus: 4, team: "maps", tasks: 4, oneZone: true }),
     130,
   );
   leader.tick(0.3);
   leader.takeTrace();
-  for (let i = 0; i < 4; i++) {
+  for (let index = 0; index < 4; index++) {
     // One small job ends, and another like it is submitted.
     const machine = [...leader.scheduler.cluster.machines.values()].find(({ placements }) =>
-      [...placements.values()].some(({ job }) => job.spec.id === `s${i}`),
+      [...placements.values()].some(({ job }) => job.spec.id === `s${index}`),
     )!;
-    leader.submit(jobSpec(`t${i}`, { kind: "gang", cpus: 4, team: "maps" }));
-    leader.receiveHeartbeat(machine.name, [taskStatus(`s${i}`, 0, 1, "exited", "done")]);
+    leader.submit(jobSpec(`t${index}`, { kind: "gang", cpus: 4, team: "maps" }));
+    leader.receiveHeartbeat(machine.name, [taskStatus(`s${index}`, 0, 1, "exited", "done")]);
     leader.tick(0.3);
   }
   const startedJobs = leader.unansweredRequests.flatMap(({ commands }) =>
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -107,12 +107,14 @@
   const lastS = cloud.agesAtReleaseS.at(-1)!;
   assert.ok(lastS > 120 && lastS <= 184, `the last after ${lastS} s`);
   // Others boot in time: the shorter timeout holds again.
-  for (let i = 0; i < 20; i++) leader.receiveHeartbeat(`up${i}a`, []);
+  for (let index = 0; index < 20; index++) leader.receiveHeartbeat(`up${index}a`, []);
   receiveMachineList(leader, [listedMachine("m999a", 70)]);
-  for (let i = 0; i < 30; i++) {
-    const booted = Array.from({ length: i + 1 }, (_, n) => listedMachine(`new${n}a`, 10 + i));
-    receiveMachineList(leader, [listedMachine("m999a", 70 + i), ...booted]);
-    leader.receiveHeartbeat(`new${i}a`, []);
+  for (let second = 0; second < 30; second++) {
+    const booted = Array.from({ length: second + 1 }, (_, index) =>
+      listedMachine(`new${index}a`, 10 + second),
+    );
+    receiveMachineList(leader, [listedMachine("m999a", 70 + second), ...booted]);
+    leader.receiveHeartbeat(`new${second}a`, []);
   }
   assert.equal(leader.scheduler.cluster.machines.get("m999a")!.drainReason, "boot timeout");
 });
@@ -120,15 +122,15 @@
 test("a machine that sends heartbeats before it is listed is used, not provisioned again nor drained", () => {
   const leader = new TestLeader();
   leader.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
-  for (let i = 0; leader.unansweredRequests.length === 0 && i < 4; i++) {
+  for (let heartbeat = 0; leader.unansweredRequests.length === 0 && heartbeat < 4; heartbeat++) {
     leader.receiveHeartbeat("m1a", []);
   }
   const statuses = [0, 1, 2, 3].map((task) => taskStatus("j", task, 1));
   leader.answerRequest(statuses);
   assert.equal(nextScaleOut(leader), null);
   // The list is late: it does not show the machine, then shows it as booting.
-  for (let i = 0; i < 10; i++) {
-    receiveMachineList(leader, i < 5 ? [] : [listedMachine("m1a", i)]);
+  for (let interval = 0; interval < 10; interval++) {
+    receiveMachineList(leader, interval < 5 ? [] : [listedMachine("m1a", interval)]);
     leader.receiveHeartbeat("m1a", statuses);
     leader.tick(3);
   }
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -8,10 +8,10 @@
 
 /** Submits six jobs, kills the leader while their tasks run, and expects each to complete once. */
 async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
-  const ids = Array.from({ length: 6 }, (_, i) => `run-${i}`);
-  for (const [i, id] of ids.entries()) {
+  const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
+  for (const [index, id] of ids.entries()) {
     // 200 if the answer to a first try was late and it was asked again.
-    assert.ok((await site.submitJob(i % 3, id, { tasks: 8 })).status <= 201);
+    assert.ok((await site.submitJob(index % 3, id, { tasks: 8 })).status <= 201);
   }
   await waitForProcesses("tasks run", () => site.ruleChecker.startCount >= 8);
   const killed = site.leaderIndex();
@@ -31,10 +31,10 @@
  * continues (due timers, heartbeats, answers) must start nothing.
  */
 async function leaderIsPaused(site: MultiProcessCluster): Promise<void> {
-  const held = Array.from({ length: 4 }, (_, i) => `held-${i}`);
+  const held = Array.from({ length: 4 }, (_, index) => `held-${index}`);
   for (const id of held) await site.submitJob(1, id, { tasks: 8 });
   const paused = site.leaderIndex();
-  const others = [0, 1, 2].filter((i) => i !== paused);
+  const others = [0, 1, 2].filter((node) => node !== paused);
   site.signalNode(paused, "SIGSTOP");
   await site.awaitOtherLeader(paused);
   await sleepSeconds(1.5);
@@ -52,10 +52,10 @@
   site: MultiProcessCluster,
   earlierIds: readonly string[],
 ): Promise<void> {
-  const late = Array.from({ length: 4 }, (_, i) => `late-${i}`);
+  const late = Array.from({ length: 4 }, (_, index) => `late-${index}`);
   for (const id of late) await site.submitJob(0, id);
   for (let round = 0; round < 2; round++) {
-    for (let i = 0; i < 3; i++) site.replaceNode(i);
+    for (let node = 0; node < 3; node++) site.replaceNode(node);
     await sleepSeconds(round === 0 ? 0.7 : 0);
   }
   for (const id of [...earlierIds, ...late]) await site.awaitJobState(id, "done");
@@ -82,7 +82,7 @@
 }, async () => {
   const site = await MultiProcessCluster.open({ taskMs: () => 1500 });
   try {
-    for (let i = 0; i < 3; i++) site.startNode(i);
+    for (let node = 0; node < 3; node++) site.startNode(node);
     const { killed, ids } = await leaderIsKilled(site);
     site.startNode(killed);
     await site.awaitHealthy(killed);
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -15,8 +15,8 @@
 ): { leader: TestLeader; workers: SimulatedWorkers } {
   const leader = new TestLeader();
   const types = new Map<string, string>();
-  for (let i = 1; i <= small; i++) types.set(`m${i}a`, "small");
-  for (let i = 1; i <= big; i++) types.set(`g${i}b`, "big");
+  for (let index = 1; index <= small; index++) types.set(`m${index}a`, "small");
+  for (let index = 1; index <= big; index++) types.set(`g${index}b`, "big");
   const workers = new SimulatedWorkers(leader, types, fate);
   workers.runFor(4);
   return { leader, workers };
@@ -39,20 +39,25 @@
   const { leader, workers } = startCluster(16, 6, (job, machine) =>
     broken(job) || machine === faulty ? "error" : 12,
   );
-  for (let i = 0; i < 4; i++) {
-    leader.submit(jobSpec(`brokenArray${i}`, { team: "maps", tasks: 12 }));
+  for (let round = 0; round < 4; round++) {
+    leader.submit(jobSpec(`brokenArray${round}`, { team: "maps", tasks: 12 }));
     leader.submit(
-      jobSpec(`brokenWeb${i}`, { team: "maps", kind: "service", tasks: 2, priority: "production" }),
+      jobSpec(`brokenWeb${round}`, {
+        team: "maps",
+        kind: "service",
+        tasks: 2,
+        priority: "production",
+      }),
     );
-    leader.submit(gang(`brokenGang${i}`, { tasks: 1 + (i % 2) }));
-    leader.submit(jobSpec(`sound${i}`, { team: "maps", tasks: 12 }));
-    leader.submit(gang(`soundGang${i}`));
+    leader.submit(gang(`brokenGang${round}`, { tasks: 1 + (round % 2) }));
+    leader.submit(jobSpec(`sound${round}`, { team: "maps", tasks: 12 }));
+    leader.submit(gang(`soundGang${round}`));
     workers.runFor(10);
   }
   workers.runFor(60);
   assert.deepEqual([...new Set(workers.terminatedMachines)], [faulty]);
-  for (let i = 0; i < 4; i++) {
-    for (const id of [`sound${i}`, `soundGang${i}`]) {
+  for (let round = 0; round < 4; round++) {
+    for (const id of [`sound${round}`, `soundGang${round}`]) {
       assert.equal(leader.replica.view(id)?.state, "done", id);
     }
   }
@@ -63,7 +68,7 @@
   leader.submit(jobSpec("broken", { team: "maps", tasks: 20 }));
   const began = leader.now;
   const tries = (from: number, to: number): number =>
-    workers.starts.filter((s) => s.at - began >= from && s.at - began < to).length;
+    workers.starts.filter((start) => start.at - began >= from && start.at - began < to).length;
   workers.runFor(240);
   assert.equal(tries(0, 2), 20, "the first round is as any job's");
   // 3, 6, 12, 24 and 48 s apart, then every minute.
@@ -77,7 +82,7 @@
   leader.submit(gang("gang"));
   workers.runFor(60);
   for (const id of ["single", "gang"]) {
-    const tries = workers.starts.filter((s) => s.job === id).length;
+    const tries = workers.starts.filter((start) => start.job === id).length;
     assert.ok(tries >= 5 && tries <= 8, `${id} was tried ${tries} times in a minute`);
   }
 });
@@ -89,7 +94,7 @@
   const job = leader.scheduler.cluster.jobs.get("broken")!;
   assert.notEqual(job.failures.suspicion, null);
   // Low work fills three of four machines; a gang that needs two comes after the broken one.
-  for (let i = 0; i < 3; i++) leader.submit(gang(`low${i}`, { priority: "low" }));
+  for (let index = 0; index < 3; index++) leader.submit(gang(`low${index}`, { priority: "low" }));
   workers.runFor(2);
   leader.submit(gang("sound", { tasks: 2, oneZone: true, priority: "low", estimateS: 100 }));
   workers.runFor(45, () => {
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -40,18 +40,18 @@
   leader.takeTrace();
   // Team vision is guaranteed four CPUs; the gang is beyond any guarantee.
   leader.submit(jobSpec("sheet", { cpus: 4, priority: "low" }));
-  for (let i = 0; i < 90; i++)
+  for (let second = 0; second < 90; second++)
     leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.doesNotMatch(leader.takeTrace(), /stop gang/);
   // Production may.
   leader.submit(jobSpec("web", { cpus: 4, kind: "service", priority: "production" }));
-  for (let i = 0; i < 60; i++)
+  for (let second = 0; second < 60; second++)
     leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.match(leader.takeTrace(), /stop gang/);
 });
 
 test("when a zone returns from a partition, machines that are still silent are not released at once", () => {
-  const names = [..."123456789"].flatMap((n) => [`m${n}a`, `m${n}b`]);
+  const names = [..."123456789"].flatMap((digit) => [`m${digit}a`, `m${digit}b`]);
   const leader = new TestLeader();
   for (const name of names) leader.receiveHeartbeat(name, []);
   const [inA, inB] = ["a", "b"].map((zone) => names.filter((name) => name.endsWith(zone)));
@@ -61,7 +61,7 @@
       if (!alive.includes(name)) leader.unreachableMachines.add(name);
     }
     leader.takeTrace();
-    for (let i = 0; i < seconds; i++) {
+    for (let second = 0; second < seconds; second++) {
       for (const name of alive) {
         leader.receiveHeartbeatOnly(name, []);
         // A machine that sends heartbeats also answers probes.
@@ -85,11 +85,11 @@
   leader.isStoreAvailable = false;
   leader.submit(gpu("second", { tasks: 4, oneZone: true, estimateS: 100 }));
   const second = leader.scheduler.cluster.jobs.get("second")!;
-  for (const p of [...second.allPlacements()])
-    leader.scheduler.cluster.releasePlacement(p, leader.now);
-  for (const m of ["m1a", "m2a"]) {
+  for (const placement of [...second.allPlacements()])
+    leader.scheduler.cluster.releasePlacement(placement, leader.now);
+  for (const name of ["m1a", "m2a"]) {
     const until = leader.now + 100;
-    leader.scheduler.cluster.machines.get(m)!.reservation = { job: second, until, held: false };
+    leader.scheduler.cluster.machines.get(name)!.reservation = { job: second, until, held: false };
   }
   leader.submit(gpu("first", { tasks: 4, oneZone: true, estimateS: 1 }));
   leader.tick(1);
@@ -98,40 +98,40 @@
 
 test("one gang at a time reserves capacity in a zone, so that capacity is not split up", () => {
   const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a", "m5a"]);
-  for (let i = 1; i <= 3; i++) leader.submit(gpu(`now${i}`));
-  for (let i = 1; i <= 3; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  for (let index = 1; index <= 3; index++) leader.submit(gpu(`now${index}`));
+  for (let index = 1; index <= 3; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.submit(gpu("three", { tasks: 3, oneZone: true, estimateS: 1 }));
   leader.submit(gpu("next", { tasks: 3, oneZone: true, estimateS: 2 }));
-  for (let i = 0; i < 4; i++) leader.tick(0.3);
+  for (let step = 0; step < 4; step++) leader.tick(0.3);
   const held = [...leader.scheduler.cluster.machines.values()].map(
-    (m) => m.reservation?.job.spec.id,
+    (machine) => machine.reservation?.job.spec.id,
   );
   assert.deepEqual([...new Set(held)].sort(), ["three", undefined]);
   assert.equal(leader.scheduler.cluster.jobs.get("next")!.reservedZone, null);
 });
 
 test("a gang waits briefly for one of the machines that have its image, and no longer", () => {
-  const names = Array.from({ length: 12 }, (_, i) => `m${i}a`);
+  const names = Array.from({ length: 12 }, (_, index) => `m${index}a`);
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // All that hold it are taken.
-  for (let i = 0; i < 11; i++) leader.submit(gpu(`now${i}`, { imageGb: 4 }));
-  for (let i = 0; i < 11; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  for (let index = 0; index < 11; index++) leader.submit(gpu(`now${index}`, { imageGb: 4 }));
+  for (let index = 0; index < 11; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.submit(gpu("next", { imageGb: 4 }));
   const next = leader.scheduler.cluster.jobs.get("next")!;
   leader.tick(0.3);
   assert.equal(next.placements.size, 0, "a pull of eight seconds: a short wait is worth it");
   leader.receiveHeartbeat("m0a", [], { type: "big" });
-  for (let i = 0; i < 4; i++) leader.tick(0.6);
+  for (let step = 0; step < 4; step++) leader.tick(0.6);
   assert.equal(next.placements.size, 1);
 });
 
 test("a job that an image pull would make miss its next SLO waits for a machine that has the image", () => {
-  const names = Array.from({ length: 6 }, (_, i) => `m${i}a`);
+  const names = Array.from({ length: 6 }, (_, index) => `m${index}a`);
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
@@ -139,8 +139,8 @@
   }
   // Class web is to start within a second, and the image pull takes eight.
   const web = { class: "web", imageGb: 4 };
-  for (let i = 0; i < 5; i++) leader.submit(gpu(`now${i}`, web));
-  for (let i = 0; i < 5; i++) leader.answerRequest([taskStatus(`now${i}`, 0, 1)]);
+  for (let index = 0; index < 5; index++) leader.submit(gpu(`now${index}`, web));
+  for (let index = 0; index < 5; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.submit(gpu("next", web));
   const next = leader.scheduler.cluster.jobs.get("next")!;
@@ -151,7 +151,8 @@
     "others may have it",
   );
   // Once the SLO is missed in any case, any machine will do.
-  for (let i = 0; i < 3; i++) leader.receiveHeartbeat("m0a", [], { type: "big" });
+  for (let heartbeat = 0; heartbeat < 3; heartbeat++)
+    leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.tick(1);
   leader.tick(1);
   assert.equal(next.placements.size, 1);
@@ -179,11 +180,11 @@
   };
   assert.deepEqual(takeSent(), pulling);
   for (const machine of pulling) {
-    const report = heartbeat(machine, "pulling image");
-    const outcome = { kind: "answered", executed: true, heartbeat: report } as const;
+    const heartbeatWhilePulling = heartbeat(machine, "pulling image");
+    const outcome = { kind: "answered", executed: true, heartbeat: heartbeatWhilePulling } as const;
     leader.scheduler.commandsAnswered(machine, [], outcome, leader.now);
   }
-  for (let i = 0; i < 12; i++) {
+  for (let step = 0; step < 12; step++) {
     for (const machine of pulling) receive(machine, "pulling image");
     leader.receiveHeartbeat("m2a", [], { type: "big" });
     leader.tick(2.5);
@@ -200,11 +201,11 @@
     leader.receiveHeartbeat(`m${machine}a`, [taskStatus(`now${machine}`, 0, 1, "exited", "done")], {
       type: "big",
     });
-  for (let i = 1; i <= 4; i++) leader.submit(gpu(`now${i}`, { estimateS: 10 }));
-  for (const o of [...leader.unansweredRequests]) {
-    const name = o.commands[0]!.job;
+  for (let index = 1; index <= 4; index++) leader.submit(gpu(`now${index}`, { estimateS: 10 }));
+  for (const request of [...leader.unansweredRequests]) {
+    const name = request.commands[0]!.job;
     leader.answerRequest([taskStatus(name, 0, 1)]);
-    assert.equal(`now${o.machine[1]}`, name);
+    assert.equal(`now${request.machine[1]}`, name);
   }
   for (const id of ["large1", "large2"]) leader.submit(gpu(id, { tasks: 2, oneZone: true }), 130);
   for (const id of ["small1", "small2"]) leader.submit(gpu(id, { estimateS: 5 }));
@@ -222,8 +223,8 @@
 test("one scale-out request covers all jobs that the same kind of machine serves", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat("m1a", []);
-  for (let i = 0; i < 6; i++)
-    leader.submit(jobSpec(`j${i}`, { tasks: 8, team: "maps", types: ["small"] }));
+  for (let index = 0; index < 6; index++)
+    leader.submit(jobSpec(`j${index}`, { tasks: 8, team: "maps", types: ["small"] }));
   const request = planScaleOut(
     {
       cluster: leader.scheduler.cluster,
@@ -263,7 +264,7 @@
   await node.start();
   // What `net` says when a connection cannot be accepted; without a listener it ends the process.
   const full = Object.assign(new Error("accept EMFILE"), { code: "EMFILE" });
-  for (let i = 0; i < 3; i++) {
+  for (let attempt = 0; attempt < 3; attempt++) {
     assert.equal(node.server.emit("error", full), true);
   }
   await node.stop();
@@ -271,19 +272,19 @@
 
 test("a reservation that a gang began in one zone does not keep it from reserving capacity in another", () => {
   const leader = gpuMachines(["m1a", "m2b", "m3b"]);
-  for (const m of ["m1a", "m2b", "m3b"]) {
-    leader.submit(gpu(`low-${m}`, { kind: "array", priority: "low", zone: m.at(-1)! }));
+  for (const name of ["m1a", "m2b", "m3b"]) {
+    leader.submit(gpu(`low-${name}`, { kind: "array", priority: "low", zone: name.at(-1)! }));
   }
-  for (let i = 0; i < 3; i++)
+  for (let request = 0; request < 3; request++)
     leader.answerRequest([taskStatus(leader.unansweredRequests[0]!.commands[0]!.job, 0, 1)]);
   leader.submit(gpu("gang", { tasks: 2, oneZone: true, priority: "high" }));
   const job = leader.scheduler.cluster.jobs.get("gang")!;
   const until = leader.now + 100;
   leader.scheduler.cluster.machines.get("m1a")!.reservation = { job, until, held: false };
   leader.takeTrace();
-  for (let i = 0; i < 4; i++) {
-    for (const m of ["m1a", "m2b", "m3b"])
-      leader.receiveHeartbeatOnly(m, [taskStatus(`low-${m}`, 0, 1)]);
+  for (let step = 0; step < 4; step++) {
+    for (const name of ["m1a", "m2b", "m3b"])
+      leader.receiveHeartbeatOnly(name, [taskStatus(`low-${name}`, 0, 1)]);
     leader.tick(1);
   }
   assert.equal(job.reservedZone, "b");
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -56,7 +56,7 @@
   // Longer than any wait here: nothing is closed for being idle.
   idleTimeoutS: 600,
   onRequestDone: () => {},
-  onFault: (e) => faults.push(e),
+  onFault: (error) => faults.push(error),
 });
 let worker: HttpConnectionPool;
 
@@ -78,7 +78,7 @@
 const send = (body: Buffer) => worker.request("POST", "/checkin", body, 2000);
 
 test("an answer carries the fencing token and the commands, also after one without commands", async () => {
-  for (let i = 0; i < 2; i++) {
+  for (let sent = 0; sent < 2; sent++) {
     const first = await send(encode(wireHeartbeat));
     assert.equal(first.status, 200);
     assert.deepEqual(decode(first.body), { rein: 7, calls: [] });
@@ -125,7 +125,7 @@
     }
   }
   async statuses(count: number): Promise<string[]> {
-    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((m) => m[1]!);
+    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((match) => match[1]!);
     await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
@@ -201,7 +201,7 @@
   }
   await waitUntil("no connection is left", async () => {
     const left = await new Promise<number>((resolve) =>
-      app.server.getConnections((_, n) => resolve(n)),
+      app.server.getConnections((_, count) => resolve(count)),
     );
     return left <= 1;
   });
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -24,12 +24,12 @@
 
 /** Runs a scenario on three processes of the version in production, and checks the rules at its end. */
 async function mixed(
-  t: TestContext,
+  context: TestContext,
   scenario: (site: MultiProcessCluster, old: string) => Promise<void>,
   options: Partial<MultiProcessClusterOptions> = {},
 ): Promise<void> {
   if (production === null) {
-    t.skip("the history of the repository does not hold the version in production");
+    context.skip("the history of the repository does not hold the version in production");
     return;
   }
   const site = await MultiProcessCluster.open({
@@ -38,8 +38,8 @@
     ...options,
   });
   try {
-    for (const i of NODES) site.startNode(i, production);
-    for (const i of NODES) await site.awaitHealthy(i);
+    for (const node of NODES) site.startNode(node, production);
+    for (const node of NODES) await site.awaitHealthy(node);
     await waitForProcesses(
       "a process of the version in production leads",
       () => site.leaderIndex() >= 0,
@@ -52,7 +52,7 @@
 }
 
 const followers = (site: MultiProcessCluster): number[] =>
-  NODES.filter((i) => i !== site.leaderIndex());
+  NODES.filter((node) => node !== site.leaderIndex());
 
 /** Jobs of all kinds, one of them in shards, that run for long or are done soon. */
 async function submitAll(site: MultiProcessCluster, node: number, name: string): Promise<string[]> {
@@ -86,13 +86,13 @@
   {
     timeout: 180_000,
   },
-  (t) =>
-    mixed(t, async (site, old) => {
+  (context) =>
+    mixed(context, async (site, old) => {
       const leader = site.leaderIndex();
       const ended = await submitAll(site, leader, "first");
-      for (const i of followers(site)) {
-        site.replaceNode(i, PROGRAM);
-        await site.awaitHealthy(i);
+      for (const follower of followers(site)) {
+        site.replaceNode(follower, PROGRAM);
+        await site.awaitHealthy(follower);
       }
       assert.equal(site.leaderIndex(), leader, "the version in production still leads");
       const [one, other] = followers(site) as [number, number];
@@ -135,19 +135,19 @@
   {
     timeout: 180_000,
   },
-  (t) =>
-    mixed(t, async (site, old) => {
+  (context) =>
+    mixed(context, async (site, old) => {
       const ended = await submitAll(site, 0, "before");
-      for (const i of NODES) {
-        site.replaceNode(i, PROGRAM);
-        await site.awaitHealthy(i);
+      for (const node of NODES) {
+        site.replaceNode(node, PROGRAM);
+        await site.awaitHealthy(node);
       }
       await waitForProcesses("a new process leads", () => site.leaderIndex() >= 0);
       ended.push(...(await submitAll(site, site.leaderIndex(), "during")));
       await running(site, "long-service-during", 2);
-      for (const i of NODES) {
-        site.replaceNode(i, old);
-        await site.awaitHealthy(i);
+      for (const node of NODES) {
+        site.replaceNode(node, old);
+        await site.awaitHealthy(node);
       }
       await waitForProcesses("an old process leads", () => site.leaderIndex() >= 0);
       ended.push(...(await submitAll(site, 1, "behind")));
@@ -165,12 +165,12 @@
   {
     timeout: 180_000,
   },
-  (t) =>
-    mixed(t, async (site, old) => {
+  (context) =>
+    mixed(context, async (site, old) => {
       const ended = await submitAll(site, 0, "first");
       for (let round = 0; round < 3; round++) {
-        for (const i of NODES) site.replaceNode(i, (i + round) % 2 === 0 ? PROGRAM : old);
-        for (const i of NODES) await site.awaitHealthy(i);
+        for (const node of NODES) site.replaceNode(node, (node + round) % 2 === 0 ? PROGRAM : old);
+        for (const node of NODES) await site.awaitHealthy(node);
         await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
         ended.push(...(await submitAll(site, round, `round-${round}`)));
         const gang = `long-gang-round-${round}`;
@@ -186,9 +186,9 @@
 test(
   "admission control works on new nodes while others, and at times the leader, run the version in production",
   { timeout: 180_000 },
-  (t) =>
+  (context) =>
     mixed(
-      t,
+      context,
       async (site, old) => {
         const flood = { class: "flood", tasks: 4, cpus: 4 };
         const taken: string[] = [];
@@ -199,23 +199,24 @@
         };
         const [one, other] = followers(site) as [number, number];
         const leader = site.leaderIndex();
-        for (const i of [one, other]) {
-          site.replaceNode(i, PROGRAM);
-          await site.awaitHealthy(i);
+        for (const follower of [one, other]) {
+          site.replaceNode(follower, PROGRAM);
+          await site.awaitHealthy(follower);
         }
         // The leader writes no windows: nothing is refused by share.
-        for (let n = 0; n < 12; n++) assert.ok((await submitAt(n % 3, `old-${n}`)) <= 201);
+        for (let jobNumber = 0; jobNumber < 12; jobNumber++)
+          assert.ok((await submitAt(jobNumber % 3, `old-${jobNumber}`)) <= 201);
         assert.equal(site.stateService.entries.has("a/w"), false);
         // A new process leads, and limits; the old one takes what it is given, which no rule forbids.
         site.replaceNode(leader, old);
         await site.awaitOtherLeader(leader);
         await site.awaitHealthy(leader);
-        let n = 0;
+        let jobNumber = 0;
         await waitForProcesses("a new process refuses", async () => {
-          return (await submitAt(site.leaderIndex(), `new-${n++}`)) === 429;
+          return (await submitAt(site.leaderIndex(), `new-${jobNumber++}`)) === 429;
         });
         await waitForProcesses("the old one takes it", async () => {
-          return (await submitAt(leader, `beside-${n++}`)) <= 201;
+          return (await submitAt(leader, `beside-${jobNumber++}`)) <= 201;
         });
         // An old one leads again: the window that is left binds nobody.
         const term = site.epoch();
@@ -229,7 +230,7 @@
         site.replaceNode(fresh, PROGRAM);
         await site.awaitHealthy(fresh);
         await waitForProcesses("all is admitted", async () => {
-          return (await submitAt(fresh, `late-${n++}`)) <= 201;
+          return (await submitAt(fresh, `late-${jobNumber++}`)) <= 201;
         });
         for (const id of taken) await site.awaitJobState(id, "done");
       },
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -53,16 +53,16 @@
 }
 
 function processorTimesOf({ nodes, samples, timeDeltas }: Profile): ProcessorTimes {
-  const byId = new Map(nodes.map((n) => [n.id, n]));
+  const byId = new Map(nodes.map((node) => [node.id, node]));
   const parents = new Map<number, number>();
-  for (const n of nodes) for (const child of n.children ?? []) parents.set(child, n.id);
+  for (const node of nodes) for (const child of node.children ?? []) parents.set(child, node.id);
   const self = new Map<string, number>();
   const inclusive = new Map<string, number>();
   const add = (times: Map<string, number>, name: string, ms: number): void => {
     times.set(name, (times.get(name) ?? 0) + ms);
   };
-  samples?.forEach((id, i) => {
-    const ms = (timeDeltas?.[i] ?? 0) / 1000;
+  samples?.forEach((id, index) => {
+    const ms = (timeDeltas?.[index] ?? 0) / 1000;
     add(self, moduleOf(byId.get(id)!.callFrame), ms);
     const seen = new Set<string>();
     for (let at: number | undefined = id; at !== undefined; at = parents.get(at)) {
@@ -131,56 +131,58 @@
   }
 
   private async askAll(): Promise<void> {
-    for (let n = 0; !this.stopped; n++) {
-      const id = this.submitted[(n * 7) % Math.max(1, this.submitted.length)];
-      if (id !== undefined) void this.site.queryJob(n % NODE_COUNT, id).catch(() => null);
+    for (let questionCount = 0; !this.stopped; questionCount++) {
+      const id = this.submitted[(questionCount * 7) % Math.max(1, this.submitted.length)];
+      if (id !== undefined)
+        void this.site.queryJob(questionCount % NODE_COUNT, id).catch(() => null);
       await sleepSeconds(1 / this.options.questions);
     }
   }
 }
 
 function heartbeatCount(site: MultiProcessCluster): number {
-  let reports = 0;
-  for (const worker of site.cloud.workers.values()) reports += worker.sentHeartbeats.length;
-  return reports;
+  let count = 0;
+  for (const worker of site.cloud.workers.values()) count += worker.sentHeartbeats.length;
+  return count;
 }
 
 async function measure(options: Options): Promise<string> {
   const dir = mkdtempSync(join(tmpdir(), "peatsaddle-profile-"));
-  const files = Array.from({ length: NODE_COUNT }, (_, i) => join(dir, `n${i}.json`));
+  const files = Array.from({ length: NODE_COUNT }, (_, node) => join(dir, `n${node}.json`));
   const site = await MultiProcessCluster.open({
     taskMs: () => options.taskSeconds * 1000,
     workers: options.machines,
     heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
-    nodeArguments: [...options.flags.split(" ").filter((f) => f !== ""), "--import", HOOK],
-    environment: (i) => ({
-      PROFILE_FILE: files[i]!,
+    nodeArguments: [...options.flags.split(" ").filter((flag) => flag !== ""), "--import", HOOK],
+    environment: (node) => ({
+      PROFILE_FILE: files[node]!,
       PROFILE_SAMPLED: options.total ? "no" : "yes",
       PROFILE_FROM_START: options.fromStart ? "yes" : "no",
     }),
   });
   try {
-    for (let i = 0; i < NODE_COUNT; i++) site.startNode(i, options.program);
-    for (let i = 0; i < NODE_COUNT; i++) await site.awaitHealthy(i);
+    for (let node = 0; node < NODE_COUNT; node++) site.startNode(node, options.program);
+    for (let node = 0; node < NODE_COUNT; node++) await site.awaitHealthy(node);
     await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
     const users = new SimulatedUsers(site, options);
     users.start();
     if (!options.fromStart) await sleepSeconds(options.warmUp);
     const leader = site.leaderIndex();
-    const reportsBefore = heartbeatCount(site);
-    if (!options.fromStart) for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
+    const heartbeatsBefore = heartbeatCount(site);
+    if (!options.fromStart)
+      for (let node = 0; node < NODE_COUNT; node++) site.signalNode(node, "SIGUSR2");
     await sleepSeconds(options.seconds);
-    const reports = (heartbeatCount(site) - reportsBefore) / options.seconds;
-    for (let i = 0; i < NODE_COUNT; i++) site.signalNode(i, "SIGUSR2");
+    const heartbeatsPerSecond = (heartbeatCount(site) - heartbeatsBefore) / options.seconds;
+    for (let node = 0; node < NODE_COUNT; node++) site.signalNode(node, "SIGUSR2");
     await waitForProcesses("profiles are written", () => files.every(existsSync));
     await sleepSeconds(1);
     users.stop();
     const kept = site.leaderIndex() === leader ? "one leader" : "the leader changed: of no use";
-    const text = files.map((file, i) => {
+    const text = files.map((file, node) => {
       const measured = JSON.parse(readFileSync(file, "utf8")) as ProcessProfile;
-      return describe(`n${i}${i === leader ? " (leader)" : ""}`, measured);
+      return describe(`n${node}${node === leader ? " (leader)" : ""}`, measured);
     });
-    return [`${reports.toFixed(0)} reports a second, ${kept}`, ...text].join("\n\n");
+    return [`${heartbeatsPerSecond.toFixed(0)} reports a second, ${kept}`, ...text].join("\n\n");
   } finally {
     site.close();
   }
--- a/tests/scheduling-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -43,12 +43,12 @@
   }
 }
 
-test("after a cycle twice its duration is left for answers, and eight times while overloaded", async (t) => {
-  t.mock.timers.enable({ apis: ["setTimeout"] });
+test("after a cycle twice its duration is left for answers, and eight times while overloaded", async (context) => {
+  context.mock.timers.enable({ apis: ["setTimeout"] });
   const cycleS = 0.3;
   const restS = async (lagS: number): Promise<number> => {
     const simulated = new SimulatedLoop(cycleS);
-    await simulated.runPolls(t, 60, lagS);
+    await simulated.runPolls(context, 60, lagS);
     const [secondLast, last] = simulated.cycleStarts.slice(-2) as [number, number];
     return last - secondLast - cycleS;
   };
@@ -58,33 +58,33 @@
   assert.ok(restOverloadedS >= 2.4 && restOverloadedS < 2.4 + 0.4, `${restOverloadedS} s`);
 });
 
-test("a node is overloaded once the lag of its timers exceeds a thirtieth of a heartbeat interval", async (t) => {
-  t.mock.timers.enable({ apis: ["setTimeout"] });
+test("a node is overloaded once the lag of its timers exceeds a thirtieth of a heartbeat interval", async (context) => {
+  context.mock.timers.enable({ apis: ["setTimeout"] });
   const isOverloadedAt = async (lagS: number): Promise<boolean> => {
     const simulated = new SimulatedLoop(0);
-    await simulated.runPolls(t, 40, lagS);
+    await simulated.runPolls(context, 40, lagS);
     return simulated.isOverloaded;
   };
   assert.equal(await isOverloadedAt(0.05), false);
   assert.equal(await isOverloadedAt(0.15), true);
 });
 
-test("inputs during the rest after a cycle cause one cycle once the rest is over", async (t) => {
-  t.mock.timers.enable({ apis: ["setTimeout"] });
+test("inputs during the rest after a cycle cause one cycle once the rest is over", async (context) => {
+  context.mock.timers.enable({ apis: ["setTimeout"] });
   const simulated = new SimulatedLoop(0.5);
   simulated.loop.requeue();
-  t.mock.timers.tick(0);
+  context.mock.timers.tick(0);
   assert.equal(simulated.cycleStarts.length, 1);
-  for (let i = 0; i < 5; i++) simulated.loop.requeue();
+  for (let input = 0; input < 5; input++) simulated.loop.requeue();
   simulated.now += 0.9;
-  t.mock.timers.tick(900);
+  context.mock.timers.tick(900);
   assert.equal(simulated.cycleStarts.length, 1, "it rests for twice the cycle's duration");
   simulated.now += 0.2;
-  t.mock.timers.tick(200);
+  context.mock.timers.tick(200);
   assert.equal(simulated.cycleStarts.length, 2);
   simulated.loop.requeue();
   simulated.loop.stop();
   simulated.now += 5;
-  t.mock.timers.tick(5000);
+  context.mock.timers.tick(5000);
   assert.equal(simulated.cycleStarts.length, 2, "none after it was stopped");
 });
--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -19,10 +19,14 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
     const simulation = new Simulation(seed);
     const violations = () => simulation.violations.length;
-    for (let i = 0; i < FAULTY_STEPS && violations() === 0; i++) simulation.step();
+    for (let step = 0; step < FAULTY_STEPS && violations() === 0; step++) simulation.step();
     simulation.endFaults();
     const unfinished = () => simulation.unfinishedJobs().length;
-    for (let i = 0; i < MAX_STEPS_TO_FINISH && violations() === 0 && unfinished() > 0; i++) {
+    for (
+      let step = 0;
+      step < MAX_STEPS_TO_FINISH && violations() === 0 && unfinished() > 0;
+      step++
+    ) {
       simulation.step();
     }
     const traceEnd = () => `seed ${seed}\n${simulation.trace.slice(-60).join("\n")}\n`;
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -16,7 +16,8 @@
 
 function leaderWith(machines: number, options: { cpuShare?: number; logsTasks?: boolean } = {}) {
   const leader = new TestLeader(options);
-  for (let i = 0; i < machines; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+  for (let index = 0; index < machines; index++)
+    leader.receiveHeartbeatOnly(machineName(index), []);
   leader.flushWrites();
   return leader;
 }
@@ -80,7 +81,8 @@
   const examinationsWith = (waiting: number): number => {
     const leader = leaderWith(400, { cpuShare: SMALL_SHARE });
     const tasks = 5000;
-    for (let i = 0; i <= waiting; i++) leader.submit(jobSpec(`j-${i}`, { team: "maps", tasks }));
+    for (let index = 0; index <= waiting; index++)
+      leader.submit(jobSpec(`j-${index}`, { team: "maps", tasks }));
     leader.tick(0.5);
     // Long enough for another cycle, which places what may be placed of the first.
     return countExaminations(leader, () => leader.tick(1.1));
@@ -92,10 +94,12 @@
 test("examinations of machines in a heartbeat interval grow at most in proportion to the machines", () => {
   const examinationsOf = (machines: number): number => {
     const leader = leaderWith(machines, { cpuShare: SMALL_SHARE });
-    for (let i = 0; i < 6; i++) leader.submit(jobSpec(`w-${i}`, { team: "maps", cpus: 5 }));
+    for (let index = 0; index < 6; index++)
+      leader.submit(jobSpec(`w-${index}`, { team: "maps", cpus: 5 }));
     return countExaminations(leader, () => {
       for (let step = 0; step < 10; step++) {
-        for (let i = step; i < machines; i += 10) leader.receiveHeartbeatOnly(machineName(i), []);
+        for (let index = step; index < machines; index += 10)
+          leader.receiveHeartbeatOnly(machineName(index), []);
         leader.tick(0.3);
       }
     });
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -21,7 +21,7 @@
   "a submission, its repetition and the first start are one trace",
   { operatorIni: "[tracing]\nenabled = true\n" },
   async (site) => {
-    const follower = [0, 1, 2].find((i) => i !== site.leaderIndex())!;
+    const follower = [0, 1, 2].find((index) => index !== site.leaderIndex())!;
     await site.submitAndAwaitRunning("run-1");
     assert.equal((await site.submitJob(follower, "run-1")).status, 200);
     await waitUntil("the first start is traced", () =>
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -16,10 +16,10 @@
 const file = new URL("../../../tests/traces/production.json", import.meta.url);
 const trace = (): KeyValueItem[] => JSON.parse(readFileSync(file, "utf8")) as KeyValueItem[];
 
-const placements = z.array(z.tuple([z.number(), z.number(), z.array(z.string())]));
-const part = { v: z.number(), n: z.number(), done: z.string(), pl: placements };
-const job = {
-  ...part,
+const storedPlacements = z.array(z.tuple([z.number(), z.number(), z.array(z.string())]));
+const storedShard = { v: z.number(), n: z.number(), done: z.string(), pl: storedPlacements };
+const storedJob = {
+  ...storedShard,
   at: z.number(),
   r: z.array(z.string()),
   o: z.number(),
@@ -27,8 +27,8 @@
 };
 /** Nothing but what the version in production knows: other fields are faults. */
 const PRODUCTION: Record<string, z.ZodType> = {
-  p: z.strictObject({ ...job, j: z.record(z.string(), z.unknown()) }),
-  q: z.strictObject(part),
+  p: z.strictObject({ ...storedJob, j: z.record(z.string(), z.unknown()) }),
+  q: z.strictObject(storedShard),
   d: z.strictObject({ s: z.enum(["done", "cancelled"]), n: z.number() }),
   x: z.strictObject({ at: z.number(), told: z.literal(false) }),
   g: z.record(z.string(), z.tuple([z.string(), z.string(), z.string(), z.boolean()])),
@@ -43,77 +43,82 @@
 const shapeOf = (key: string) => PRODUCTION[key.split("/")[0]!]!;
 const specKeys = (items: readonly KeyValueItem[]) =>
   new Set(
-    items.flatMap((i) =>
-      i.key.startsWith("p/") ? Object.keys((i.value as { j: JobSpec }).j) : [],
+    items.flatMap((item) =>
+      item.key.startsWith("p/") ? Object.keys((item.value as { j: JobSpec }).j) : [],
     ),
   );
 
 function takeOver(items: KeyValueItem[], state = {}): TestLeader {
-  const records = new StateReplica();
-  records.reset(items, 100);
-  return new TestLeader({ replica: records, epoch: 2, state });
+  const replica = new StateReplica();
+  replica.reset(items, 100);
+  return new TestLeader({ replica: replica, epoch: 2, state });
 }
 
 test("the values that production stored have the shapes that this version's values are checked against", () => {
   const kinds = new Set<string>();
-  for (const i of trace()) {
-    kinds.add(i.key.split("/")[0]!);
-    assert.doesNotThrow(() => shapeOf(i.key).parse(i.value), i.key);
+  for (const item of trace()) {
+    kinds.add(item.key.split("/")[0]!);
+    assert.doesNotThrow(() => shapeOf(item.key).parse(item.value), item.key);
   }
   assert.deepEqual([...kinds].sort(), Object.keys(PRODUCTION).sort());
 });
 
 test("a leader of this version takes over production's state, under present and next limits of the state service", () => {
   for (const state of [{}, { next: { value_kb: 2, txn_ops: 8 } }]) {
-    const h = takeOver(trace(), state);
-    h.tick();
-    const { jobs } = h.scheduler.cluster;
+    const leader = takeOver(trace(), state);
+    leader.tick();
+    const { jobs } = leader.scheduler.cluster;
     const placed = (id: string) => jobs.get(id)?.placements.size;
     assert.deepEqual(["web", "gang", "list", "large", "waiting"].map(placed), [2, 2, 6, 659, 0]);
     assert.equal(jobs.get("gang")!.isCancelled, true);
     assert.deepEqual(
-      ["web", "gang", "list", "over", "nobody"].map((id) => h.replica.view(id)?.state),
+      ["web", "gang", "list", "over", "nobody"].map((id) => leader.replica.view(id)?.state),
       ["running", "running", "running", "done", undefined],
     );
   }
 });
 
 test("this version writes only fields that production knows, until a job depends on another", () => {
-  const h = takeOver(trace());
-  h.epoch = 2;
+  const leader = takeOver(trace());
+  leader.epoch = 2;
   const known = specKeys(trace());
-  const machines = [...h.scheduler.cluster.machines.values()].map((m) => m.name);
-  h.submit(jobSpec("new", { team: "maps", tasks: 3 }));
-  for (const m of machines) {
-    const on = [...h.scheduler.cluster.machines.get(m)!.placements.values()];
-    h.receiveHeartbeatOnly(
-      m,
-      on.map((p) => taskStatus(p.job.spec.id, p.task, p.attempt)),
+  const machines = [...leader.scheduler.cluster.machines.values()].map((machine) => machine.name);
+  leader.submit(jobSpec("new", { team: "maps", tasks: 3 }));
+  for (const machine of machines) {
+    const placements = [...leader.scheduler.cluster.machines.get(machine)!.placements.values()];
+    leader.receiveHeartbeatOnly(
+      machine,
+      placements.map((placement) =>
+        taskStatus(placement.job.spec.id, placement.task, placement.attempt),
+      ),
     );
   }
-  for (let i = 0; i < 6; i++) h.tick();
+  for (let step = 0; step < 6; step++) leader.tick();
   const items = (): KeyValueItem[] => {
-    const out: KeyValueItem[] = [];
-    for (const [id, m] of h.replica.activeJobs) {
-      out.push({ key: `p/${id}`, ...m });
-      for (const [n, q] of h.replica.shardsOf(id)) out.push({ key: `q/${id}/${n}`, ...q });
+    const stored: KeyValueItem[] = [];
+    for (const [id, job] of leader.replica.activeJobs) {
+      stored.push({ key: `p/${id}`, ...job });
+      for (const [shardNumber, shard] of leader.replica.shardsOf(id))
+        stored.push({ key: `q/${id}/${shardNumber}`, ...shard });
     }
-    for (const [id, value] of h.replica.finalRecords)
-      out.push({ key: `d/${id}`, value, modRevision: 1 });
-    for (const [n, g] of h.replica.machineShards) out.push({ key: `g/${n}`, ...g });
-    return out;
+    for (const [id, value] of leader.replica.finalRecords)
+      stored.push({ key: `d/${id}`, value, modRevision: 1 });
+    for (const [shardNumber, shard] of leader.replica.machineShards)
+      stored.push({ key: `g/${shardNumber}`, ...shard });
+    return stored;
   };
-  assert.ok(h.replica.activeJobs.get("new")!.value.pl.length > 0, "it wrote something");
-  for (const i of items()) shapeOf(i.key).parse(JSON.parse(JSON.stringify(i.value)));
+  assert.ok(leader.replica.activeJobs.get("new")!.value.pl.length > 0, "it wrote something");
+  for (const item of items()) shapeOf(item.key).parse(JSON.parse(JSON.stringify(item.value)));
   assert.deepEqual(specKeys(items()), known);
   // Residuals too are those that production stores for a job by itself.
-  const r = (id: string) => h.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
-  const waiting = trace().find((i) => i.key === "p/waiting")!.value as { r: string[] };
-  h.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
-  assert.equal(r("other"), waiting.r.join().replaceAll("waiting", "JOB"));
-  h.submit(jobSpec("follower", { after: ["other"] }));
+  const residualsOf = (id: string) =>
+    leader.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
+  const waiting = trace().find((item) => item.key === "p/waiting")!.value as { r: string[] };
+  leader.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
+  assert.equal(residualsOf("other"), waiting.r.join().replaceAll("waiting", "JOB"));
+  leader.submit(jobSpec("follower", { after: ["other"] }));
   assert.deepEqual(
-    [...specKeys(items())].filter((k) => !known.has(k)),
+    [...specKeys(items())].filter((key) => !known.has(key)),
     ["after"],
   );
 });
