--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -54,7 +54,7 @@
   readonly epochModRevision: number;
 }
 
-/** Verdict on a submission that a client may be told. */
+/** Verdict on a submission that a client may be answered with. */
 export type SubmissionVerdict =
   /** A grant is left for it. */
   | { readonly kind: "admissible" }
@@ -123,8 +123,9 @@
   }
 
   /**
-   * The verdict that a client may be told of a job that `wouldReject` reports. What was read before the request may be out
-   * of date, and the job may have been accepted elsewhere: so this reads everything that was stored before now first.
+   * The verdict that a client may be answered with on a job for which `wouldReject` returned true. What was read before
+   * the request may be out of date, and the job may have been accepted elsewhere: so this reads everything that was
+   * stored before now first.
    */
   async verifyRejection(job: JobSpec, isKnown: () => boolean): Promise<SubmissionVerdict> {
     if (!(await this.ports.readLatest())) return { kind: "unavailable" };
--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -81,7 +81,7 @@
     return this.redirect.reply;
   }
 
-  /** Refuses at once, and tells when to come back. */
+  /** Refuses at once, with a Retry-After. */
   private refusal(error: string): HeartbeatReply {
     const retryAfterS = Math.max(1, Math.ceil(this.options.retryAfterS));
     return { ...replyOf(503, { error }), retryAfterS };
--- a/src/api/outcomes.ts
+++ b/src/api/outcomes.ts
@@ -1,11 +1,11 @@
-/** How requests end: what the controller answers the HTTP server. Each is a union that is told apart by its `kind`. */
+/** How requests end: what the controller answers the HTTP server. Each is a union discriminated by its `kind`. */
 import type { JobView } from "../core/model/jobs.js";
 import type { WorkerCommand } from "../core/model/workers.js";
 
 /** How a conditional write of a submission or a cancellation ended. */
 export type WriteResult =
   | { readonly kind: "ok" }
-  /** One of its keys existed already: the job is known, and a read tells its state. */
+  /** One of its keys existed already: the job is known, and a read returns its state. */
   | { readonly kind: "known" }
   /** Nothing is certain; the client may send the same request again. */
   | { readonly kind: "unavailable" };
@@ -34,7 +34,7 @@
   | { readonly kind: "found"; readonly job: JobView }
   /** The job was never accepted. */
   | { readonly kind: "not found" }
-  /** This node cannot tell. */
+  /** This node does not know. */
   | { readonly kind: "unavailable" };
 
 /** Whether a job can ever run. */
@@ -51,7 +51,7 @@
       readonly fencingToken: number;
       readonly commands: readonly WorkerCommand[];
     }
-  /** To the leader's member name; null: nobody knows who leads. */
+  /** To the leader's member name; null: no leader is known. */
   | { readonly kind: "redirect"; readonly leader: string | null }
   | { readonly kind: "unavailable" };
 
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -10,7 +10,7 @@
 import type { HeartbeatBackend, HeartbeatHandler } from "./heartbeats.js";
 import type { Feasibility, JobReadResult, SubmissionOutcome, WriteResult } from "./outcomes.js";
 
-/** Requests that are refused for being too many are told to come back spread over so many seconds. */
+/** Seconds over which the retries of requests that were refused as too many are spread. */
 const RETRY_SPREAD_S = 3;
 
 /** What the server asks of its controller. */
@@ -40,7 +40,7 @@
   readonly now: () => number;
   /** Seconds after which a refused client may come back. */
   readonly retryAfterS: number;
-  /** Seconds within which a cancelled job is to end; its user is told to come back otherwise. */
+  /** Seconds within which a cancelled job is to end; otherwise its user is told to retry later. */
   readonly cancellationWaitS: number;
   /** Seconds after which an idle connection is closed. */
   readonly idleTimeoutS: number;
@@ -58,7 +58,7 @@
 
 /** Registers all routes on a server. */
 export class Routes {
-  /** Requests that were refused for being too many: each is told to come back in its turn. */
+  /** Requests that were refused as too many: each gets its own time to retry after. */
   private refusedAsBusy = 0;
 
   constructor(
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Refuses at once, and tells when to come back. */
+  /** Refuses at once, with a Retry-After. */
   private refuse(reply: FastifyReply, status: number, error: string, extraS = 0): FastifyReply {
     reply.header("retry-after", String(this.retryAfterS() + extraS));
     // Connections are not moved between nodes: one that this node cannot serve is better opened anew.
@@ -111,7 +111,7 @@
     return Math.max(1, Math.ceil(this.options.retryAfterS));
   }
 
-  /** Past the limit users' requests are refused at once, and told to come back in turns. */
+  /** Beyond the limit users' requests are refused at once, each with its own Retry-After. */
   private async limited<T>(
     limit: AdaptiveConcurrencyLimit,
     reply: FastifyReply,
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Answers with the state of a known job, or that this node cannot tell; null: it was never accepted. */
+  /** Answers with the state of a known job, or that this node does not know it; null: it was never accepted. */
   private async answerKnown(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     const result = await this.backend.readJob(id);
     switch (result.kind) {
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -7,7 +7,7 @@
 import type { SubmissionWriter } from "./submission-writer.js";
 
 /**
- * How often a submission is evaluated and written before its client is told to come back. An attempt fails when another
+ * How often a submission is evaluated and written before its client is told to retry later. An attempt fails when another
  * node's write comes first.
  */
 const MAX_ATTEMPTS = 4;
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -230,8 +230,8 @@
   }
 
   /**
-   * Over the limit, or nobody knows. Either way the same conditional write may be sent again: a copy that still arrives
-   * and one that was executed both make it fail as `known`.
+   * Over the rate limit, or the outcome is unknown. Either way the same conditional write may be sent again: a copy that
+   * still arrives and one that was executed both make it fail as `known`.
    */
   private async retry(batch: readonly PendingWrite[], afterS: number): Promise<void> {
     this.queue.requeue(batch);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -27,7 +27,7 @@
     this.connections = new HttpConnectionPool(address, MAX_CONNECTIONS);
   }
 
-  /** The machine types that the cloud offers; null if it did not tell. */
+  /** The machine types that the cloud offers; null if it did not answer. */
   async fetchCatalog(): Promise<MachineType[] | null> {
     const response = await this.call("GET", PATH.catalog);
     return response?.status === 200 ? decodeCatalog(decode(response.body)) : null;
--- a/src/core/capacity/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -36,7 +36,7 @@
   }
 
   /**
-   * The machine is released: the next of its type has longer, up to a bound. (If all took longer than the timeout, none
+   * The machine is released: the next of its type has longer, up to a bound. (If all needed longer than the timeout, none
    * would ever come up.)
    */
   noteExpired(machine: Machine): void {
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -200,7 +200,7 @@
 const spareTasks = (shape: JobShape, { spareRatio }: ScalingContext): number =>
   Math.max(1, Math.ceil(spareRatio * shape.runningTasks));
 
-/** Silent, drained and late machines offer no capacity, though late ones may still come up. */
+/** Unreachable, drained and late machines offer no capacity, though late ones may still come up. */
 function acceptsNewTasks(machine: Machine, now: number): boolean {
   if (machine.drainReason !== null || machine.interruptionAt !== null) return false;
   if (machine.state === "booting") return !isBootLate(machine, now);
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -29,7 +29,7 @@
 export class CommandDispatcher {
   /** Machines to which something may be due; the others are not considered as time passes. */
   readonly dueMachines = new Set<Machine>();
-  /** Names of the machines to which a request is in flight that only tells them the fencing token. */
+  /** Names of the machines to which a request is in flight that only carries the fencing token. */
   readonly tokenRequestsInFlight = new Set<string>();
   /** Names of the machines to which a probe is in flight. */
   readonly probesInFlight = new Set<string>();
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Requests of one sort, probes or those that only tell the fencing token, that may be in flight at a time. (After
+   * Requests of one sort, probes or those that only carry the fencing token, that may be in flight at a time. (After
    * a takeover a thousand workers were late at once; probing all of them in one moment left no time for their
    * heartbeats, and most lost their leases.)
    */
@@ -140,7 +140,7 @@
     this.send(machine, machine.incarnation, due);
   }
 
-  /** The second request follows soon, as two failures in a row tell more than one; then they are spaced. */
+  /** The second request follows soon, as two failures in a row are stronger evidence than one; then they are spaced. */
   noteUnansweredRequest(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
     machine.consecutiveFailedRequests++;
@@ -162,7 +162,7 @@
       return null;
     }
     if (placement.state === "loaded") return null;
-    // A second stop would cut a checkpoint short, unless that is meant.
+    // A second stop would interrupt the checkpoint, unless that is intended.
     if (placement.state === "checkpointing" && stop.graceS > 0) return null;
     if (now - stop.sentAt < this.context.settings.heartbeatIntervalS / 6) return null;
     stop.sentAt = now;
@@ -257,7 +257,7 @@
     return job === undefined || job.isPersisted(exited.task, exited.version);
   }
 
-  /** A request without commands, which only tells the worker the present fencing token. */
+  /** A request without commands, which only carries the present fencing token. */
   private sendFencingToken(machine: Machine): void {
     this.dueMachines.add(machine);
     if (this.tokenRequestsInFlight.size >= this.maximumConcurrentRequests) return;
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -4,8 +4,8 @@
 
 /**
  * Where a placement stands. `loaded`: read from the store after a takeover, nothing else known of it. `planned`: no start
- * was sent under the present fencing token. `sent`: a start is in flight or unanswered. The others are what the worker
- * reported.
+ * was sent under the present fencing token. `sent`: a start is in flight or unanswered. The others are as in the
+ * worker's last heartbeat.
  */
 export type PlacementState =
   | "loaded"
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Compares the tasks that a worker reports with those placed on it, and takes in what became of each. */
+/** Compares the tasks in a worker's heartbeat with those placed on it, and updates the placements to match. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -3,7 +3,7 @@
 
 /** Something to be sent, asked of the cloud, done by the node, or logged. */
 export type Effect =
-  /** A direct request with commands, or, without any, one that tells a worker the fencing token. */
+  /** A direct request with commands, or, without any, one that carries only the fencing token. */
   | {
       readonly kind: "send";
       readonly machine: string;
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -98,7 +98,7 @@
   }
 
   /**
-   * A task failed: by a fault of its machine, or of its job, which then fails on every machine. The two are told apart by
+   * A task failed: by a fault of its machine, or of its job, which then fails on every machine. The two differ in
    * whether either succeeds elsewhere. (When any two jobs that failed on a machine were enough to release it, one job in
    * 25 submitted with a mistake cost thirty healthy machines in a day.)
    */
@@ -107,7 +107,7 @@
     const { failures } = job;
     this.recordFailure(placement, now);
     if (failures.suspicion !== null) {
-      // Those that were placed before the suspicion tell nothing new.
+      // Failures of attempts that were placed before the suspicion are no new evidence.
       if (placement.placedAt <= failures.suspicion.since) return;
       failures.suspicion.failedRetries++;
     } else if (this.failsEverywhere(job, now)) {
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches the machines: probes overdue ones, releases silent ones, and ends incarnations whose lease has expired. */
+/** Watches the machines: probes overdue ones, releases unreachable ones, and ends incarnations whose lease has expired. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -8,17 +8,17 @@
 import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
 import { ZoneSilence } from "./zone-silence.js";
 
-/** Part of all machines that may be released as silent in a heartbeat interval. */
+/** Share of all machines that may be released as unreachable in a heartbeat interval. */
 const RELEASE_SHARE = 0.05;
 
-/** Silence, in heartbeat intervals, from which a machine is probed if there is time for it. */
+/** Time without a message, in heartbeat intervals, from which a machine is probed if there is time for it. */
 const EARLY_PROBE_INTERVALS = 1;
 /** The same for a machine that runs replicas of a service. */
 const EARLY_SERVICE_PROBE_INTERVALS = 0.8;
 /** Heartbeats arrive within so many intervals: a later one is overdue, and its machine is probed at once. */
 const OVERDUE_INTERVALS = 1.25;
 
-/** Releases and probes by what was last heard of each machine. Checked several times a heartbeat interval. */
+/** Probes and releases machines by the time of their last message. Checked several times a heartbeat interval. */
 export class MachineMonitor {
   /** Time of the last check. */
   checkedAt = Number.NEGATIVE_INFINITY;
@@ -36,7 +36,7 @@
     this.zoneSilence = new ZoneSilence(context.settings.heartbeatIntervalS);
   }
 
-  /** Silent machines are probed, then released, or their lease is waited out. */
+  /** Machines that send no heartbeats are probed, then released, or their lease is waited out. */
   checkMachines(now: number): void {
     if (this.isStalled(now)) return;
     const running = [...this.context.cluster.machines.values()].filter(
@@ -70,7 +70,7 @@
     return !this.hasSettled;
   }
 
-  /** A process that was stalled finds all machines silent: it first has to read what has arrived meanwhile. */
+  /** To a process that was stalled all machines look overdue: it first has to read what has arrived meanwhile. */
   private isStalled(now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
     const wasStalled = now - this.checkedAt > heartbeatIntervalS / 2;
@@ -150,7 +150,7 @@
     );
   }
 
-  /** Releases a machine that is silent, or that cannot be reached although its heartbeats arrive. */
+  /** Releases a machine that sends no heartbeats, or that cannot be reached although its heartbeats arrive. */
   private releaseIfSilent(machine: Machine, machines: number, now: number): void {
     const { heartbeatIntervalS, leaseS } = this.context.settings;
     const silenceS = now - machine.lastMessageAt;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
 
-/** An attempt that the worker reported as exited and has not been told to forget. */
+/** An attempt that is exited in the worker's heartbeats, and that it was not yet sent a `forget` command for. */
 export interface ExitedTask {
   readonly job: string;
   readonly task: number;
@@ -54,7 +54,7 @@
  * | --- | --- | --- | --- |
  * | Yes | recent | null | 0 |
  * | Its heartbeats arrive, but direct requests get no answer | recent | set | 0 after each heartbeat |
- * | It is silent | long ago | set once a request failed | 1 or more |
+ * | No message arrives | long ago | set once a request failed | 1 or more |
  *
  * | Its record | `isPersisted` | `isRecordOutdated` |
  * | --- | --- | --- |
--- a/src/core/machines/zone-silence.ts
+++ b/src/core/machines/zone-silence.ts
@@ -1,4 +1,7 @@
-/** Tells the silence of a single machine from that of a whole zone, or of this node's own connections. */
+/**
+ * Distinguishes a single machine that sends no heartbeats from a partitioned zone, and from a fault of this node's
+ * connections.
+ */
 import type { Machine } from "./machine.js";
 
 /** Heartbeat intervals after which a machine counts as overdue: heartbeats arrive within 1.25. */
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -38,7 +38,7 @@
   readonly leaseS: number;
   /** Seconds that a gang task waits for its peers before it exits. */
   readonly gangWaitS: number;
-  /** Seconds within which gang tasks notice that a peer is gone, and within which all must be stopped. */
+  /** Seconds within which gang tasks notice that a peer no longer runs, and within which all must be stopped. */
   readonly gangPeerS: number;
   /** Seconds from the confirmation of a cancellation within which no task may run any more. */
   readonly cancelS: number;
--- a/src/core/model/workers.ts
+++ b/src/core/model/workers.ts
@@ -1,13 +1,13 @@
-/** What workers report, and what they are told to do. */
+/** Workers' heartbeats, and the commands that workers are sent. */
 
 /**
- * State of a task on its machine: `fetching`: waits for its image to be pulled; `waiting`: gang task, waits
- * for its peers; `saving`: was told to stop, and checkpoints.
+ * State of a task on its machine: `pulling image`: waits for its image to be pulled; `waiting`: gang task, waits
+ * for its peers; `checkpointing`: was told to stop, and checkpoints.
  */
 export type TaskState = "pulling image" | "waiting" | "running" | "checkpointing" | "exited";
 
 /**
- * Why a task exited: `done`: completed; `stopped`: by command; `peers`: another task of its gang is gone;
+ * Why a task exited: `done`: completed; `stopped`: by command; `peers`: a gang peer stopped running;
  * `alone`: its gang was not complete in time; `error`: it failed; `no_room`: the start was refused for lack of
  * resources; `busy`: the start was refused, as another attempt of the task is on the machine; `unknown`: the
  * start was refused, as the worker knows no such job.
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -4,7 +4,7 @@
  * While requests take about as long as the best lately seen, the limit grows by the square root of
  * itself; when they take longer it shrinks in proportion. So it settles where a queue would begin.
  * A best time learnt under load would hide the queue it was learnt in, so while times are not good
- * the limit is cut now and then, and the best is learnt again.
+ * the limit is reduced now and then, and the best is measured again.
  */
 export class AdaptiveConcurrencyLimit {
   private limit: number;
--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -7,7 +7,7 @@
 import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 import { findPreemption, type PreemptionChoice } from "./preemption.js";
 
-/** Searches in one cycle, for each core. Each search goes over all machines: what a cycle omits, the next one does. */
+/** Searches in one cycle, for each core. Each search examines all machines: what a cycle omits, the next one does. */
 const PREEMPTION_SEARCHES_PER_CORE = 64;
 
 /** Searches in one cycle at the most, however many cores there are. */
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -5,10 +5,10 @@
 import { markStarvingJobs } from "./starvation.js";
 import { estimatedMachineSeconds, type Urgency, urgencyOf } from "./urgency.js";
 
-/** Behind every precedence of other jobs. */
+/** Precedence of suspected jobs: after that of all other jobs. */
 const SUSPECTED_PRECEDENCE = 40;
 
-/** Precedence of starving jobs: right behind production. */
+/** Precedence of starving jobs: right after production. */
 const STARVING_PRECEDENCE = 1;
 
 /** The waiting jobs, the most urgent first. Sets `isStarving` and `guaranteeStillReachable` of each. */
--- a/src/net/http-connection.ts
+++ b/src/net/http-connection.ts
@@ -9,7 +9,7 @@
   reject(error: Error): void;
 }
 
-/** Connects at once; `connected` tells how that ended. */
+/** Connects at once; `connected` settles with the outcome. */
 export class HttpConnection {
   readonly socket: Socket;
   /** Rejects if the connection can't be established. */
--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -4,7 +4,7 @@
 import type { Leadership } from "./leadership.js";
 import type { NodeLoad } from "./node-load.js";
 
-/** What the loop is judged by, and who is told. */
+/** What the cycle monitor compares the loop's measurements with, and logs to. */
 export interface CycleMonitorOptions {
   readonly heartbeatIntervalS: number;
   readonly replica: StateReplica;
@@ -17,7 +17,7 @@
 export class CycleMonitor {
   constructor(private readonly options: CycleMonitorOptions) {}
 
-  /** A cycle took so long, and began so long after the end of the one before it. */
+  /** A cycle lasted `durationS` seconds, and began `sinceLastCycleS` seconds after the end of the one before it. */
   handleCycleEnd(durationS: number, sinceLastCycleS: number): void {
     const { heartbeatIntervalS, replica, log } = this.options;
     if (durationS <= heartbeatIntervalS / 4) return;
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -106,7 +106,7 @@
     const { workers, now, heartbeatIntervalS } = this.options;
     const startedAt = now();
     void workers.probe(address).then((heartbeat) => {
-      // Later than the timeout of a request: this node was held up, and the missing answer tells nothing.
+      // Later than the timeout of a request: this node was stalled, and the machine may be sound.
       const isLate = now() - startedAt > (1.25 * heartbeatIntervalS) / 3;
       this.handleResult(leading, () =>
         leading.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -22,7 +22,7 @@
 
   /**
    * A node that alone cannot reach the state service is of no use to users. If no other reaches
-   * it either, it is down for all, and being passed over would only delay the return.
+   * it either, it is down for all, and failed health checks would only delay the return.
    */
   isHealthy(): boolean {
     const { stateContact, peers } = this.options;
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -19,7 +19,7 @@
   seconds: number;
 }
 
-/** How often something was done in a second, and the share of the time that it took. */
+/** How often something was done in a second, and the share of the time that was spent on it. */
 export interface ActivityRate {
   readonly perSecond: number;
   readonly share: number;
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -14,7 +14,7 @@
 /** Weight of the last measurement of the lag in its moving average. */
 const LAG_SMOOTHING = 0.3;
 
-/** What the loop runs, and who is told of its measurements. */
+/** What the loop runs, and the callbacks that receive its measurements. */
 export interface SchedulingLoopOptions {
   /** Steady time, in seconds. */
   readonly now: () => number;
@@ -23,9 +23,9 @@
   readonly onPoll: () => void;
   /** Runs one scheduling cycle. */
   readonly runCycle: () => void;
-  /** Told the duration of each cycle, and how long after the end of the last one it began, in seconds. */
+  /** Receives the duration of each cycle, and how long after the end of the last one it began, in seconds. */
   readonly onCycleEnd: (durationS: number, sinceLastCycleS: number) => void;
-  /** Told after each poll how late timers fire on average, in seconds, and whether that is too much. */
+  /** Receives after each poll how late timers fire on average, in seconds, and whether that is too much. */
   readonly onLag: (lagS: number, isOverloaded: boolean) => void;
 }
 
@@ -59,7 +59,7 @@
     this.stopped = true;
   }
 
-  /** Something came in: a cycle follows as soon as the rest after the last one is over. */
+  /** Input arrived: the next cycle runs as soon as the rest after the last one ends. */
   requeue(): void {
     if (this.isQueued) return;
     this.isQueued = true;
@@ -70,7 +70,7 @@
     }, 1000 * delayS);
   }
 
-  /** A sleep that took far longer than asked for means that more comes in than can be done. */
+  /** A sleep that lasted far longer than requested means that more arrives than can be handled. */
   private updateLag(measuredS: number): void {
     this.lagS = (1 - LAG_SMOOTHING) * this.lagS + LAG_SMOOTHING * measuredS;
     const { heartbeatIntervalS } = this.options.settings;
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -12,7 +12,7 @@
   readonly maximumContactGapS: number;
 }
 
-/** Tells whether the state service answered lately. */
+/** Knows whether the state service answered recently. */
 export class StateContact {
   constructor(private readonly options: StateContactOptions) {}
 
@@ -21,7 +21,10 @@
     return this.options.watcher.isLoaded;
   }
 
-  /** A watch ends several times within the longest gap, so silence means that this node is cut off. */
+  /**
+   * A watch ends several times within the longest gap, so a longer one means that this node is partitioned from the
+   * service.
+   */
   reachesStateService(): boolean {
     const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
     return watcher.isLoaded && now() - keyValueClient.lastAnswerAt < maximumContactGapS;
--- a/src/node/user-requests.ts
+++ b/src/node/user-requests.ts
@@ -86,8 +86,8 @@
 
   /**
    * The end of a job whose cancellation is stored, as soon as it is stored as well. Where that takes
-   * longer than a third of a heartbeat interval (machines that hang or are cut off, no leader), the user is
-   * told to come back; the cancellation stays stored, and is carried out meanwhile.
+   * longer than a third of a heartbeat interval (machines that hang or are partitioned, no leader), the user is
+   * told to retry later; the cancellation stays stored, and is carried out meanwhile.
    */
   async waitForEnd(id: string, withinS: number): Promise<JobView | null> {
     const { completionWaiters, replica } = this.options;
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -1,8 +1,8 @@
 /**
  * Worker heartbeats on the wire.
  *
- * They are most of what a leader handles, and validating one by a zod schema took three quarters of the time that its
- * answer took; so they are validated field by field.
+ * They are most of what a leader handles, and validating one by a zod schema cost three quarters of the time that its
+ * answer cost; so they are validated field by field.
  */
 import type { ExitCause, TaskStatus, WorkerHeartbeat } from "../core/model/workers.js";
 import { isFields } from "./fields.js";
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -1,4 +1,4 @@
-/** What must hold with many hundred machines and jobs: counts of work, never times. */
+/** Invariants with many hundred machines and jobs: counts of operations, never times. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -32,7 +32,7 @@
   return leader;
 }
 
-test("machines that come up together are persisted in few changes, not with a key for each", () => {
+test("machines that register together are persisted as machine-record shards, in few changes", () => {
   const leader = leaderOfManyMachines();
   let changes = 0;
   const next = () => leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES);
@@ -68,7 +68,7 @@
     sendHeartbeats();
     leader.commitWrite(leader.scheduler.nextTransaction(1, MAX_BYTES, false, leader.now)!);
   }
-  // Two come with each write, every 0.8 s. Those of the first 6 s go before it: two priorities, 3 s each.
+  // Two jobs arrive with each write, every 0.8 s. Those of the first 6 s are persisted first: two priorities, 3 s each.
   assert.ok(writes > 2 && writes <= 18, `after ${writes} writes`);
 });
 
@@ -100,7 +100,7 @@
   assert.equal(tokenRequests.length, MAX_REQUESTS_IN_FLIGHT);
 });
 
-test("machines whose heartbeats are in time are hardly probed", () => {
+test("machines whose heartbeats are on time are rarely probed", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   let probes = 0;
@@ -110,7 +110,7 @@
   };
   for (let step = 0; step < 60; step++) {
     leader.now += 0.15;
-    // A heartbeat interval is 3 s: each heartbeat comes in time, a twentieth of them at a step.
+    // The heartbeat interval is 3 s: each heartbeat is on time, a twentieth of them at each step.
     for (let index = step % 20; index < MACHINES; index += 20)
       leader.receiveHeartbeatOnly(machineName(index), []);
     count(leader.scheduler.tick(leader.now, leader.now * 1000));
@@ -118,7 +118,7 @@
   assert.ok(probes <= 40 * 0.25 * 9 + 10, `${probes} probes in 9 s`);
 });
 
-test("many late workers are probed a few at a time", () => {
+test("probes of many overdue workers are limited in number at a time", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   const probed = new Set<string>();
@@ -141,7 +141,7 @@
     const machines = [...leader.scheduler.cluster.machines.values()];
     return machines.filter((machine) => machine.state === "releasing").length;
   };
-  // Four of five machines find the new leader, the others take long.
+  // Four of five machines send heartbeats to the new leader, the others not yet.
   for (let step = 0; step < 45; step++) {
     leader.now += 0.3;
     if (step % 10 === 0) {
@@ -156,7 +156,7 @@
   assert.ok(releasedCount() <= MACHINES / 20, `${releasedCount()} released`);
 });
 
-test("no message is sent while time passes and nothing is due", () => {
+test("no request is sent while time passes and no command is due", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   leader.submit(jobSpec("j", { tasks: 100, team: "maps" }));
@@ -208,7 +208,7 @@
   assert.equal(startedJobs.filter((job) => job.startsWith("t")).length, 0);
 });
 
-test("the largest job of a class goes first after half of the users' bound on starting", () => {
+test("the largest job of a class is placed first after half of the bound on start latency", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.submit(jobSpec("now", { cpus: 4, tasks: 1 }));
@@ -220,10 +220,10 @@
   assert.match(leader.takeTrace(), /start large\/0#1/);
 });
 
-test("a job of 600 tasks has hundreds in flight on scattered capacity, within one stored value", () => {
+test("a job of 600 tasks has hundreds of placements on fragmented capacity, within one stored value", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
-  // Four tasks to a machine, as whole machines are rarely free.
+  // Four tasks to a machine, as fully idle machines are rare.
   leader.submit(jobSpec("j", { tasks: 600, team: "maps", cpus: 1 }));
   const job = leader.scheduler.cluster.jobs.get("j")!;
   assert.ok(job.placements.size >= 350, `${job.placements.size} in flight`);
@@ -255,13 +255,13 @@
   );
 });
 
-test("machine records are read back from the replica as they were written", () => {
+test("a new leader loads machine records as they were stored", () => {
   const replica = new StateReplica();
   replica.reset(
     [{ key: "g/1", value: { "m-1": ["10.0.0.1:1", "small", "a", true] }, modRevision: 3 }],
     3,
   );
-  const leader = new TestLeader({ replica: replica, epoch: 2 });
+  const leader = new TestLeader({ replica, epoch: 2 });
   const machine = leader.scheduler.cluster.machines.get("m-1")!;
   assert.deepEqual(
     [machine.address, machine.type.name, machine.zone, machine.spot, machine.isPersisted],
@@ -269,7 +269,7 @@
   );
 });
 
-test("a job's end is persisted before placements of others that are not production", () => {
+test("a job's end is persisted before placements of other jobs below production priority", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.receiveHeartbeat(machineName(2), []);
--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -1,4 +1,4 @@
-/** New machines that boot late, never, or send heartbeats before the cloud lists them. */
+/** New machines that boot late, never boot, or send heartbeats before the cloud lists them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -33,7 +33,7 @@
   leader.performEffects(leader.scheduler.machineListAnswered(machines, leader.now));
 }
 
-/** What would be requested of the cloud now. */
+/** The scale-out request that would be sent to the cloud now. */
 function nextScaleOut(leader: TestLeader): ScaleOutRequest | null {
   const { cluster } = leader.scheduler;
   return planScaleOut(
@@ -82,18 +82,18 @@
   }
 }
 
-test("capacity that boots late is replaced by a machine of another zone, one for one", () => {
+test("each machine that boots late is replaced by one machine in another zone", () => {
   const leader = new TestLeader();
   leader.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
   assert.equal(nextScaleOut(leader)?.zone, "a");
   receiveMachineList(leader, [listedMachine("m1a", 1)]);
   assert.equal(nextScaleOut(leader), null, "one is booting");
-  // It boots in 15 s as a rule.
+  // The usual boot time is 15 s.
   leader.tick(31);
   const replacement = nextScaleOut(leader);
   assert.deepEqual([replacement?.count, replacement?.zone], [1, "b"]);
   receiveMachineList(leader, [listedMachine("m1a", 32), listedMachine("m2b", 1, { zone: "b" })]);
-  assert.equal(nextScaleOut(leader), null, "no more than one for each that is late");
+  assert.equal(nextScaleOut(leader), null, "one replacement for each late machine");
 });
 
 test("machines that never boot are released, after a longer timeout if no other boots in time either", () => {
@@ -128,7 +128,7 @@
   const statuses = [0, 1, 2, 3].map((task) => taskStatus("j", task, 1));
   leader.answerRequest(statuses);
   assert.equal(nextScaleOut(leader), null);
-  // The list is late: it does not show the machine, then shows it as booting.
+  // The cloud's list lags: it omits the machine, then lists it as booting.
   for (let interval = 0; interval < 10; interval++) {
     receiveMachineList(leader, interval < 5 ? [] : [listedMachine("m1a", interval)]);
     leader.receiveHeartbeat("m1a", statuses);
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -10,7 +10,7 @@
 async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
   const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
   for (const [index, id] of ids.entries()) {
-    // 200 if the answer to a first try was late and it was asked again.
+    // 200 if the answer to the first attempt was late and the submission was repeated.
     assert.ok((await site.submitJob(index % 3, id, { tasks: 8 })).status <= 201);
   }
   await waitForProcesses("tasks run", () => site.ruleChecker.startCount >= 8);
@@ -46,7 +46,7 @@
 
 /**
  * All processes restart in the middle of an election, each at once, while requests of its predecessor are still
- * under way: after the election every node answers about every job.
+ * in flight: after the election every node knows the state of every job.
  */
 async function allProcessesRestart(
   site: MultiProcessCluster,
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -93,7 +93,7 @@
   workers.runFor(8);
   const job = leader.scheduler.cluster.jobs.get("broken")!;
   assert.notEqual(job.failures.suspicion, null);
-  // Low work fills three of four machines; a gang that needs two comes after the broken one.
+  // Low-priority gangs fill three of four machines; a gang that needs two is submitted after the broken one.
   for (let index = 0; index < 3; index++) leader.submit(gang(`low${index}`, { priority: "low" }));
   workers.runFor(2);
   leader.submit(gang("sound", { tasks: 2, oneZone: true, priority: "low", estimateS: 100 }));
@@ -119,7 +119,7 @@
   assert.equal(leader.replica.view("single")?.state, "done");
 });
 
-test("a job in crash-loop backoff gets all its tasks back once one succeeds", () => {
+test("all tasks of a job in crash-loop backoff are started again once one succeeds", () => {
   let fails = true;
   const { leader, workers } = startCluster(6, 0, () => (fails ? "error" : 5));
   leader.submit(jobSpec("unlucky", { team: "maps", tasks: 12 }));
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -50,7 +50,7 @@
   assert.match(leader.takeTrace(), /stop gang/);
 });
 
-test("when a zone returns from a partition, machines that are still silent are not released at once", () => {
+test("when a zone returns from a partition, machines whose heartbeats are still missing are not released at once", () => {
   const names = [..."123456789"].flatMap((digit) => [`m${digit}a`, `m${digit}b`]);
   const leader = new TestLeader();
   for (const name of names) leader.receiveHeartbeat(name, []);
@@ -80,7 +80,7 @@
   assert.deepEqual([...new Set(run(back, 10))], [inB![0]], "it is released after all");
 });
 
-test("two gangs that each reserve half of what they need do not block each other", () => {
+test("two gangs that each hold reservations for half of their tasks do not deadlock", () => {
   const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
   leader.isStoreAvailable = false;
   leader.submit(gpu("second", { tasks: 4, oneZone: true, estimateS: 100 }));
@@ -117,7 +117,7 @@
     const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
-  // All that hold it are taken.
+  // All machines that have the image are in use.
   for (let index = 0; index < 11; index++) leader.submit(gpu(`now${index}`, { imageGb: 4 }));
   for (let index = 0; index < 11; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
@@ -130,7 +130,7 @@
   assert.equal(next.placements.size, 1);
 });
 
-test("a job that an image pull would make miss its next SLO waits for a machine that has the image", () => {
+test("a job whose start SLO an image pull would miss waits for a machine that has the image", () => {
   const names = Array.from({ length: 6 }, (_, index) => `m${index}a`);
   const leader = gpuMachines(names);
   for (const name of names.slice(1)) {
@@ -148,7 +148,7 @@
   assert.equal(
     leader.scheduler.cluster.machines.get("m0a")!.reservation,
     null,
-    "others may have it",
+    "other jobs may use it",
   );
   // Once the SLO is missed in any case, any machine will do.
   for (let heartbeat = 0; heartbeat < 3; heartbeat++)
@@ -188,7 +188,7 @@
     for (const machine of pulling) receive(machine, "pulling image");
     leader.receiveHeartbeat("m2a", [], { type: "big" });
     leader.tick(2.5);
-    assert.deepEqual(takeSent(), [], "neither has its image");
+    assert.deepEqual(takeSent(), [], "no image pull is complete");
   }
   receive("m1a", "waiting");
   leader.tick();
@@ -214,13 +214,13 @@
   leader.tick();
   const placed = (id: string): number => leader.scheduler.cluster.jobs.get(id)!.placements.size;
   assert.deepEqual([placed("large1"), placed("small1")], [2, 0]);
-  // Without that the second large one would hold this machine and wait for another.
+  // Without the cooldown the second large gang would reserve this machine and wait for another.
   end(3);
   leader.tick();
   assert.deepEqual([placed("large2"), placed("small1")], [0, 1]);
 });
 
-test("one scale-out request covers all jobs that the same kind of machine serves", () => {
+test("one scale-out request covers all jobs that fit the same machine type", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat("m1a", []);
   for (let index = 0; index < 6; index++)
@@ -243,7 +243,7 @@
   assert.deepEqual([request?.type, request?.count], ["small", 11]);
 });
 
-test("connections to workers leave sockets for those of workers and users", () => {
+test("connections to workers leave sockets for connections from workers and users", () => {
   for (const [sockets, machines] of [
     [3192, 1393],
     [3192, 2090],
@@ -256,7 +256,7 @@
   }
 });
 
-test("a controller survives running out of sockets", async () => {
+test("a controller that runs out of file descriptors keeps running", async () => {
   const read = decodeSettings(settingsText());
   if (!("settings" in read)) throw new Error("test settings");
   const settings = { ...read.settings, listenAddress: "127.0.0.1:0", peerAddress: "127.0.0.1:0" };
@@ -270,7 +270,7 @@
   await node.stop();
 });
 
-test("a reservation that a gang began in one zone does not keep it from reserving capacity in another", () => {
+test("a reservation that a gang began in one zone does not prevent it from reserving capacity in another", () => {
   const leader = gpuMachines(["m1a", "m2b", "m3b"]);
   for (const name of ["m1a", "m2b", "m3b"]) {
     leader.submit(gpu(`low-${name}`, { kind: "array", priority: "low", zone: name.at(-1)! }));
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -1,6 +1,6 @@
 /**
- * The version in production and this one as processes side by side, on each other's data: whichever leads, and
- * whichever a user asks, all rules hold over everything that users and workers were told.
+ * Rolling upgrades: processes of the version in production and of this one in one cluster, on each other's stored state.
+ * Whichever leads, and whichever answers a user, the protocol's rules hold for all answers to users and workers.
  */
 import assert from "node:assert/strict";
 import { after, before, type TestContext, test } from "node:test";
@@ -13,7 +13,7 @@
 import { waitForProcesses } from "./support/waiting.js";
 
 const NODES = [0, 1, 2];
-/** An array of so many tasks is stored in shards, whichever version made them. */
+/** An array with this many tasks is stored in shards by either version. */
 const LARGE = 700;
 const TINY = { cpus: 0.02, memoryGb: 0.02 };
 
@@ -54,7 +54,7 @@
 const followers = (site: MultiProcessCluster): number[] =>
   NODES.filter((node) => node !== site.leaderIndex());
 
-/** Jobs of all kinds, one of them in shards, that run for long or are done soon. */
+/** Submits jobs of all kinds, one of them sharded, and returns the ids of those that finish soon. */
 async function submitAll(site: MultiProcessCluster, node: number, name: string): Promise<string[]> {
   const ended = [`array-${name}`, `gang-${name}`, `large-${name}`];
   const service = { kind: "service" as const, tasks: 2, estimateS: 0, spread: true };
@@ -69,7 +69,7 @@
 const running = (site: MultiProcessCluster, id: string, tasks: number) =>
   waitForProcesses(`${id} runs`, () => site.ruleChecker.runningTaskCount(id) === tasks);
 
-/** Cancels a job whose machines are unreachable for a moment: nobody may be told before its tasks have stopped. */
+/** Cancels a job whose machines are unreachable for 1.2 s: it may be confirmed only once its tasks stopped. */
 async function cancelUnreachable(
   site: MultiProcessCluster,
   node: number,
@@ -98,22 +98,22 @@
       const [one, other] = followers(site) as [number, number];
       ended.push(...(await submitAll(site, one, "second")));
       await running(site, "long-service-second", 2);
-      // A cancellation that a new process confirms while an old one leads.
+      // A cancellation that a new process confirms while one of the version in production leads.
       await cancelUnreachable(site, other, "long-gang-first");
       await site.awaitJobState("long-gang-first", "cancelled");
 
-      // The leader is replaced while all of that is under way, and is back at once, as it was.
+      // The leader restarts while all of that is in progress, on the same version.
       site.replaceNode(leader, old);
       await site.awaitOtherLeader(leader);
       await site.awaitHealthy(leader);
       ended.push(...(await submitAll(site, leader, "third")));
       await running(site, "long-service-third", 2);
-      // A cancellation that an old process confirms while a new one leads.
+      // A cancellation that a process of the version in production confirms while a new one leads.
       await cancelUnreachable(site, leader, "long-service-first");
       await site.awaitJobState("long-service-first", "cancelled");
       for (const id of ended) await site.awaitJobState(id, "done");
 
-      // All are new: jobs may name others, of whichever version they were taken by.
+      // All processes are new: jobs may depend on others, whichever version accepted those.
       site.replaceNode(leader, PROGRAM);
       await site.awaitHealthy(leader);
       await site.submitJob(leader, "long-head");
@@ -125,13 +125,13 @@
       assert.equal(
         site.ruleChecker.runningTaskCount("long-service-second"),
         2,
-        "what runs was left alone",
+        "running replicas were not restarted",
       );
     }),
 );
 
 test(
-  "the upgrade may be rolled back while work is under way, before any job depends on another",
+  "the upgrade can be rolled back while jobs run, as long as no job depends on another",
   {
     timeout: 180_000,
   },
@@ -149,7 +149,10 @@
         site.replaceNode(node, old);
         await site.awaitHealthy(node);
       }
-      await waitForProcesses("an old process leads", () => site.leaderIndex() >= 0);
+      await waitForProcesses(
+        "a process of the version in production leads",
+        () => site.leaderIndex() >= 0,
+      );
       ended.push(...(await submitAll(site, 1, "behind")));
       for (const id of ended) await site.awaitJobState(id, "done");
       for (const name of ["before", "during", "behind"]) {
@@ -161,7 +164,7 @@
 );
 
 test(
-  "all rules hold when every process is replaced at once, old and new ones mixed",
+  "all rules hold when all processes restart at once, in changing mixes of both versions",
   {
     timeout: 180_000,
   },
@@ -171,7 +174,7 @@
       for (let round = 0; round < 3; round++) {
         for (const node of NODES) site.replaceNode(node, (node + round) % 2 === 0 ? PROGRAM : old);
         for (const node of NODES) await site.awaitHealthy(node);
-        await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
+        await waitForProcesses("leadership is acquired", () => site.leaderIndex() >= 0);
         ended.push(...(await submitAll(site, round, `round-${round}`)));
         const gang = `long-gang-round-${round}`;
         assert.equal((await site.cancelJob(site.leaderIndex(), gang)).state, "cancelled");
@@ -203,27 +206,27 @@
           site.replaceNode(follower, PROGRAM);
           await site.awaitHealthy(follower);
         }
-        // The leader writes no windows: nothing is refused by share.
+        // The leader writes no admission windows: no submission is rejected by fair share.
         for (let jobNumber = 0; jobNumber < 12; jobNumber++)
           assert.ok((await submitAt(jobNumber % 3, `old-${jobNumber}`)) <= 201);
         assert.equal(site.stateService.entries.has("a/w"), false);
-        // A new process leads, and limits; the old one takes what it is given, which no rule forbids.
+        // A new process leads, with admission control; the other version accepts all jobs, which no rule forbids.
         site.replaceNode(leader, old);
         await site.awaitOtherLeader(leader);
         await site.awaitHealthy(leader);
         let jobNumber = 0;
-        await waitForProcesses("a new process refuses", async () => {
+        await waitForProcesses("a new process rejects", async () => {
           return (await submitAt(site.leaderIndex(), `new-${jobNumber++}`)) === 429;
         });
-        await waitForProcesses("the old one takes it", async () => {
+        await waitForProcesses("the version in production accepts it", async () => {
           return (await submitAt(leader, `beside-${jobNumber++}`)) <= 201;
         });
-        // An old one leads again: the window that is left binds nobody.
+        // The version in production leads again: the stored window is no longer in force.
         const term = site.epoch();
         site.replaceNode(one, old);
         site.replaceNode(other, old);
         await waitForProcesses(
-          "an old process leads",
+          "a process of the version in production leads",
           () => site.epoch() > term && site.leaderIndex() >= 0,
         );
         const fresh = followers(site)[0]!;
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -43,7 +43,7 @@
   readonly inclusive: Map<string, number>;
 }
 
-/** The module of a frame: a file of ours, a package, or a part of Node.js. */
+/** The module of a frame: a source file of this program, a package, or a module of Node.js. */
 function moduleOf({ url, functionName }: Node["callFrame"]): string {
   if (url.startsWith("node:")) return url;
   const packaged = /node_modules\/((?:@[^/]+\/)?[^/]+)/.exec(url);
@@ -98,7 +98,7 @@
   ].join("\n");
 }
 
-/** Users who keep the machines full, and ask about what they submitted. */
+/** Users who submit enough jobs to use all machines, and query the jobs that they submitted. */
 class SimulatedUsers {
   private next = 0;
   private readonly submitted: string[] = [];
@@ -163,7 +163,7 @@
   try {
     for (let node = 0; node < NODE_COUNT; node++) site.startNode(node, options.program);
     for (let node = 0; node < NODE_COUNT; node++) await site.awaitHealthy(node);
-    await waitForProcesses("somebody leads", () => site.leaderIndex() >= 0);
+    await waitForProcesses("leadership is acquired", () => site.leaderIndex() >= 0);
     const users = new SimulatedUsers(site, options);
     users.start();
     if (!options.fromStart) await sleepSeconds(options.warmUp);
@@ -177,12 +177,13 @@
     await waitForProcesses("profiles are written", () => files.every(existsSync));
     await sleepSeconds(1);
     users.stop();
-    const kept = site.leaderIndex() === leader ? "one leader" : "the leader changed: of no use";
+    const kept =
+      site.leaderIndex() === leader ? "one leader" : "the leader changed: figures not comparable";
     const text = files.map((file, node) => {
       const measured = JSON.parse(readFileSync(file, "utf8")) as ProcessProfile;
       return describe(`n${node}${node === leader ? " (leader)" : ""}`, measured);
     });
-    return [`${heartbeatsPerSecond.toFixed(0)} reports a second, ${kept}`, ...text].join("\n\n");
+    return [`${heartbeatsPerSecond.toFixed(0)} heartbeats a second, ${kept}`, ...text].join("\n\n");
   } finally {
     site.close();
   }
--- a/tests/scheduling-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -43,7 +43,7 @@
   }
 }
 
-test("after a cycle twice its duration is left for answers, and eight times while overloaded", async (context) => {
+test("the loop rests for twice a cycle's duration after it, and for eight times while overloaded", async (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const cycleS = 0.3;
   const restS = async (lagS: number): Promise<number> => {
--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -36,7 +36,7 @@
     terms += simulation.termCount;
     finalStates += simulation.finishedJobCount;
   }
-  // The search covered what it is for: tasks started, leaders changed, and users learned of final states.
+  // The search covered its subject: tasks started, leaders changed, and users were answered with final states.
   assert.ok(
     starts > 40 * SEED_COUNT && terms > 2 * SEED_COUNT && finalStates > 10 * SEED_COUNT,
     `${starts} starts, ${terms} terms, ${finalStates} final states`,
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -1,6 +1,5 @@
 /**
- * A leader with a small share of a core: what it leaves out, what it never does, and how many machines it examines.
- * Counts, not times.
+ * A leader with a small share of a core: which work it omits, and how many machines it examines. Counts, not times.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -22,12 +21,12 @@
   return leader;
 }
 
-test("an overloaded leader does not step down for heartbeats that it has not read yet", () => {
+test("an overloaded leader does not step down because of heartbeats that it has not read yet", () => {
   const stepsDown = (overloaded: boolean): boolean => {
     const leader = leaderWith(8);
     leader.scheduler.overloaded = overloaded;
     leader.takeTrace();
-    // Time enough for heartbeats of all, but only one of eight machines sends any.
+    // Long enough for heartbeats of all machines, but only one of eight sends any.
     for (let second = 0; second < 14; second++) {
       leader.receiveHeartbeatOnly(machineName(0), []);
       leader.tick(1);
@@ -38,7 +37,7 @@
   assert.equal(stepsDown(false), true);
 });
 
-test("log lines on single tasks are not even composed where they are not written", () => {
+test("log lines on single tasks are not composed where they are not written", () => {
   const messagesOf = (logsTasks: boolean): Set<string> => {
     const leader = leaderWith(1, { logsTasks });
     const seen = new Set<string>();
@@ -57,7 +56,7 @@
     assert.equal(withoutTaskLines.has(message), false, message);
     assert.ok(messagesOf(true).has(message), message);
   }
-  assert.ok(withoutTaskLines.has("all tasks done"), "lines on jobs stay");
+  assert.ok(withoutTaskLines.has("all tasks done"), "lines on jobs are still written");
 });
 
 /** How often machines are examined during `work`: every examination reads a machine's free CPUs. */
@@ -77,14 +76,14 @@
   return examinations;
 }
 
-test("large arrays of which no more may be placed now cause no examination of machines", () => {
+test("large arrays without tasks that may be placed now cause no examinations of machines", () => {
   const examinationsWith = (waiting: number): number => {
     const leader = leaderWith(400, { cpuShare: SMALL_SHARE });
     const tasks = 5000;
     for (let index = 0; index <= waiting; index++)
       leader.submit(jobSpec(`j-${index}`, { team: "maps", tasks }));
     leader.tick(0.5);
-    // Long enough for another cycle, which places what may be placed of the first.
+    // Long enough for another cycle, which places as many tasks of the first array as it may.
     return countExaminations(leader, () => leader.tick(1.1));
   };
   const [one, many] = [examinationsWith(1), examinationsWith(12)];
@@ -110,7 +109,7 @@
   assert.ok(large <= (1.2 * small * 4000) / 720, `${large} at 4,000, ${small} at 720`);
 });
 
-test("the load line states processor time, the share of a core, and the time of each activity", () => {
+test("the load line contains processor time, the share of a core, and the rate and time share of each activity", () => {
   let now = 10;
   let cpuS = 1;
   const load = new NodeLoad({
@@ -142,5 +141,5 @@
   );
   assert.deepEqual(line?.activities.heartbeats, { perSecond: 0.05, share: 0.025 });
   assert.deepEqual(line?.activities.cycles, { perSecond: 0.05, share: 0.05 });
-  assert.equal(load.line(0), null, "counted anew");
+  assert.equal(load.line(0), null, "the counters were reset");
 });
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -1,6 +1,6 @@
 /**
- * The version in production and this one on each other's data. `traces/production.json` holds what that version
- * stored (its own leader wrote it); the shapes below are all that it reads and writes.
+ * Compatibility of stored state with the version in production. `traces/production.json` holds values that a leader of
+ * that version stored; the schemas below are all that it reads and writes.
  */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
@@ -25,7 +25,7 @@
   o: z.number(),
   c: z.number().optional(),
 };
-/** Nothing but what the version in production knows: other fields are faults. */
+/** Schemas of the version in production by key prefix: unknown fields are faults. */
 const PRODUCTION: Record<string, z.ZodType> = {
   p: z.strictObject({ ...storedJob, j: z.record(z.string(), z.unknown()) }),
   q: z.strictObject(storedShard),
@@ -51,10 +51,10 @@
 function takeOver(items: KeyValueItem[], state = {}): TestLeader {
   const replica = new StateReplica();
   replica.reset(items, 100);
-  return new TestLeader({ replica: replica, epoch: 2, state });
+  return new TestLeader({ replica, epoch: 2, state });
 }
 
-test("the values that production stored have the shapes that this version's values are checked against", () => {
+test("the values that production stored match the schemas that this version's values are checked against", () => {
   const kinds = new Set<string>();
   for (const item of trace()) {
     kinds.add(item.key.split("/")[0]!);
@@ -63,7 +63,7 @@
   assert.deepEqual([...kinds].sort(), Object.keys(PRODUCTION).sort());
 });
 
-test("a leader of this version takes over production's state, under present and next limits of the state service", () => {
+test("a leader of this version loads production's stored state, under the present and the next limits of the state service", () => {
   for (const state of [{}, { next: { value_kb: 2, txn_ops: 8 } }]) {
     const leader = takeOver(trace(), state);
     leader.tick();
@@ -78,7 +78,7 @@
   }
 });
 
-test("this version writes only fields that production knows, until a job depends on another", () => {
+test("this version stores only fields that production knows, until a job depends on another", () => {
   const leader = takeOver(trace());
   leader.epoch = 2;
   const known = specKeys(trace());
@@ -107,10 +107,10 @@
       stored.push({ key: `g/${shardNumber}`, ...shard });
     return stored;
   };
-  assert.ok(leader.replica.activeJobs.get("new")!.value.pl.length > 0, "it wrote something");
+  assert.ok(leader.replica.activeJobs.get("new")!.value.pl.length > 0, "placements were stored");
   for (const item of items()) shapeOf(item.key).parse(JSON.parse(JSON.stringify(item.value)));
   assert.deepEqual(specKeys(items()), known);
-  // Residuals too are those that production stores for a job by itself.
+  // Residuals too are those that production stores for a job without dependencies.
   const residualsOf = (id: string) =>
     leader.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
   const waiting = trace().find((item) => item.key === "p/waiting")!.value as { r: string[] };
