--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -24,7 +24,7 @@
 test("an overloaded leader does not step down because of heartbeats that it has not read yet", () => {
   const stepsDown = (overloaded: boolean): boolean => {
     const leader = leaderWith(8);
-    leader.scheduler.overloaded = overloaded;
+    leader.scheduler.isOverloaded = overloaded;
     leader.takeTrace();
     // Long enough for heartbeats of all machines, but only one of eight sends any.
     for (let second = 0; second < 14; second++) {
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -75,16 +75,16 @@
     }
     if (isPartitioned) return null;
     if (leader === null) return this.answerBetweenLeaders(heartbeat);
-    const { commands, outputs } = leader.scheduler.handleHeartbeat(heartbeat, clock.now);
+    const { commands, effects } = leader.scheduler.handleHeartbeat(heartbeat, clock.now);
     const token = leader.epoch;
-    this.effects.perform(leader, outputs);
+    this.effects.perform(leader, effects);
     return { token, commands };
   }
 
   /** For part of a lease any node answers, so that workers do not all come back at once. */
   private answerBetweenLeaders({ fencingToken }: WorkerHeartbeat): HeartbeatAnswer | null {
     const { clock, store } = this.context;
-    const epoch = store.replica.epoch.value.n;
+    const epoch = store.replica.epoch.value;
     const vacantForS = clock.now - this.leadership.leaderlessSince;
     const mayAnswer = epoch > 0 && fencingToken <= epoch && vacantForS < WORKER_LEASE_S / 3;
     return mayAnswer ? { token: epoch, commands: [] } : null;
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -95,24 +95,19 @@
   }
   for (let step = 0; step < 6; step++) leader.tick();
   const items = (): KeyValueItem[] => {
-    const stored: KeyValueItem[] = [];
-    for (const [id, job] of leader.replica.activeJobs) {
-      stored.push({ key: `p/${id}`, ...job });
-      for (const [shardNumber, shard] of leader.replica.shardsOf(id))
-        stored.push({ key: `q/${id}/${shardNumber}`, ...shard });
-    }
-    for (const [id, value] of leader.replica.finalRecords)
-      stored.push({ key: `d/${id}`, value, modRevision: 1 });
-    for (const [shardNumber, shard] of leader.replica.machineShards)
-      stored.push({ key: `g/${shardNumber}`, ...shard });
-    return stored;
+    const stored = new Map<string, KeyValueItem | null>(trace().map((item) => [item.key, item]));
+    for (const [key, item] of leader.writtenItems) stored.set(key, item);
+    return [...stored.values()].filter(
+      (item) => item !== null && /^[pqdg]\//.test(item.key),
+    ) as KeyValueItem[];
   };
-  assert.ok(leader.replica.activeJobs.get("new")!.value.pl.length > 0, "placements were stored");
+  const { placements } = leader.replica.activeJobs.get("new")!.value;
+  assert.ok(placements.length > 0, "placements were stored");
   for (const item of items()) shapeOf(item.key).parse(JSON.parse(JSON.stringify(item.value)));
   assert.deepEqual(specKeys(items()), known);
   // Residuals too are those that production stores for a job without dependencies.
   const residualsOf = (id: string) =>
-    leader.replica.activeJobs.get(id)!.value.r.join().replaceAll(id, "JOB");
+    leader.replica.activeJobs.get(id)!.value.residuals.join().replaceAll(id, "JOB");
   const waiting = trace().find((item) => item.key === "p/waiting")!.value as { r: string[] };
   leader.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
   assert.equal(residualsOf("other"), waiting.r.join().replaceAll("waiting", "JOB"));
