--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -7,7 +7,7 @@
 import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 import { findPreemption, type PreemptionChoice } from "./preemption.js";
 
-/** Searches in one cycle, for each core. Each search goes over all machines: what a cycle omits, the next one does. */
+/** Searches in one cycle, for each core. Each search examines all machines: what a cycle omits, the next one does. */
 const PREEMPTION_SEARCHES_PER_CORE = 64;
 
 /** Searches in one cycle at the most, however many cores there are. */
@@ -43,7 +43,11 @@
   private preemptFor(job: ActiveJob, context: PlanningContext, searches: SearchBudget): void {
     const zones = job.zones.copy();
     let missingSlots = job.pendingCount - reserveSlotsBeingFreed(job, zones, context);
-    for (let n = 0; missingSlots > 0 && n < MAX_SEARCHES_PER_JOB && searches.left > 0; n++) {
+    for (
+      let searchCount = 0;
+      missingSlots > 0 && searchCount < MAX_SEARCHES_PER_JOB && searches.left > 0;
+      searchCount++
+    ) {
       searches.left--;
       const choice = findPreemption(job, zones, context);
       if (choice === null) {
--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -19,10 +19,14 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
     const simulation = new Simulation(seed);
     const violations = () => simulation.violations.length;
-    for (let i = 0; i < FAULTY_STEPS && violations() === 0; i++) simulation.step();
+    for (let step = 0; step < FAULTY_STEPS && violations() === 0; step++) simulation.step();
     simulation.endFaults();
     const unfinished = () => simulation.unfinishedJobs().length;
-    for (let i = 0; i < MAX_STEPS_TO_FINISH && violations() === 0 && unfinished() > 0; i++) {
+    for (
+      let step = 0;
+      step < MAX_STEPS_TO_FINISH && violations() === 0 && unfinished() > 0;
+      step++
+    ) {
       simulation.step();
     }
     const traceEnd = () => `seed ${seed}\n${simulation.trace.slice(-60).join("\n")}\n`;
@@ -32,7 +36,7 @@
     terms += simulation.termCount;
     finalStates += simulation.finishedJobCount;
   }
-  // The search covered what it is for: tasks started, leaders changed, and users learned of final states.
+  // The search covered its subject: tasks started, leaders changed, and users were answered with final states.
   assert.ok(
     starts > 40 * SEED_COUNT && terms > 2 * SEED_COUNT && finalStates > 10 * SEED_COUNT,
     `${starts} starts, ${terms} terms, ${finalStates} final states`,
