--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -197,7 +197,7 @@
   }
 
   private addShard(): MachineRecordShard {
-    const highestIndex = Math.max(0, ...this.shards.map((shard) => shard.index));
+    const highestIndex = Math.max(0, ...this.shards.map(({ index }) => index));
     const shard = new MachineRecordShard(highestIndex + 1, 0);
     this.shards.push(shard);
     return shard;
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -153,8 +153,8 @@
 
 test("oversized machine-record shards are split, and each machine stands in a shard after every write", () => {
   const former = leaderUnderFormerLimits(1, 90);
-  const storedMachines = (leader: TestLeader) =>
-    new Set([...leader.replica.machineShards.values()].flatMap(({ value }) => Object.keys(value)));
+  const storedMachines = (owner: TestLeader) =>
+    new Set([...owner.replica.machineShards.values()].flatMap(({ value }) => Object.keys(value)));
   assert.equal(storedMachines(former).size, 90);
   const leader = takeOver(former, 2, LOW_LIMITS);
   leader.isStoreAvailable = false;
