--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -15,6 +15,7 @@
   gpus: number;
 }
 
+/** The leader's view of all machines and active jobs, with the usage of each team. */
 export class Cluster {
   /** Active jobs, by id. */
   readonly jobs = new Map<string, ActiveJob>();
--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -8,6 +8,7 @@
   failedRetries: number;
 }
 
+/** Failures of one job, on which fault attribution decides. Not stored: a successor counts anew. */
 export class FailureHistory {
   /** Machines on which a task of it ever failed; a few are enough to know. */
   readonly failedMachines = new Set<string>();
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -31,6 +31,7 @@
   }
 }
 
+/** Loads, refreshes, cancels and removes active jobs as the stored state changes. */
 export class JobLifecycle {
   constructor(
     private readonly context: LeaderContext,
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -23,6 +23,7 @@
   readonly initialShardSize: number | null;
 }
 
+/** The stored side of an active job; `ActiveJob` adds what only the leader knows. */
 export class ShardedJob {
   readonly spec: JobSpec;
   /** Counts the changes that are to be stored. */
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -33,6 +33,7 @@
   readonly spot: boolean;
 }
 
+/** Settings, cluster, epoch and pending effects, shared by the parts of the leader's state machine. */
 export class LeaderContext {
   readonly settings: ClusterSettings;
   readonly options: SchedulerOptions;
--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -13,6 +13,7 @@
 /** Slack on the time in contact that earns an extension, in seconds. */
 const CONTACT_MARGIN_S = 1;
 
+/** Decides whether a partitioned node may extend worker leases. */
 export class LeaseExtension {
   private contactSince = Number.POSITIVE_INFINITY;
   private lastContactAt = Number.NEGATIVE_INFINITY;
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -26,6 +26,7 @@
   readonly leaderHeartbeatRecent: boolean;
 }
 
+/** What a standby needs to know to decide which heartbeats it answers. */
 export interface StandbyResponderOptions {
   readonly settings: ClusterSettings;
   readonly member: string;
@@ -37,6 +38,7 @@
   readonly gracePeriodS: number;
 }
 
+/** Decides which worker heartbeats a node that does not lead answers itself. */
 export class StandbyResponder {
   /** Steady time at which a leader was last recorded, or the replica was first loaded. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -28,6 +28,7 @@
   return Math.ceil(1000 * leaseS) / 1000;
 }
 
+/** A term as it was acquired. */
 export interface LeadershipTermOptions {
   readonly epoch: number;
   /** Mod revision of the stored epoch. */
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -21,6 +21,7 @@
 const GRADIENT_WEIGHT = 0.02;
 const LIMIT_WEIGHT = 0.98;
 
+/** Admits requests up to a limit that follows the measured latencies. */
 export class AdaptiveConcurrencyLimit {
   private limit: number;
   private inProgress = 0;
--- a/src/core/state/dependency-index.ts
+++ b/src/core/state/dependency-index.ts
@@ -13,6 +13,7 @@
 
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 
+/** Which active jobs depend on which, and which of them can never start. */
 export class DependencyIndex {
   /** Active jobs that depend on a job, by its name. */
   private readonly dependents = new Map<string, Set<string>>();
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -9,6 +9,7 @@
 /** Bytes of a change around its key and value. */
 const CHANGE_OVERHEAD_BYTES = 60;
 
+/** Capacity of the transaction for one job's changes. */
 export interface JobChangeLimits {
   /** Leave progress, and the removal of what has ended, for when there is plenty of write budget. */
   readonly urgentOnly: boolean;
@@ -29,6 +30,7 @@
   readonly closedShards: readonly JobShard[];
 }
 
+/** How composing a job's changes ended. */
 export type JobChangeResult =
   | JobChanges
   /** More changes would be needed than are left. */
@@ -54,6 +56,7 @@
 export const isTerminal = (job: ActiveJob): boolean =>
   job.placementCount === 0 && (job.isCancelled || job.isComplete);
 
+/** Length of a value as JSON, the form in which the store counts. */
 export const jsonBytes = (value: unknown): number => JSON.stringify(value).length;
 
 const storedShards = (job: ActiveJob): JobShard[] =>
--- a/src/core/state/oversized-values.ts
+++ b/src/core/state/oversized-values.ts
@@ -10,6 +10,7 @@
 /** Share of the planned size that the value of an unsharded job may come to; beyond it the job is sharded. */
 const MAX_FILL_RATIO = 0.95;
 
+/** Shrinks what is stored when the store refuses a value for its size. */
 export class OversizedValueHandler {
   constructor(
     private readonly context: LeaderContext,
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -48,6 +48,7 @@
 const NO_SHARDS: ReadonlyMap<number, Versioned<JobShardRecord>> = new Map();
 const NO_EPOCH: Versioned<number> = { value: 0, modRevision: 0 };
 
+/** A node's copy of the stored state, complete up to `revision`. */
 export class StateReplica {
   readonly activeJobs = new Map<string, Versioned<JobRecord>>();
   readonly finalRecords = new Map<string, FinalRecord>();
--- a/src/core/state/stored-placements.ts
+++ b/src/core/state/stored-placements.ts
@@ -12,6 +12,7 @@
   readonly tasks: string;
 }
 
+/** Each machine in stored placements, with the ranges of tasks on it. */
 export function* storedPlacementRanges(
   stored: readonly StoredPlacements[],
 ): Generator<PlacementRanges> {
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -18,6 +18,7 @@
  */
 import type { JobSpec } from "../model/jobs.js";
 
+/** Keys of the cluster's state; the table above tells what they hold. */
 export const KEY = {
   activeJob: (id: string) => `p/${id}`,
   jobShard: (id: string, index: number) => `q/${id}/${index}`,
@@ -148,6 +149,7 @@
   return job.shardSize === null ? value : { ...value, c: job.shardSize };
 }
 
+/** A stored job, read with named fields. */
 export function decodeJobRecord(value: unknown): JobRecord {
   const stored = value as StoredJob;
   return {
@@ -185,6 +187,7 @@
   readonly placements: readonly StoredPlacements[];
 }
 
+/** A shard of a job, as it is stored. */
 export function encodeJobShardRecord(shard: JobShardRecord): StoredShard {
   return {
     v: shard.version,
@@ -194,6 +197,7 @@
   };
 }
 
+/** A stored shard of a job, read with named fields. */
 export function decodeJobShardRecord(value: unknown): JobShardRecord {
   const stored = value as StoredShard;
   return {
@@ -215,10 +219,12 @@
   readonly tasks: number;
 }
 
+/** A final record, as it is stored. */
 export function encodeFinalRecord({ outcome, tasks }: FinalRecord): StoredFinal {
   return { s: outcome, n: tasks };
 }
 
+/** A stored final record, read with named fields. */
 export function decodeFinalRecord(value: unknown): FinalRecord {
   const stored = value as StoredFinal;
   return { outcome: stored.s, tasks: stored.n };
@@ -229,6 +235,7 @@
   readonly told: boolean;
 }
 
+/** A user's cancellation, as stored. */
 export interface CancellationRecord {
   /**
    * Users may be told at once. False in all that is written now: a cancellation is confirmed when the end is stored,
@@ -242,10 +249,12 @@
   return { at: requestedAtMs, told: false };
 }
 
+/** A stored cancellation, read with named fields. */
 export function decodeCancellation(value: unknown): CancellationRecord {
   return { confirmedAtOnce: (value as StoredCancellation).told !== false };
 }
 
+/** A machine, as stored in a machine-record shard. */
 export type StoredMachine = readonly [address: string, type: string, zone: string, spot: boolean];
 
 /** Machine records by machine name. */
@@ -258,6 +267,7 @@
   readonly at: number;
 }
 
+/** Who leads, as stored. */
 export interface LeaderRecord {
   readonly member: string;
   readonly epoch: number;
@@ -266,11 +276,13 @@
   readonly acquiredAtMs: number;
 }
 
+/** The leader, as it is stored. */
 export function encodeLeader(leader: LeaderRecord): StoredLeader {
   const { member, epoch, leaseId, acquiredAtMs } = leader;
   return { member, epoch, lease: leaseId, at: acquiredAtMs };
 }
 
+/** The stored leader, read with named fields. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const { member, epoch, lease, at } = value as StoredLeader;
   return { member, epoch, leaseId: lease, acquiredAtMs: at };
@@ -280,10 +292,12 @@
   readonly n: number;
 }
 
+/** The epoch, as it is stored. */
 export function encodeEpoch(epoch: number): StoredEpoch {
   return { n: epoch };
 }
 
+/** The stored epoch. */
 export function decodeEpoch(value: unknown): number {
   return (value as StoredEpoch).n;
 }
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -8,6 +8,7 @@
 /** Values are planned to be no larger than this share of the smallest one that was refused. */
 const PLANNED_SHARE_OF_REFUSED = 0.7;
 
+/** Learns from refusals which values may be sent, and how large they are planned to be. */
 export class ValueSizeLimit {
   private refusedBytes = Number.POSITIVE_INFINITY;
   private retryAt = Number.NEGATIVE_INFINITY;
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -17,6 +17,7 @@
 const AVERAGING_WINDOW_S = 2;
 const REFUSAL_COOLDOWN_S = 5;
 
+/** The leader's rate of changes, by what the other nodes are seen to write. */
 export class WriteBudget {
   private othersChangesPerS = 0;
   private unaveragedChanges = 0;
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -36,12 +36,14 @@
   readonly closedShards: readonly JobShard[];
 }
 
+/** A machine-record shard in a transaction, with the version that becomes the stored one. */
 export interface MachineShardWrite {
   readonly shard: MachineRecordShard;
   readonly version: number;
   readonly names: readonly string[];
 }
 
+/** A transaction of the leader: what is sent, and what its commit makes persisted. */
 export interface LeaderTransaction {
   readonly preconditions: Precondition[];
   readonly changes: Change[];
@@ -51,6 +53,7 @@
   readonly counts: { machines: number; placements: number; ends: number; progress: number };
 }
 
+/** Limits on one transaction. */
 export interface TransactionLimits extends JobChangeLimits {
   readonly maxChanges: number;
   readonly maxBytes: number;
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -31,6 +31,7 @@
 const REFUSAL_WAIT_DIVISOR = 30;
 const READ_RETRY_DIVISOR = 10;
 
+/** Collaborators and callbacks of `LeaderTransactions`. */
 export interface LeaderTransactionsOptions {
   readonly settings: ClusterSettings;
   readonly keyValueClient: KeyValueClient;
@@ -44,6 +45,7 @@
   readonly onTransactionEnd: () => void;
 }
 
+/** Sends the leader's transactions, one at a time, within the node's write budget. */
 export class LeaderTransactions {
   /** Changes that this node may write, for users as well as for the leader. */
   readonly writeBudget: TokenBucket;
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -18,6 +18,7 @@
   readonly scheduler: Scheduler;
 }
 
+/** Collaborators and callbacks of `Leadership`. */
 export interface LeadershipOptions {
   readonly member: string;
   readonly leaseS: number;
@@ -48,6 +49,7 @@
   readonly grantSentAt: number;
 }
 
+/** Acquires, renews and gives up leadership for this node. */
 export class Leadership {
   /** The epoch is to be advanced with the next transaction. */
   fencingTokenAdvanceRequested = false;
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -27,6 +27,7 @@
 /** Request timeouts that a page of a full read may take. */
 const PAGE_TIMEOUTS = 3;
 
+/** How a transaction ended. */
 export type TransactionResult =
   | { readonly kind: "ok"; readonly revision: number }
   /** Not executed: preconditions on these keys did not hold. */
@@ -36,12 +37,14 @@
   /** May have been executed, or may yet be. */
   | { readonly kind: "unknown" };
 
+/** How a watch ended. */
 export type WatchResult =
   | { readonly kind: "ok"; readonly revision: number; readonly events: readonly ChangeEvent[] }
   /** The store keeps no changes from so far back: only a full read helps. */
   | { readonly kind: "compacted" }
   | { readonly kind: "failed" };
 
+/** How a full read ended. */
 export type ReadAllResult =
   | {
       readonly kind: "ok";
@@ -51,10 +54,12 @@
     }
   | { readonly kind: "failed" };
 
+/** How a request for a lease ended. */
 export type LeaseGrant =
   | { readonly kind: "ok"; readonly leaseId: number }
   | { readonly kind: "failed" };
 
+/** How the renewal of a lease ended. */
 export type LeaseRenewal =
   | { readonly kind: "ok" }
   | { readonly kind: "expired" }
@@ -75,6 +80,7 @@
 
 const FAILED = { kind: "failed" } as const;
 
+/** Requests to the state service; no method rejects when it does not answer. */
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
--- a/src/state/state-watcher.ts
+++ b/src/state/state-watcher.ts
@@ -16,6 +16,7 @@
   apply(events: readonly ChangeEvent[], revision: number): void;
 }
 
+/** Collaborators and intervals of `StateWatcher`. */
 export interface StateWatcherOptions {
   readonly keyValueClient: KeyValueClient;
   readonly replica: StateReplica;
@@ -34,6 +35,7 @@
 /** Minimum intervals to wait after a failed request. */
 const INTERVALS_AFTER_FAILURE = 4;
 
+/** Keeps the replica up to date, and serves linearizable reads. */
 export class StateWatcher {
   /** The replica was read once, and every change since can be watched. */
   isLoaded = false;
