--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -36,12 +36,12 @@
     return true;
   }
 
-  release(tookS: number): void {
+  release(durationS: number): void {
     const full = this.inProgress >= this.limit / 2;
     this.inProgress--;
-    this.bestDurationS = Math.min(this.bestDurationS, tookS);
+    this.bestDurationS = Math.min(this.bestDurationS, durationS);
     this.smoothedDurationS =
-      this.smoothedDurationS === 0 ? tookS : 0.9 * this.smoothedDurationS + 0.1 * tookS;
+      this.smoothedDurationS === 0 ? durationS : 0.9 * this.smoothedDurationS + 0.1 * durationS;
     this.requestsSinceReset++;
     if (
       this.smoothedDurationS > this.acceptableDurationS &&
--- a/tests/admission-control.test.ts
+++ b/tests/admission-control.test.ts
@@ -74,7 +74,7 @@
   return leader;
 }
 
-test("at a calendar's boundary in a failover the window says which periods count, whoever's clock is ahead", async () => {
+test("at a calendar's boundary in a failover the window determines the periods, whichever node's clock is ahead", async () => {
   const model = new AdmissionModel(1);
   const leader = overloadedLeader(["m1a", "m2b"]);
   const view = () => leaderView(model, leader);
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -122,14 +122,14 @@
     const alone = [0, 1, 2].find((node) => node !== cluster.leaderIndex())!;
     cluster.nodes[alone]!.stateProxy.isRefusing = true;
     await waitUntil(
-      "it says that it cannot know",
+      "the node answers that it cannot decide",
       async () => (await cluster.submitJob(alone, "alone", FLOOD)).status === 503,
     );
     for (const { stateProxy } of cluster.nodes) stateProxy.isRefusing = true;
     await sleepSeconds(0.5);
     for (const node of [0, 1, 2]) {
       await waitUntil(
-        "nobody can know",
+        "no node can decide",
         async () => (await cluster.submitJob(node, "nobody", FLOOD)).status === 503,
       );
     }
--- a/tests/background-loop.test.ts
+++ b/tests/background-loop.test.ts
@@ -26,7 +26,7 @@
   assert.deepEqual(lines, []);
 });
 
-test("a loop that fails is named in the log, and its error goes on", async () => {
+test("a loop that fails is named in the log, and its error is rethrown", async () => {
   const { lines, log } = recordingLog();
   const failure = new Error("broken");
   const loop: BackgroundLoop = { run: () => Promise.reject(failure), stop: () => {} };
--- a/tests/effect-executor.test.ts
+++ b/tests/effect-executor.test.ts
@@ -1,4 +1,4 @@
-/** Effects of the scheduler: which are carried out while the node leads, and which results come back to it. */
+/** Effects of the scheduler: which are executed while the node leads, and which results the scheduler receives. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -69,7 +69,7 @@
   }
 }
 
-test("commands are sent while the term may act, and their outcome comes back to the scheduler", async () => {
+test("commands are sent while the term may act, and the scheduler receives their outcome", async () => {
   const node = new RecordedNode();
   node.executor.perform([SEND]);
   await nextTurn();
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -37,7 +37,11 @@
 /** What is read of the stored values of these examples. */
 function readAgain(stored: Golden["stored"]): unknown {
   const items = (kept: Golden["stored"]["scenario"]["end"]): KeyValueItem[] =>
-    kept.map((k) => ({ key: k.key, value: unpack(k), modRevision: k.mark }));
+    kept.map((keptValue) => ({
+      key: keptValue.key,
+      value: unpack(keptValue),
+      modRevision: keptValue.mark,
+    }));
   const { window, ledger, rejections } = stored.admission;
   return {
     middle: readStored(items(stored.scenario.middle)),
@@ -65,7 +69,7 @@
 }
 
 let made: Promise<Golden> | null = null;
-/** Made once, in the first test that compares: a fault in it leaves the tests of what is read to tell more. */
+/** Generated once, in the first test that compares: if it throws, the tests of decoding still run. */
 function generated(): Promise<Golden> {
   made ??= generate();
   return made;
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -153,9 +153,9 @@
         "a process of the version in production leads",
         () => site.leaderIndex() >= 0,
       );
-      ended.push(...(await submitAll(site, 1, "behind")));
+      ended.push(...(await submitAll(site, 1, "after")));
       for (const id of ended) await site.awaitJobState(id, "done");
-      for (const name of ["before", "during", "behind"]) {
+      for (const name of ["before", "during", "after"]) {
         await running(site, `long-service-${name}`, 2);
         assert.equal((await site.cancelJob(2, `long-gang-${name}`)).state, "cancelled");
         await site.awaitJobState(`long-gang-${name}`, "cancelled");
@@ -194,10 +194,10 @@
       context,
       async (site, old) => {
         const flood = { class: "flood", tasks: 4, cpus: 4 };
-        const taken: string[] = [];
+        const acceptedJobs: string[] = [];
         const submitAt = async (node: number, name: string): Promise<number> => {
           const answer = await site.submitJobOnce(node, name, flood);
-          if (answer.status <= 201) taken.push(name);
+          if (answer.status <= 201) acceptedJobs.push(name);
           return answer.status;
         };
         const [one, other] = followers(site) as [number, number];
@@ -235,7 +235,7 @@
         await waitForProcesses("all is admitted", async () => {
           return (await submitAt(fresh, `late-${jobNumber++}`)) <= 201;
         });
-        for (const id of taken) await site.awaitJobState(id, "done");
+        for (const id of acceptedJobs) await site.awaitJobState(id, "done");
       },
       { operatorIni: ADMISSION_ON },
     ),
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -73,7 +73,7 @@
   const post = (url: string, body: unknown) =>
     app.inject({ method: "POST", url, headers, payload: encode(body) });
   const submissions = await Promise.all(
-    Array.from({ length: 8 }, (_, i) => post("/api/jobs", jobBody({ id: `run-${i}` }))),
+    Array.from({ length: 8 }, (_, index) => post("/api/jobs", jobBody({ id: `run-${index}` }))),
   );
   assert.deepEqual([...new Set(submissions.map((response) => response.statusCode))], [201]);
   assert.equal(backend.submissions, 8);
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -43,7 +43,7 @@
   },
 );
 
-clusterTest("switched off, nothing is traced", {}, async (site) => {
+clusterTest("with tracing disabled no span is exported", {}, async (site) => {
   exporter.reset();
   await site.submitAndAwaitRunning("run-3");
   assert.deepEqual(exporter.getFinishedSpans(), []);
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -20,11 +20,11 @@
 };
 const KINDS: readonly JobKind[] = ["array", "gang", "service"];
 
-/** Plays one sort of job on a site of 18 machines; the leader may be told of it without a constraint. */
+/** Simulates one kind of job on 18 machines; with `ignored`, the leader receives the jobs without that constraint. */
 function play(seed: number, job: Partial<JobSpec>, ignored: Constraint | null): Simulation {
-  const seen = (s: JobSpec): JobSpec => (ignored === null ? s : without(s, ignored));
+  const seen = (spec: JobSpec): JobSpec => (ignored === null ? spec : without(spec, ignored));
   const world = new Simulation(seed, seen, clusterForJob(job));
-  for (let i = 0; i < 300 && world.violations.length === 0; i++) world.step();
+  for (let step = 0; step < 300 && world.violations.length === 0; step++) world.step();
   return world;
 }
 
@@ -34,7 +34,7 @@
       const job = { ...BINDING[constraint], kind };
       const found = new Set<string>();
       for (let seed = 1; seed <= 8 && found.size === 0; seed++) {
-        for (const b of play(seed, job, constraint).violations) found.add(b.rule);
+        for (const violation of play(seed, job, constraint).violations) found.add(violation.rule);
       }
       assert.deepEqual([...found], ["wrong_place"]);
     });
@@ -50,8 +50,14 @@
 
 test("the placement checker counts independently of the scheduler", () => {
   const at = (zone: string, type = "small", spot = false) => ({ machine: "m", type, zone, spot });
-  const names = (s: Partial<JobSpec>, here: ReturnType<typeof at>, others = [at("a")]): string[] =>
-    placeFaults(jobSpec("j", { tasks: 5, ...s }), here, others).map((f) => f.constraint);
+  const names = (
+    change: Partial<JobSpec>,
+    here: ReturnType<typeof at>,
+    others = [at("a")],
+  ): string[] =>
+    placeFaults(jobSpec("j", { tasks: 5, ...change }), here, others).map(
+      (fault) => fault.constraint,
+    );
   assert.deepEqual(names({}, at("b")), []);
   assert.deepEqual(names({ types: ["big"] }, at("a")), ["types"]);
   assert.deepEqual(names({ zone: "b" }, at("a")), ["zone"]);
@@ -72,8 +78,10 @@
 
 /** Zones to which starts of a job were sent, in order. */
 const startedIn = (leader: TestLeader, job: string): string[] =>
-  leader.unansweredRequests.flatMap((o) =>
-    o.commands.filter((c) => c.op === "start" && c.job === job).map(() => zoneOf(o.machine)),
+  leader.unansweredRequests.flatMap((request) =>
+    request.commands
+      .filter((command) => command.op === "start" && command.job === job)
+      .map(() => zoneOf(request.machine)),
   );
 
 test("wrong_place: a one-zone array is placed in one zone by one scheduling cycle", () => {
@@ -103,13 +111,13 @@
   store(old.replica, "p/j", value);
   const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
-  // What stands in one zone runs; of what stands in the other no start has arrived.
+  // Tasks placed in one zone run; no start has reached the machine in the other zone.
   const placed = [...leader.scheduler.cluster.jobs.get("j")!.placements.values()];
-  const running = placed.filter((p) => zoneOf(p.machine.name) === "a");
-  const tasks = running.map((p) => taskStatus("j", p.task, p.attempt));
+  const running = placed.filter((placement) => zoneOf(placement.machine.name) === "a");
+  const tasks = running.map((placement) => taskStatus("j", placement.task, placement.attempt));
   assert.ok(running.length > 0 && running.length < placed.length);
-  // A successor sends nothing by itself for a while.
-  for (let i = 0; i < 6; i++) {
+  // A successor sends no starts during its grace period.
+  for (let step = 0; step < 6; step++) {
     leader.receiveHeartbeat("m1a", tasks);
     leader.receiveHeartbeat("m2b", []);
     leader.tick(2);
@@ -134,15 +142,15 @@
       here.map(({ task, attempt }) => taskStatus("j", task, attempt)),
     );
   }
-  for (let i = 0; i < 4; i++) leader.tick();
-  const stopped = leader.unansweredRequests.flatMap((o) =>
-    o.commands.filter((c) => c.op === "stop").map(() => o.machine),
+  for (let step = 0; step < 4; step++) leader.tick();
+  const stopped = leader.unansweredRequests.flatMap((request) =>
+    request.commands.filter((command) => command.op === "stop").map(() => request.machine),
   );
   assert.equal(new Set(stopped).size, 1, leader.takeTrace());
   assert.deepEqual(startedIn(leader, "j"), []);
 });
 
-test("wrong_place: a start is withheld if an unrecorded task turns up after the placement", () => {
+test("wrong_place: a start is withheld if a heartbeat contains an unrecorded task after the placement", () => {
   const leader = leaderWithTwoMachines();
   leader.isStoreAvailable = false;
   leader.submit(jobSpec("j", { tasks: 1, oneZone: true }));
@@ -166,20 +174,20 @@
   leader.receiveHeartbeat(other, [taskStatus("j", 0, 7)]);
   leader.isStoreAvailable = true;
   const job = leader.scheduler.cluster.jobs.get("j")!;
-  for (let i = 0; i < 6; i++) {
+  for (let step = 0; step < 6; step++) {
     leader.tick();
     assert.equal(job.placements.size, 0, leader.takeTrace());
     assert.deepEqual([job.pendingCount, ...job.pendingTasks()], [0]);
   }
   assert.deepEqual(startedIn(leader, "j"), []);
-  // It ends: now there is no doubt, and the task is placed once more.
+  // The attempt exits: now the task can be placed again.
   leader.unansweredRequests.splice(0);
   leader.receiveHeartbeat(other, [taskStatus("j", 0, 7, "exited", "stopped")]);
-  for (let i = 0; i < 4; i++) leader.tick();
+  for (let step = 0; step < 4; step++) leader.tick();
   assert.equal(startedIn(leader, "j").length, 1, leader.takeTrace());
 });
 
-test("quota: a start is withheld while unrecorded tasks take its team over the limit", () => {
+test("quota: a start is withheld while its team exceeds its limit by unrecorded tasks", () => {
   const leader = leaderWithTwoMachines();
   leader.receiveHeartbeat("m3a", []);
   leader.receiveHeartbeat("m4b", []);
@@ -216,7 +224,7 @@
     leader.now,
   );
   assert.deepEqual([machine.type.name, machine.zone, machine.spot], ["big", "b", true]);
-  const records = [...leader.replica.machineShards.values()].map((g) => g.value.m9b);
+  const records = [...leader.replica.machineShards.values()].map((shard) => shard.value.m9b);
   assert.deepEqual(records, [["m9b:9000", "big", "b", true]]);
 });
 
@@ -230,7 +238,7 @@
   leader.isStoreAvailable = true;
   leader.flushWrites();
   assert.deepEqual(startedIn(leader, "j"), []);
-  const records = [...leader.replica.machineShards.values()].map((g) => g.value.m1a);
+  const records = [...leader.replica.machineShards.values()].map((shard) => shard.value.m1a);
   assert.deepEqual(records, [["m1a:9000", "small", "b", false]]);
 });
 
@@ -238,27 +246,29 @@
   const old = leaderWithTwoMachines();
   old.submit(jobSpec("s", { tasks: 3, kind: "service", spread: true, spot: false }));
   old.submit(jobSpec("z", { tasks: 6, oneZone: true }));
-  for (const [n, g] of old.replica.machineShards) {
-    const value = Object.fromEntries(Object.entries(g.value).filter(([name]) => name !== "m1a"));
-    store(old.replica, `g/${n}`, value);
+  for (const [shardNumber, shard] of old.replica.machineShards) {
+    const value = Object.fromEntries(
+      Object.entries(shard.value).filter(([name]) => name !== "m1a"),
+    );
+    store(old.replica, `g/${shardNumber}`, value);
   }
   const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
   leader.receiveHeartbeat("m2b", []);
   leader.receiveHeartbeat("m3b", []);
-  for (let i = 0; i < 20; i++) leader.tick();
+  for (let step = 0; step < 20; step++) leader.tick();
   const m1a = leader.scheduler.cluster.machines.get("m1a")!;
   assert.equal(m1a.zone, "");
   for (const job of ["s", "z"]) {
     const here = [...leader.scheduler.cluster.jobs.get(job)!.placements.values()];
-    const onUnknown = here.filter((p) => p.machine === m1a).length;
+    const onUnknown = here.filter((placement) => placement.machine === m1a).length;
     const started = startedIn(leader, job).length;
     const most = job === "s" ? 2 : 0;
     assert.ok(onUnknown === 0 || onUnknown + started <= most, `${job}: ${onUnknown}, ${started}`);
   }
 });
 
-test("the protocol rule checker reports a task in a wrong place", () => {
+test("the protocol rule checker detects a task in a wrong place", () => {
   const log = new ProtocolRuleChecker();
   log.addMachine({ machine: "m1", type: "small", zone: "a", spot: false });
   log.addMachine({ machine: "m2", type: "small", zone: "b", spot: true });
@@ -267,7 +277,7 @@
   assert.equal(log.violations.length, 0);
   log.taskChanged("j/1", "m2", true, null);
   assert.deepEqual(
-    log.violations.map((f) => f.slice(0, 15)),
+    log.violations.map((violation) => violation.slice(0, 15)),
     ["wrong_place: j/", "wrong_place: j/"],
   );
 });
--- a/tests/zone-constraints.test.ts
+++ b/tests/zone-constraints.test.ts
@@ -26,7 +26,9 @@
   workers.runFor(8);
   const zonesNow = (): Set<string> =>
     new Set(
-      [...leader.scheduler.cluster.jobs.get("s")!.placements.values()].map((p) => p.machine.zone),
+      [...leader.scheduler.cluster.jobs.get("s")!.placements.values()].map(
+        (placement) => placement.machine.zone,
+      ),
     );
   assert.deepEqual(zonesNow(), new Set(["b"]));
   // Two of the zone's three machines are lost, and four come up in the other zone.
@@ -52,7 +54,7 @@
   workers.crashMachine("m3b");
   workers.runFor(150);
   const placed = [...leader.scheduler.cluster.jobs.get("s")!.placements.values()];
-  assert.deepEqual(new Set(placed.map((p) => p.machine.zone)), new Set(["b"]));
+  assert.deepEqual(new Set(placed.map((placement) => placement.machine.zone)), new Set(["b"]));
   assert.equal(placed.length, 4);
 });
 
@@ -72,7 +74,7 @@
   workers.addMachine("m6a", "small");
   workers.addMachine("m7a", "small");
   workers.runFor(150);
-  assert.equal(workers.starts.filter((x) => x.job === "s").length, 6);
+  assert.equal(workers.starts.filter((start) => start.job === "s").length, 6);
   assert.equal(leader.scheduler.cluster.jobs.get("s")!.placements.size, 6);
 });
 
@@ -82,8 +84,10 @@
   for (const name of names) leader.receiveHeartbeat(name, [], { type: "big" });
   const wide = { team: "maps", class: "gpu", cpus: 6, gpus: 4, types: ["big"] };
   for (const zone of ["a", "b"]) {
-    for (const n of [1, 2, 3]) {
-      leader.submit(jobSpec(`now${n}${zone}`, { ...wide, zone, kind: "gang", priority: "high" }));
+    for (const index of [1, 2, 3]) {
+      leader.submit(
+        jobSpec(`now${index}${zone}`, { ...wide, zone, kind: "gang", priority: "high" }),
+      );
     }
   }
   while (leader.unansweredRequests.length > 0) {
@@ -91,9 +95,9 @@
     leader.answerRequest([taskStatus(start.job, 0, start.attempt)]);
   }
   leader.submit(jobSpec("g", { ...wide, tasks: 4, spread: true, kind: "gang", priority: "high" }));
-  for (let i = 0; i < 4; i++) leader.tick(0.3);
+  for (let step = 0; step < 4; step++) leader.tick(0.3);
   const held = [...leader.scheduler.cluster.machines.values()].filter(
-    (m) => m.reservation?.job.spec.id === "g",
+    (machine) => machine.reservation?.job.spec.id === "g",
   );
   assert.equal(held.length, 2);
 });
@@ -103,8 +107,8 @@
   leader.submit(jobSpec("j", { tasks: 6, oneZone: true, spot: false, team: "maps" }));
   const job = leader.scheduler.cluster.jobs.get("j")!;
   const bound = job.zones.mainZone;
-  for (let i = 0; i < 8; i++) {
-    const rental = planScaleOut(
+  for (let request = 0; request < 8; request++) {
+    const scaleOut = planScaleOut(
       {
         cluster: leader.scheduler.cluster,
         types: MACHINE_TYPES,
@@ -112,14 +116,14 @@
         capacityBackoffUntil: new Map(),
         spareRatio: 0,
         maxMachines: 50,
-        // The other zone has the fewest machines, so it is preferred where both will do.
+        // The other zone has fewer machines, so it is preferred if both zones are allowed.
         machinesByZone: new Map([[bound!, 1000]]),
         lateBootsByOffer: new Map(),
       },
       [job],
       [],
     );
-    assert.equal(rental?.zone, bound);
+    assert.equal(scaleOut?.zone, bound);
     leader.tick();
   }
 });
@@ -137,19 +141,21 @@
   const bound = job.zones.mainZone;
   workers.runFor(20);
   assert.equal(job.placements.size, 3);
-  assert.deepEqual(new Set(workers.stops.map((x) => zoneOf(x.machine))), new Set([bound]));
+  assert.deepEqual(new Set(workers.stops.map((stop) => zoneOf(stop.machine))), new Set([bound]));
 });
 
 test("a new leader stops the rest of a gang that had lost tasks", () => {
   const old = leaderWithTwoMachines();
   old.submit(jobSpec("g", { kind: "gang", tasks: 6, spread: true }));
   for (const _ of [0, 1]) {
-    const o = old.unansweredRequests[0]!;
+    const request = old.unansweredRequests[0]!;
     old.answerRequest(
-      o.commands.filter((c) => c.op === "start").map((c) => taskStatus("g", c.task, c.attempt)),
+      request.commands
+        .filter((command) => command.op === "start")
+        .map((command) => taskStatus("g", command.task, command.attempt)),
     );
   }
-  // One machine's session ends; its tasks are stored as gone, and the leader ends before it has stopped the rest.
+  // A worker's incarnation ends; the loss of its tasks is stored, and the leader fails before it stops the rest.
   old.receiveHeartbeat("m1a", [], { incarnation: 2 });
   const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
   leader.epoch = 2;
@@ -157,7 +163,7 @@
   assert.equal(left.length, 3);
   leader.receiveHeartbeat(
     "m2b",
-    left.map((p) => taskStatus("g", p.task, p.attempt)),
+    left.map((placement) => taskStatus("g", placement.task, placement.attempt)),
   );
   assert.match(leader.takeTrace(), /stop g\/\d#1/);
 });
