--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -51,7 +51,7 @@
   /** How long a submission or cancellation may wait for its transaction, in seconds. */
   readonly maxWaitS: number;
   /** Admits everything if it is left out. */
-  readonly gate?: SubmissionGate;
+  readonly gate?: SubmissionGate | undefined;
 }
 
 /** What is stored of a job as it is submitted. */
@@ -236,8 +236,8 @@
   }
 
   /**
-   * Over the limit, or nobody knows. Either way the same conditional write may be sent again: a copy that still arrives
-   * and one that was executed both make it fail as `known`.
+   * Over the rate limit, or the outcome is unknown. Either way the same conditional write may be sent again: a copy that
+   * still arrives and one that was executed both make it fail as `known`.
    */
   private async retry(batch: readonly PendingWrite[], afterS: number): Promise<void> {
     this.queue.requeue(batch);
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -4,7 +4,14 @@
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
 import type { ListedMachine } from "../model/machines.js";
-import type { MachinePool } from "./machine-pool.js";
+
+/** What the machine pool does for the reconciler. */
+export interface MachineReleases {
+  /** Names of machines that are proven to be terminated. */
+  readonly terminated: ReadonlySet<string>;
+  /** Has a machine released; it counts until the cloud has confirmed that it is terminated. */
+  requestRelease(machine: Machine, why: string): void;
+}
 
 /** Adds machines that are listed, and releases those that failed or are no longer listed. */
 export class MachineListReconciler {
@@ -14,7 +21,7 @@
   constructor(
     private readonly context: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
-    private readonly machinePool: Pick<MachinePool, "terminated" | "requestRelease">,
+    private readonly machinePool: MachineReleases,
   ) {}
 
   /** Whether no machine has been listed yet. */
@@ -27,8 +34,8 @@
     const isNewest = this.isNewest(listed);
     for (const entry of listed) {
       if (this.machinePool.terminated.has(entry.name)) continue;
-      const { name, type, zone, spot } = entry;
-      const machine = this.context.findOrAddMachine(name, type, zone, spot, now);
+      const { name } = entry;
+      const machine = this.context.findOrAddMachine(name, entry, now);
       if (machine === null) continue;
       if (isNewest) this.listedAgeS.set(name, entry.ageS);
       this.update(machine, entry, now);
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -5,10 +5,10 @@
 import { markStarvingJobs } from "./starvation.js";
 import { estimatedMachineSeconds, type Urgency, urgencyOf } from "./urgency.js";
 
-/** Behind every precedence of other jobs. */
+/** Precedence of suspected jobs: after that of all other jobs. */
 const SUSPECTED_PRECEDENCE = 40;
 
-/** Precedence of starving jobs: right behind production. */
+/** Precedence of starving jobs: right after production. */
 const STARVING_PRECEDENCE = 1;
 
 /** The waiting jobs, the most urgent first. Sets `isStarving` and `guaranteeStillReachable` of each. */
@@ -18,17 +18,17 @@
   for (const job of waiting) urgencies.set(job, urgencyOf(job, context));
   markStarvingJobs(waiting, context);
   markReachableGuarantees(waiting, context);
-  return waiting.sort((a, b) => {
-    const [urgencyA, urgencyB] = [urgencies.get(a)!, urgencies.get(b)!];
+  return waiting.sort((first, second) => {
+    const [firstUrgency, secondUrgency] = [urgencies.get(first)!, urgencies.get(second)!];
     return (
-      queuePrecedence(a) - queuePrecedence(b) ||
-      urgencyA.lateness - urgencyB.lateness ||
-      (a.isStarving && b.isStarving
+      queuePrecedence(first) - queuePrecedence(second) ||
+      firstUrgency.lateness - secondUrgency.lateness ||
+      (first.isStarving && second.isStarving
         ? 0
-        : estimatedMachineSeconds(a) - estimatedMachineSeconds(b)) ||
-      urgencyA.latestStartAtMs - urgencyB.latestStartAtMs ||
-      a.submittedAtMs - b.submittedAtMs ||
-      (a.spec.id < b.spec.id ? -1 : 1)
+        : estimatedMachineSeconds(first) - estimatedMachineSeconds(second)) ||
+      firstUrgency.latestStartAtMs - secondUrgency.latestStartAtMs ||
+      first.submittedAtMs - second.submittedAtMs ||
+      (first.spec.id < second.spec.id ? -1 : 1)
     );
   });
 }
--- a/src/core/state/oversized-values.ts
+++ b/src/core/state/oversized-values.ts
@@ -10,6 +10,7 @@
 /** Share of the planned size that the value of an unsharded job may come to; beyond it the job is sharded. */
 const MAX_FILL_RATIO = 0.95;
 
+/** Shrinks what is stored when the store refuses a value for its size. */
 export class OversizedValueHandler {
   constructor(
     private readonly context: LeaderContext,
@@ -26,7 +27,7 @@
     if (bytes === 0) return;
     this.context.valueSizeLimit.recordRefused(bytes, now);
     this.machinePool.shrinkRecordShards();
-    this.context.log("value refused", { key: transaction.changes[0]!.key, bytes });
+    this.context.log("value too large", { key: transaction.changes[0]!.key, bytes });
     for (const { job } of transaction.jobWrites) this.releaseUnpersistedPlacements(job, now);
     for (const job of this.context.cluster.jobs.values()) this.reshardIfTooLarge(job);
     this.context.cycleRequested = true;
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -18,6 +18,7 @@
   readonly scheduler: Scheduler;
 }
 
+/** Collaborators and callbacks of `Leadership`. */
 export interface LeadershipOptions {
   readonly member: string;
   readonly leaseS: number;
@@ -48,6 +49,7 @@
   readonly grantSentAt: number;
 }
 
+/** Acquires, renews and gives up leadership for this node. */
 export class Leadership {
   /** The epoch is to be advanced with the next transaction. */
   fencingTokenAdvanceRequested = false;
@@ -114,7 +116,7 @@
     if (stored.value === epoch && leader?.value.leaseId === term.leaseId) {
       term.advanceEpoch(epoch, stored.modRevision);
       log.info({ epoch }, "fencing token advanced");
-      const advanced = { n: epoch, mark: stored.modRevision };
+      const advanced = { epoch, modRevision: stored.modRevision };
       performEffects(scheduler.fencingTokenAdvanced(advanced, advancedAt));
     } else if (stored.value > term.epoch) {
       this.stepDown("the epoch was advanced by another controller");
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -1,4 +1,4 @@
-/** What must hold with many hundred machines and jobs: counts of work, never times. */
+/** Invariants with many hundred machines and jobs: counts of operations, never times. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -28,11 +28,12 @@
 /** A leader that has just received the first heartbeat of every machine. */
 function leaderOfManyMachines(): TestLeader {
   const leader = new TestLeader();
-  for (let i = 0; i < MACHINES; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+  for (let index = 0; index < MACHINES; index++)
+    leader.receiveHeartbeatOnly(machineName(index), []);
   return leader;
 }
 
-test("machines that come up together are persisted in few changes, not with a key for each", () => {
+test("machines that register together are persisted as machine-record shards, in few changes", () => {
   const leader = leaderOfManyMachines();
   let changes = 0;
   const next = () => leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES);
@@ -53,7 +54,7 @@
 test("placements of low priority are persisted while urgent ones come as fast as transactions commit", () => {
   const leader = new TestLeader();
   const sendHeartbeats = () => {
-    for (let i = 0; i < 40; i++) leader.receiveHeartbeatOnly(machineName(i), []);
+    for (let index = 0; index < 40; index++) leader.receiveHeartbeatOnly(machineName(index), []);
   };
   sendHeartbeats();
   leader.flushWrites();
@@ -68,7 +69,7 @@
     sendHeartbeats();
     leader.commitWrite(leader.scheduler.nextTransaction(1, MAX_BYTES, false, leader.now)!);
   }
-  // Two come with each write, every 0.8 s. Those of the first 6 s go before it: two priorities, 3 s each.
+  // Two jobs arrive with each write, every 0.8 s. Those of the first 6 s are persisted first: two priorities, 3 s each.
   assert.ok(writes > 2 && writes <= 18, `after ${writes} writes`);
 });
 
@@ -86,7 +87,7 @@
     new Set(leader.unansweredRequests.map((request) => request.machine)),
     withReplicas,
   );
-  for (let i = 0; i < 4; i++) leader.tick(1.6);
+  for (let step = 0; step < 4; step++) leader.tick(1.6);
   assert.ok(
     leader.unansweredRequests.length <= MAX_REQUESTS_IN_FLIGHT,
     `${leader.unansweredRequests.length} at once`,
@@ -100,7 +101,7 @@
   assert.equal(tokenRequests.length, MAX_REQUESTS_IN_FLIGHT);
 });
 
-test("machines whose heartbeats are in time are hardly probed", () => {
+test("machines whose heartbeats are on time are rarely probed", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   let probes = 0;
@@ -110,14 +111,15 @@
   };
   for (let step = 0; step < 60; step++) {
     leader.now += 0.15;
-    // A heartbeat interval is 3 s: each heartbeat comes in time, a twentieth of them at a step.
-    for (let i = step % 20; i < MACHINES; i += 20) leader.receiveHeartbeatOnly(machineName(i), []);
+    // The heartbeat interval is 3 s: each heartbeat is on time, a twentieth of them at each step.
+    for (let index = step % 20; index < MACHINES; index += 20)
+      leader.receiveHeartbeatOnly(machineName(index), []);
     count(leader.scheduler.tick(leader.now, leader.now * 1000));
   }
   assert.ok(probes <= 40 * 0.25 * 9 + 10, `${probes} probes in 9 s`);
 });
 
-test("many late workers are probed a few at a time", () => {
+test("probes of many overdue workers are limited in number at a time", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   const probed = new Set<string>();
@@ -140,12 +142,12 @@
     const machines = [...leader.scheduler.cluster.machines.values()];
     return machines.filter((machine) => machine.state === "releasing").length;
   };
-  // Four of five machines find the new leader, the others take long.
+  // Four of five machines send heartbeats to the new leader, the others not yet.
   for (let step = 0; step < 45; step++) {
     leader.now += 0.3;
     if (step % 10 === 0) {
-      for (let i = 0; i < MACHINES; i++) {
-        if (i % 5 > 0) leader.receiveHeartbeatOnly(machineName(i), []);
+      for (let index = 0; index < MACHINES; index++) {
+        if (index % 5 > 0) leader.receiveHeartbeatOnly(machineName(index), []);
       }
     }
     leader.performEffects(leader.scheduler.tick(leader.now, leader.now * 1000));
@@ -155,18 +157,18 @@
   assert.ok(releasedCount() <= MACHINES / 20, `${releasedCount()} released`);
 });
 
-test("no message is sent while time passes and nothing is due", () => {
+test("no request is sent while time passes and no command is due", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   leader.submit(jobSpec("j", { tasks: 100, team: "maps" }));
   for (const { machine, commands } of leader.unansweredRequests.splice(0)) {
     const tasks = commands.map(({ job, task, attempt }) => taskStatus(job, task, attempt));
-    const report = leader.makeHeartbeat(machine, tasks);
+    const heartbeat = leader.makeHeartbeat(machine, tasks);
     leader.performEffects(
       leader.scheduler.commandsAnswered(
         machine,
         commands,
-        { kind: "answered", executed: true, heartbeat: report },
+        { kind: "answered", executed: true, heartbeat: heartbeat },
         leader.now,
       ),
     );
@@ -181,23 +183,23 @@
   const leader = new TestLeader();
   for (const index of [0, 2, 4, 6]) leader.receiveHeartbeat(machineName(index), []);
   // Each machine runs a small job to begin with.
-  for (let i = 0; i < 4; i++) {
-    leader.submit(jobSpec(`s${i}`, { kind: "gang", cpus: 4, team: "maps" }));
+  for (let index = 0; index < 4; index++) {
+    leader.submit(jobSpec(`s${index}`, { kind: "gang", cpus: 4, team: "maps" }));
   }
-  for (let i = 0; i < 4; i++) leader.answerRequest([taskStatus(`s${i}`, 0, 1)]);
+  for (let index = 0; index < 4; index++) leader.answerRequest([taskStatus(`s${index}`, 0, 1)]);
   leader.submit(
     jobSpec("big", { kind: "gang", cpus: 4, team: "maps", tasks: 4, oneZone: true }),
     130,
   );
   leader.tick(0.3);
   leader.takeTrace();
-  for (let i = 0; i < 4; i++) {
+  for (let index = 0; index < 4; index++) {
     // One small job ends, and another like it is submitted.
     const machine = [...leader.scheduler.cluster.machines.values()].find(({ placements }) =>
-      [...placements.values()].some(({ job }) => job.spec.id === `s${i}`),
+      [...placements.values()].some(({ job }) => job.spec.id === `s${index}`),
     )!;
-    leader.submit(jobSpec(`t${i}`, { kind: "gang", cpus: 4, team: "maps" }));
-    leader.receiveHeartbeat(machine.name, [taskStatus(`s${i}`, 0, 1, "exited", "done")]);
+    leader.submit(jobSpec(`t${index}`, { kind: "gang", cpus: 4, team: "maps" }));
+    leader.receiveHeartbeat(machine.name, [taskStatus(`s${index}`, 0, 1, "exited", "done")]);
     leader.tick(0.3);
   }
   const startedJobs = leader.unansweredRequests.flatMap(({ commands }) =>
@@ -207,7 +209,7 @@
   assert.equal(startedJobs.filter((job) => job.startsWith("t")).length, 0);
 });
 
-test("the largest job of a class goes first after half of the users' bound on starting", () => {
+test("the largest job of a class is placed first after half of the bound on start latency", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.submit(jobSpec("now", { cpus: 4, tasks: 1 }));
@@ -219,10 +221,10 @@
   assert.match(leader.takeTrace(), /start large\/0#1/);
 });
 
-test("a job of 600 tasks has hundreds in flight on scattered capacity, within one stored value", () => {
+test("a job of 600 tasks has hundreds of placements on fragmented capacity, within one stored value", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
-  // Four tasks to a machine, as whole machines are rarely free.
+  // Four tasks to a machine, as fully idle machines are rare.
   leader.submit(jobSpec("j", { tasks: 600, team: "maps", cpus: 1 }));
   const job = leader.scheduler.cluster.jobs.get("j")!;
   assert.ok(job.placements.size >= 350, `${job.placements.size} in flight`);
@@ -254,13 +256,13 @@
   );
 });
 
-test("machine records are read back from the replica as they were written", () => {
+test("a new leader loads machine records as they were stored", () => {
   const replica = new StateReplica();
   replica.reset(
     [{ key: "g/1", value: { "m-1": ["10.0.0.1:1", "small", "a", true] }, modRevision: 3 }],
     3,
   );
-  const leader = new TestLeader({ replica: replica, epoch: 2 });
+  const leader = new TestLeader({ replica, epoch: 2 });
   const machine = leader.scheduler.cluster.machines.get("m-1")!;
   assert.deepEqual(
     [machine.address, machine.type.name, machine.zone, machine.spot, machine.isPersisted],
@@ -268,7 +270,7 @@
   );
 });
 
-test("a job's end is persisted before placements of others that are not production", () => {
+test("a job's end is persisted before placements of other jobs below production priority", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.receiveHeartbeat(machineName(2), []);
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -56,7 +56,7 @@
   // Longer than any wait here: nothing is closed for being idle.
   idleTimeoutS: 600,
   onRequestDone: () => {},
-  onFault: (e) => faults.push(e),
+  onFault: (error) => faults.push(error),
 });
 let worker: HttpConnectionPool;
 
@@ -75,10 +75,10 @@
   faults = [];
 });
 
-const send = (body: Buffer) => worker.request("POST", "/checkin", body, 2000);
+const send = (sent: Buffer) => worker.request("POST", "/checkin", sent, 2000);
 
 test("an answer carries the fencing token and the commands, also after one without commands", async () => {
-  for (let i = 0; i < 2; i++) {
+  for (let sent = 0; sent < 2; sent++) {
     const first = await send(encode(wireHeartbeat));
     assert.equal(first.status, 200);
     assert.deepEqual(decode(first.body), { rein: 7, calls: [] });
@@ -125,7 +125,7 @@
     }
   }
   async statuses(count: number): Promise<string[]> {
-    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((m) => m[1]!);
+    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((match) => match[1]!);
     await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
@@ -201,7 +201,7 @@
   }
   await waitUntil("no connection is left", async () => {
     const left = await new Promise<number>((resolve) =>
-      app.server.getConnections((_, n) => resolve(n)),
+      app.server.getConnections((_, count) => resolve(count)),
     );
     return left <= 1;
   });
@@ -261,8 +261,8 @@
     const reply = await send(encode({ ...wireHeartbeat, ...change }));
     assert.equal(reply.status, 400, JSON.stringify(change));
   }
-  for (const body of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
-    assert.equal((await send(body)).status, 400);
+  for (const malformed of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
+    assert.equal((await send(malformed)).status, 400);
   }
   assert.equal((await send(Buffer.alloc(BODY_LIMIT + 1))).status, 400);
   assert.deepEqual(received, []);
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -38,8 +38,8 @@
     workers: options.machines,
     heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
     nodeArguments: [...flags, "--import", HOOK],
-    environment: (i) => ({
-      PROFILE_FILE: files[i]!,
+    environment: (node) => ({
+      PROFILE_FILE: files[node]!,
       PROFILE_SAMPLED: options.total ? "no" : "yes",
       PROFILE_FROM_START: options.fromStart ? "yes" : "no",
     }),
@@ -47,14 +47,14 @@
 }
 
 async function startNodes(cluster: MultiProcessCluster, program: string): Promise<void> {
-  for (const i of NODES) cluster.startNode(i, program);
-  for (const i of NODES) await cluster.awaitHealthy(i);
-  await waitForProcesses("somebody leads", () => cluster.leaderIndex() >= 0);
+  for (const node of NODES) cluster.startNode(node, program);
+  for (const node of NODES) await cluster.awaitHealthy(node);
+  await waitForProcesses("leadership is acquired", () => cluster.leaderIndex() >= 0);
 }
 
 /** Begins the measurement of each controller, or ends it. */
 function signalAll(cluster: MultiProcessCluster): void {
-  for (const i of NODES) cluster.signalNode(i, "SIGUSR2");
+  for (const node of NODES) cluster.signalNode(node, "SIGUSR2");
 }
 
 /** Heartbeats that the stand-in workers have sent. */
@@ -85,7 +85,7 @@
 
 async function measure(options: Options): Promise<string> {
   const directory = mkdtempSync(join(tmpdir(), "peatsaddle-profile-"));
-  const files = NODES.map((i) => join(directory, `n${i}.json`));
+  const files = NODES.map((node) => join(directory, `n${node}.json`));
   const cluster = await openCluster(options, files);
   try {
     await startNodes(cluster, options.program);
@@ -101,9 +101,9 @@
     const profiles = await readProfiles(files);
     load.stop();
     const isSameLeader = cluster.leaderIndex() === leader;
-    const leaders = isSameLeader ? "one leader" : "the leader changed: of no use";
-    const descriptions = profiles.map((profile, i) =>
-      describeProfile(`n${i}${i === leader ? " (leader)" : ""}`, profile),
+    const leaders = isSameLeader ? "one leader" : "the leader changed: figures not comparable";
+    const descriptions = profiles.map((profile, node) =>
+      describeProfile(`n${node}${node === leader ? " (leader)" : ""}`, profile),
     );
     const summary = `${heartbeatsPerS.toFixed(0)} heartbeats a second, ${leaders}`;
     return [summary, ...descriptions].join("\n\n");
@@ -112,7 +112,7 @@
   }
 }
 
-const options = new Command("profile")
+const chosen = new Command("profile")
   .description("where the processor time of three controllers goes; figures of stand-ins")
   .option("--machines <n>", "stand-in workers", Number, 720)
   .option("--seconds <n>", "how long is measured", Number, 20)
@@ -125,5 +125,5 @@
   .option("--questions <n>", "users' questions a second", Number, 20)
   .parse()
   .opts<Options>();
-process.stdout.write(`${await measure(options)}\n`);
+process.stdout.write(`${await measure(chosen)}\n`);
 process.exit(0);
