--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,6 +1,6 @@
 /**
  * Fair admission under overload: the interface for embedding programs (`peatsaddle/admission`) and for the rest of the
- * program. A program that only wants shares and verdicts needs `limitedWindow`, `decide` and `charge`, which are pure.
+ * program. A program that only needs shares and verdicts needs `limitedWindow`, `decide` and `charge`, which are pure.
  */
 export { activePeriods, type Calendar, isTimeZone, type Period } from "./calendar.js";
 export { ClaimBatch } from "./claims.js";
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -117,7 +117,7 @@
 
 /**
  * The first job that lacks capacity decides which machines are requested; later ones that the same kind serves best are
- * added. (With one request for each job it took a minute to request what the cloud offered.)
+ * added. (With one request for each job a minute passed until all was requested that the cloud offered.)
  */
 function scaleOutForWaiting(
   scaling: ScalingContext,
--- a/src/core/machines/zone-silence.ts
+++ b/src/core/machines/zone-silence.ts
@@ -6,7 +6,7 @@
 
 /** Heartbeat intervals after which a machine counts as overdue: heartbeats arrive within 1.25. */
 const OVERDUE_INTERVALS = 1.3;
-/** Heartbeat intervals for which the silence of a zone casts doubt on that of its machines. */
+/** Heartbeat intervals for which missing heartbeats of a zone are no evidence against its single machines. */
 const DOUBT_INTERVALS = 2;
 
 interface ZoneCounts {
@@ -15,15 +15,15 @@
 }
 
 /**
- * The zones of which so many machines were overdue at once that it says nothing against any of them. Machines that fell
- * silent together are all overdue before the first would be released.
+ * The zones in which so many machines were overdue at once that a partition is likelier than a fault of each. Machines
+ * that are partitioned together are all overdue before the first would be released.
  */
 export class ZoneSilence {
   private readonly doubtedAt = new Map<string, number>();
 
   constructor(private readonly heartbeatIntervalS: number) {}
 
-  /** Notes the zones that are silent as a whole, and all of them if most machines are overdue. */
+  /** Notes the zones that seem partitioned, and all zones if most machines are overdue. */
   update(machines: readonly Machine[], now: number): void {
     const countsByZone = this.countOverdue(machines, now);
     let overdueInAll = 0;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Whether the machine's silence is its own: its zone was not overdue as a whole a moment ago. (When a zone came back
-   * after a partition, the last quarter to send heartbeats was released with all that ran there.)
+   * Whether missing heartbeats are evidence against the machine: its zone did not seem partitioned a moment ago. (When a
+   * zone came back after a partition, the last quarter to send heartbeats was released with all that ran there.)
    */
   isCredible(machine: Machine, now: number): boolean {
     const doubtedAt = this.doubtedAt.get(machine.zone) ?? Number.NEGATIVE_INFINITY;
--- a/src/core/model/machines.ts
+++ b/src/core/model/machines.ts
@@ -21,7 +21,7 @@
   readonly zones: readonly string[];
 }
 
-/** A machine in the cloud's list of ours, which lags behind. */
+/** A machine in the cloud's list of this cluster's machines, which lags. */
 export interface ListedMachine {
   readonly name: string;
   /** Address of its worker, host:port; empty while it has none. */
--- a/src/core/planning/planner.ts
+++ b/src/core/planning/planner.ts
@@ -35,7 +35,7 @@
       continue;
     }
     job.waitingSince ??= context.now;
-    // A job that fails everywhere, or only waits for its image, gets no preemption, reservation or new machine.
+    // A job that fails everywhere, or only waits for its image, causes no preemption, reservation or scale-out.
     if (!job.isSuspect && !waitsForImage) lackingCapacity.push(job);
   }
   return lackingCapacity;
--- a/src/net/http-connection-pool.ts
+++ b/src/net/http-connection-pool.ts
@@ -53,7 +53,7 @@
     });
     try {
       const exchange = this.exchange(connection, this.requestOf(method, path, body), progress);
-      // If the timeout comes first, nobody awaits the exchange.
+      // If the timeout comes first, no caller awaits the exchange.
       exchange.catch(() => {});
       return await Promise.race([exchange, timeout]);
     } finally {
--- a/src/net/http-connection.ts
+++ b/src/net/http-connection.ts
@@ -29,7 +29,7 @@
       this.socket.once("error", reject);
       this.socket.once("close", () => reject(new ConnectionClosedError()));
     });
-    // Whoever sends a request awaits it; a connection that nobody uses yet must not end the process.
+    // Whoever sends a request awaits it; a connection without a request must not end the process.
     this.connected.catch(() => {});
     this.socket.on("error", () => {});
     void this.readResponses();
--- a/src/node/background-loop.ts
+++ b/src/node/background-loop.ts
@@ -10,7 +10,7 @@
 }
 
 /**
- * Runs a loop until it is stopped. One that fails is named in the log, and its error goes on to the process's own
+ * Runs a loop until it is stopped. One that fails is named in the log, and its error is rethrown to the process's own
  * handler of unhandled rejections: whether the program ends is for the program to decide.
  */
 export async function runInBackground(
--- a/src/node/node-timing.ts
+++ b/src/node/node-timing.ts
@@ -22,7 +22,7 @@
   const maximumContactGapS = (2 * heartbeatIntervalS) / 3;
   return {
     maximumContactGapS,
-    // While nobody leads, other nodes may have answered for as long (`StandbyResponder`).
+    // While no node leads, the others may have answered for as long (`StandbyResponder`).
     gracePeriodS: Math.max(operator.graceRatio * leaseS, leaseS / 3 + maximumContactGapS),
     leaseExtensionS: operator.extensionRatio * leaseS,
     requestTimeoutMs: (heartbeatIntervalS * 1000) / 3,
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -22,7 +22,7 @@
 export class ReplicaChanges {
   constructor(private readonly options: ReplicaChangesOptions) {}
 
-  /** The replica took these changes in; null: all of it was read anew. */
+  /** The replica applied these changes; null: it was read again as a whole. */
   apply(change: ReplicaChange | null): void {
     const { now, leadership, standby, completionWaiters, transactions, machineTypes } =
       this.options;
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -25,7 +25,7 @@
   readonly standby: StandbyResponder;
   readonly load: NodeLoad;
   readonly performEffects: (effects: readonly Effect[]) => void;
-  /** The scheduler took a heartbeat in: there may be something to schedule. */
+  /** The scheduler handled a heartbeat: there may be something to schedule. */
   readonly onHeartbeatHandled: () => void;
 }
 
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -49,7 +49,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: z.number().int().positive(),
-      // Limits that hold from some moment on, which nobody announces.
+      // Limits that take effect at some later time, without notice.
       next: z
         .object({
           rps: positive.nullish(),
