--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -27,7 +27,7 @@
   /**
    * Handles a heartbeat, whether the worker sent it by itself or as the answer to a direct request.
    *
-   * @returns the machine it is about; null if the heartbeat counts for nothing: the machine is terminated, its type is
+   * @returns the machine it is about, also if the heartbeat is no newer than the last and was ignored; null if the heartbeat counts for nothing: the machine is terminated, its type is
    * unknown, or another leader has a higher fencing token.
    */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): Machine | null {
@@ -115,7 +115,7 @@
     machine.exitedTasks.clear();
   }
 
-  /** Empties a spot machine that its cloud is about to take, except of tasks that may complete in time. */
+  /** Empties a spot machine that its cloud is about to take, except of array tasks without checkpoints that may complete in time. */
   private handleInterruptionNotice(machine: Machine, noticeS: number | null, now: number): void {
     if (noticeS === null || machine.interruptionAt !== null) return;
     machine.interruptionAt = now + noticeS;
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -188,7 +188,7 @@
 }
 
 /**
- * Production placements first, then ends, since users wait for them and they are few; then other placements, of which a
+ * Jobs that are being resharded first; then production placements, then ends, since users wait for them and they are few; then other placements, of which a
  * busy day has more than can be written; then progress. (With ends after all placements, on a rough day 299 jobs were
  * done and 25 users told.)
  *
--- a/src/node/leader-composition.ts
+++ b/src/node/leader-composition.ts
@@ -85,7 +85,7 @@
     return new Leadership(keyValueClient, watcher, replica, {
       member: settings.member,
       leaseS: termLeaseS(operator.termLeaseRatio * heartbeatIntervalS, cpuShare),
-      gracePeriodS: timing.leaseExtensionS,
+      leaseExtensionS: timing.leaseExtensionS,
       now: steadyNowS,
       log,
       createScheduler: (epoch, epochModRevision, now) =>
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -22,8 +22,8 @@
 export interface LeadershipOptions {
   readonly member: string;
   readonly leaseS: number;
-  /** Seconds after the term for which heartbeats may still be answered. */
-  readonly gracePeriodS: number;
+  /** Seconds after the term for which heartbeats of some workers may still be answered; the longest such time. */
+  readonly leaseExtensionS: number;
   /** Steady time in seconds. */
   readonly now: () => number;
   readonly log: Logger;
@@ -223,7 +223,7 @@
   }
 
   private async renew(term: LeadershipTerm): Promise<void> {
-    const { gracePeriodS, now } = this.options;
+    const { leaseExtensionS, now } = this.options;
     const sentAt = now();
     const renewal = await this.keyValueClient.extendLease(term.leaseId);
     if (this.current?.term !== term) return;
@@ -231,8 +231,8 @@
       term.extendFrom(sentAt);
     } else if (renewal.kind === "expired") {
       this.stepDown("the lease expired");
-    } else if (!term.isWithinGracePeriod(now(), gracePeriodS)) {
-      this.stepDown("no renewal within the grace period");
+    } else if (!term.isWithinGracePeriod(now(), leaseExtensionS)) {
+      this.stepDown("no renewal within the lease extension");
     }
   }
 
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -48,7 +48,7 @@
       {
         member: "n0",
         leaseS: LEASE_S,
-        gracePeriodS: 60,
+        leaseExtensionS: 60,
         now: () => this.now,
         log: pino({ level: "silent" }),
         createScheduler: () => ({ takeOver: () => [] }) as never,
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -170,7 +170,7 @@
   const leadership = new Leadership(store, follower, records, {
     member: "n0",
     leaseS: 4,
-    gracePeriodS: 60,
+    leaseExtensionS: 60,
     now: () => 100,
     log: pino({ level: "silent" }),
     createScheduler: () => scheduler,
