--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Decides which commands and probes go to each worker, and when. */
+/** Decides which commands and probes are sent to each worker, and when. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
@@ -8,16 +8,17 @@
 import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
 
-/** Probes a second, for each core, of machines whose heartbeat is not overdue yet. */
+/** Probes per second and CPU core for machines whose heartbeat is not overdue yet. */
 const PROBES_PER_CORE_S = 40;
 const MAXIMUM_COMMANDS_PER_REQUEST = 400;
-/** Requests of one sort that may be in flight while the node is overloaded, and otherwise at the least. */
+/** Limit on concurrent probes, and on concurrent token-only requests, while the node is overloaded. */
 const CONCURRENT_REQUESTS_OVERLOADED = 4;
+/** Smallest value of the same limit while the node is not overloaded. */
 const MINIMUM_CONCURRENT_REQUESTS = 8;
-/** One in so many sockets may be used by requests of one sort. */
+/** Probes may use one in 50 of the node's sockets, and token-only requests another one in 50. */
 const SOCKETS_PER_CONCURRENT_REQUEST = 50;
 
-/** A task that a worker runs although its job is terminal. */
+/** A task that a worker still runs although its job is terminal. */
 export interface OrphanedTask {
   readonly machine: string;
   readonly job: string;
@@ -25,19 +26,19 @@
   readonly attempt: number;
 }
 
-/** Sends starts, stops and forgets to the workers, one direct request to a machine at a time. */
+/** Sends start, stop and forget commands to workers, with at most one direct request in flight per machine. */
 export class CommandDispatcher {
-  /** Machines to which something may be due; the others are not considered as time passes. */
+  /** Machines that may have commands to send. `Scheduler.tick` skips all others. */
   readonly dueMachines = new Set<Machine>();
-  /** Names of the machines to which a request is in flight that only carries the fencing token. */
+  /** Names of the machines that have a token-only request (fencing token, no commands) in flight. */
   readonly tokenRequestsInFlight = new Set<string>();
-  /** Names of the machines to which a probe is in flight. */
+  /** Names of the machines that have a probe in flight. */
   readonly probesInFlight = new Set<string>();
-  /** Limits the probes of machines that are not overdue yet. */
+  /** Rate limit of probes to machines whose heartbeat is not overdue yet. */
   readonly probeBudget: TokenBucket;
-  /** To be stopped without time to checkpoint. */
+  /** Orphaned tasks to be stopped without time to checkpoint. */
   orphanedTasks: OrphanedTask[] = [];
-  /** Set by the node while it lags: what can be postponed is to leave it time. */
+  /** Set by the node while it is overloaded. Probes and token-only requests are then limited more strictly. */
   isOverloaded = false;
 
   constructor(private readonly context: LeaderContext) {
@@ -46,9 +47,9 @@
   }
 
   /**
-   * Requests of one sort, probes or those that only carry the fencing token, that may be in flight at a time. (After
-   * a takeover a thousand workers were late at once; probing all of them in one moment left no time for their
-   * heartbeats, and most lost their leases.)
+   * Maximum number of probes in flight, and also of token-only requests in flight. Without this limit, a leader that
+   * took over while 1000 workers were late probed all of them at once. This left no time to process their heartbeats,
+   * and most of the workers lost their leases.
    */
   get maximumConcurrentRequests(): number {
     if (this.isOverloaded) return CONCURRENT_REQUESTS_OVERLOADED;
@@ -58,12 +59,12 @@
     );
   }
 
-  /** Asks for a placement to be stopped; of several requests the one with the least time to checkpoint counts. */
+  /** Requests a stop of the placement. Of several requests, the one with the shortest grace period applies. */
   stop(placement: Placement, why: string, graceS: number): void {
     if (placement.stop !== null && placement.stop.graceS <= graceS) return;
     placement.stop = { why, graceS, sentAt: Number.NEGATIVE_INFINITY };
     this.dueMachines.add(placement.machine);
-    this.context.logTask("stop", () => ({
+    this.context.logTask("stopping task", () => ({
       task: `${placement.job.spec.id}/${placement.task}`,
       attempt: placement.attempt,
       machine: placement.machine.name,
@@ -71,26 +72,26 @@
     }));
   }
 
-  /** Stops the task, and with the task of a gang the whole gang, with time to checkpoint. */
+  /** Stops a task after `graceS` seconds to checkpoint. If it is a gang task, the whole gang is stopped. */
   stopGang(placement: Placement, why: string, graceS: number): void {
     const { job } = placement;
     const stopped = job.spec.kind === "gang" ? [...job.placements.values()] : [placement];
-    for (const each of stopped) this.stop(each, why, graceS);
+    for (const placementToStop of stopped) this.stop(placementToStop, why, graceS);
   }
 
-  /** Stops the rest of a gang that lost a task: it starts again as a whole once all its tasks are terminated. */
+  /** Stops the remaining tasks of a gang that lost a task. The gang restarts once all its tasks have terminated. */
   restartGang(job: ActiveJob, why: string): void {
     if (job.isComplete) return;
     for (const placement of job.placements.values()) this.stop(placement, why, job.spec.saveS);
   }
 
-  /** Releases the resources of an attempt that is proven to be terminated. */
+  /** Releases the resources of an attempt that has certainly terminated. */
   release(placement: Placement, now: number): void {
     this.context.cluster.releasePlacement(placement, now);
     this.context.cycleRequested = true;
   }
 
-  /** The attempt ended with its machine or with the worker's incarnation. */
+  /** Handles an attempt that ended because its machine or the worker's incarnation ended. */
   handleTaskLost(placement: Placement, why: string, now: number): void {
     const { job, task, attempt, machine } = placement;
     this.context.log("task lost", {
@@ -103,7 +104,10 @@
     if (job.spec.kind === "gang") this.restartGang(job, "a gang task was lost");
   }
 
-  /** The commands that are due to a machine. Starts are only for direct requests, of which the outcome is known. */
+  /**
+   * Returns the commands to send to a machine now. Starts are included only in direct requests (`withStarts`),
+   * because only these report whether the commands were executed.
+   */
   commandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const placement of [...machine.placements.values()]) {
@@ -113,14 +117,14 @@
       else if (withStarts) command = this.startIfDue(placement, now);
       if (command !== null) commands.push(command);
     }
-    this.addOrphanStops(machine, commands);
+    this.addOrphanedTaskStops(machine, commands);
     this.addForgets(machine, commands);
     return commands;
   }
 
   /**
-   * Sends a machine what is due to it, one direct request at a time. Forgets are never urgent and go with the answer
-   * to a heartbeat, or with what is sent anyway.
+   * Sends a machine its due commands in a direct request, unless one is in flight already. Forgets alone cause no
+   * request: they are not urgent, and are sent along with other commands or in the response to a heartbeat.
    */
   sendDue(machine: Machine, now: number): void {
     this.dueMachines.delete(machine);
@@ -133,15 +137,19 @@
       this.sendFencingToken(machine);
       return;
     }
-    if (hasUnsettledPlacement(machine)) this.dueMachines.add(machine);
+    if (mayNeedCommands(machine)) this.dueMachines.add(machine);
     else if (this.orphanedTasks.length === 0) return;
-    const due = this.commandsFor(machine, now, true).slice(0, MAXIMUM_COMMANDS_PER_REQUEST);
-    if (due.every((command) => command.op === "forget")) return;
-    this.send(machine, machine.incarnation, due);
+    const dueCommands = this.commandsFor(machine, now, true).slice(0, MAXIMUM_COMMANDS_PER_REQUEST);
+    if (dueCommands.every((command) => command.op === "forget")) return;
+    this.send(machine, machine.incarnation, dueCommands);
   }
 
-  /** The second request follows soon, as two failures in a row are stronger evidence than one; then they are spaced. */
-  noteUnansweredRequest(machine: Machine, now: number): void {
+  /**
+   * Records a direct request without a response and schedules the next one: after 1/30 of the heartbeat interval
+   * following the first failure, as two consecutive failures are stronger evidence than one, and after 1/3 of it
+   * following any later failure.
+   */
+  recordUnansweredRequest(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
     machine.consecutiveFailedRequests++;
     machine.unreachableSince ??= now;
@@ -149,7 +157,7 @@
       now + heartbeatIntervalS / (machine.consecutiveFailedRequests === 1 ? 30 : 3);
   }
 
-  /** Asks a worker for a heartbeat. */
+  /** Sends a worker a direct request for a heartbeat. */
   probe(machine: Machine): void {
     machine.hasRequestInFlight = true;
     this.probesInFlight.add(machine.name);
@@ -162,27 +170,27 @@
       return null;
     }
     if (placement.state === "loaded") return null;
-    // A second stop would interrupt the checkpoint, unless that is intended.
+    // Another stop would interrupt the checkpoint, so it is sent only if the grace period is 0.
     if (placement.state === "checkpointing" && stop.graceS > 0) return null;
     if (now - stop.sentAt < this.context.settings.heartbeatIntervalS / 6) return null;
     stop.sentAt = now;
-    return { op: "stop", ...attemptOf(placement), graceS: stop.graceS };
+    return { op: "stop", ...commandTarget(placement), graceS: stop.graceS };
   }
 
   private startIfDue(placement: Placement, now: number): WorkerCommand | null {
     if (!this.mayStart(placement, now)) return null;
-    const conflict = this.findConflict(placement);
-    if (conflict !== null) {
-      this.withdrawPlacement(placement, conflict, now);
+    const violatedConstraint = this.findViolatedConstraint(placement);
+    if (violatedConstraint !== null) {
+      this.withdrawPlacement(placement, violatedConstraint, now);
       return null;
     }
     placement.state = "sent";
     placement.sentAt = now;
     placement.startsInFlight++;
-    return { op: "start", ...attemptOf(placement) };
+    return { op: "start", ...commandTarget(placement) };
   }
 
-  private addOrphanStops(machine: Machine, commands: WorkerCommand[]): void {
+  private addOrphanedTaskStops(machine: Machine, commands: WorkerCommand[]): void {
     if (this.orphanedTasks.length === 0) return;
     for (const { machine: name, job, task, attempt } of this.orphanedTasks) {
       if (name === machine.name) commands.push({ op: "stop", job, task, attempt, graceS: 0 });
@@ -204,7 +212,7 @@
     if (!machine.hasAcknowledgedToken || placement.incarnation !== machine.incarnation)
       return false;
     if (state === "planned") return !placement.waitsForGangPeers(now);
-    // Repeating a start whose outcome is unknown does no harm: it is the same attempt.
+    // A start whose outcome is unknown can be repeated safely, because it is for the same attempt.
     return (
       state === "sent" &&
       placement.startsInFlight === 0 &&
@@ -214,22 +222,22 @@
   }
 
   /**
-   * Checks the constraints once more, with what is known at the moment of the start: since the task was placed, an
-   * unrecorded task may have turned up, a machine may have proved to be of another kind, or a former leader may have
-   * placed it wrongly. Returns the constraint that the start would violate.
+   * Checks the placement constraints again immediately before a start. Since the task was placed, a worker may have
+   * reported an unrecorded task, or the machine's type, zone or spot property may have been corrected. A former
+   * leader may also have placed the task wrongly. Returns the constraint that the start would violate, or null.
    */
-  private findConflict(placement: Placement): string | null {
+  private findViolatedConstraint(placement: Placement): string | null {
     const { job, machine } = placement;
-    if (!isMachineAllowed(job.spec, machine)) return "its machine is not allowed";
-    if (!job.zones.mayStartIn(machine.zone)) return "its zone is not allowed beside other tasks";
-    if (job.hasOtherAttempt(placement)) return "another attempt may be running";
-    if (!this.context.cluster.isWithinLimit(job.spec.team)) return "its team is over its limit";
+    if (!isMachineAllowed(job.spec, machine)) return "machine not allowed for the job";
+    if (!job.zones.mayStartIn(machine.zone)) return "zone not allowed given the job's other tasks";
+    if (job.hasOtherAttempt(placement)) return "another attempt of the task may be running";
+    if (!this.context.cluster.isWithinLimit(job.spec.team)) return "team exceeds its quota";
     return null;
   }
 
   /**
-   * Withdraws a placement that violates a constraint. Where its start may be under way it is stopped, and counts until
-   * it is proven to be terminated; otherwise it is released at once.
+   * Withdraws a placement that violates a constraint. If its start may have been sent, the placement is stopped and
+   * keeps its resources until it has certainly terminated; otherwise it is released at once.
    */
   private withdrawPlacement(placement: Placement, why: string, now: number): void {
     if (placement.job.spec.kind === "gang") this.restartGang(placement.job, why);
@@ -241,15 +249,16 @@
     const { machine } = placement;
     if (placement.state !== "planned" || placement.startsInFlight > 0) return;
     if (machine.unansweredStarts.has(placement.key)) return;
-    // Never sent under this fencing token, and unknown to the worker: it cannot be running.
+    // No start was sent under this fencing token, the worker drops starts with earlier tokens, and it does not report
+    // the attempt. So the attempt cannot be running.
     if (machine.hasAcknowledgedToken && placement.incarnation === machine.incarnation) {
       this.release(placement, now);
     }
   }
 
   /**
-   * A forgotten attempt could be started again by a late copy of its start. So its exit must be persisted, and no
-   * start of it may be unanswered under the present fencing token.
+   * Whether the worker may forget an exited attempt. A delayed duplicate of its start could run a forgotten attempt
+   * again, so no start of it may be unanswered under the current fencing token, and its exit must be persisted.
    */
   private mayForget(machine: Machine, key: string, exited: ExitedTask): boolean {
     if (machine.unansweredStarts.has(key)) return false;
@@ -257,7 +266,7 @@
     return job === undefined || job.isPersisted(exited.task, exited.version);
   }
 
-  /** A request without commands, which only carries the present fencing token. */
+  /** Sends a direct request without commands, which only carries the current fencing token. */
   private sendFencingToken(machine: Machine): void {
     this.dueMachines.add(machine);
     if (this.tokenRequestsInFlight.size >= this.maximumConcurrentRequests) return;
@@ -277,12 +286,12 @@
   }
 }
 
-/** Whether a start or stop of some placement on the machine may have to be sent, now or later. */
-function hasUnsettledPlacement(machine: Machine): boolean {
+/** Whether a start or stop may have to be sent, now or later, for some placement on the machine. */
+function mayNeedCommands(machine: Machine): boolean {
   for (const { stop, state } of machine.placements.values()) {
     if (stop !== null || state === "planned" || state === "sent") return true;
   }
   return false;
 }
 
-const attemptOf = ({ job, task, attempt }: Placement) => ({ job: job.spec.id, task, attempt });
+const commandTarget = ({ job, task, attempt }: Placement) => ({ job: job.spec.id, task, attempt });
--- a/src/core/dispatch/direct-request-results.ts
+++ b/src/core/dispatch/direct-request-results.ts
@@ -1,4 +1,4 @@
-/** What the results of direct requests to workers say: commands, and probes. */
+/** Handles the results of direct requests to workers: command requests and probes. */
 
 import type { CommandOutcome } from "../effects.js";
 import type { LeaderContext } from "../leader-context.js";
@@ -8,7 +8,7 @@
 import { taskKey } from "./placement.js";
 import type { Reconciler } from "./reconciler.js";
 
-/** Applies the results of direct requests to the machines that they went to. */
+/** Applies the results of direct requests to the machines that they were sent to. */
 export class DirectRequestResults {
   constructor(
     private readonly context: LeaderContext,
@@ -16,7 +16,7 @@
     private readonly reconciler: Reconciler,
   ) {}
 
-  /** A direct request with these commands was answered, or not. */
+  /** Handles the outcome of a direct request that carried these commands. */
   applyCommandOutcome(
     machineName: string,
     commands: readonly WorkerCommand[],
@@ -27,13 +27,13 @@
     const machine = this.context.cluster.machines.get(machineName);
     if (machine === undefined) return;
     machine.hasRequestInFlight = false;
-    this.noteStartOutcomes(machine, commands, outcome);
-    if (outcome.kind === "lost") this.dispatcher.noteUnansweredRequest(machine, now);
+    this.applyStartOutcomes(machine, commands, outcome);
+    if (outcome.kind === "lost") this.dispatcher.recordUnansweredRequest(machine, now);
     else this.handleAnswer(machine, outcome.heartbeat, now);
     this.dispatcher.sendDue(machine, now);
   }
 
-  /** A probe was answered, or not (null). `lateTimeout`: see `Scheduler.probeAnswered`. */
+  /** Handles a probe's answer, or its timeout (null). `lateTimeout`: see `Scheduler.probeAnswered`. */
   applyProbeAnswer(
     machineName: string,
     heartbeat: WorkerHeartbeat | null,
@@ -47,7 +47,7 @@
     const retryS = this.context.settings.heartbeatIntervalS / 3;
     if (heartbeat !== null) this.handleAnswer(machine, heartbeat, now);
     else if (lateTimeout) machine.nextRequestAt = now + retryS;
-    else this.dispatcher.noteUnansweredRequest(machine, now);
+    else this.dispatcher.recordUnansweredRequest(machine, now);
     this.dispatcher.sendDue(machine, now);
   }
 
@@ -57,8 +57,8 @@
     this.reconciler.handleHeartbeat(heartbeat, now);
   }
 
-  /** A start that was certainly not executed is planned again; one that may yet arrive is remembered. */
-  private noteStartOutcomes(
+  /** Returns starts that were certainly not executed to `planned`, and records those that may still arrive. */
+  private applyStartOutcomes(
     machine: Machine,
     commands: readonly WorkerCommand[],
     outcome: CommandOutcome,
--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -1,26 +1,27 @@
 /**
- * Placement constraints: on which kinds of machine a task may be, and in which zones given the job's other tasks.
+ * Placement constraints: which machines a task may run on, and which zones it may run in given the job's other tasks.
  *
- * The only module that knows them. Placement, preemption, reservation, relocation and scale-out all ask it, and every
- * start asks it again. What is not known counts as the worst case: a machine whose zone is unknown may be in any.
+ * This is the only module that implements them. Placement, preemption, reservation, relocation and scale-out all use
+ * it, and every start is checked again. Unknown properties are treated as the worst case: a machine whose zone is
+ * unknown may be in any zone.
  */
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
 
-/** Zone of a machine of which the zone is not known. */
+/** Placeholder for the zone of a machine whose zone is not known. */
 export const UNKNOWN_ZONE = "";
 
 const NO_LIMIT = Number.MAX_SAFE_INTEGER;
 
-/** The properties of a machine that constraints refer to. */
-export interface MachineFacts {
+/** The properties of a machine that the placement constraints depend on. */
+export interface MachineAttributes {
   readonly type: Pick<MachineType, "name">;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Whether a task of the job may be on such a machine, regardless of its other tasks. */
-export function isMachineAllowed(spec: JobSpec, { type, zone, spot }: MachineFacts): boolean {
+/** Whether a task of the job may run on such a machine, regardless of the job's other tasks. */
+export function isMachineAllowed(spec: JobSpec, { type, zone, spot }: MachineAttributes): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
     (spec.zone === null || spec.zone === zone) &&
@@ -28,15 +29,15 @@
   );
 }
 
-/** Most tasks of a spread job in one zone: half of them, rounded up. */
+/** Maximum number of tasks of a spread job in one zone: half of its tasks, rounded up. */
 const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
 
-/** Whether all tasks of the job can run at one time in so many zones. */
+/** Whether all tasks of the job can run at the same time in the given number of zones. */
 export function areZonesSufficient(spec: JobSpec, zones: number): boolean {
   return !spec.spread || zones * spreadLimit(spec) >= spec.tasks;
 }
 
-/** The tasks of one job by zone: every attempt that is on a machine, or may be, or may yet arrive there. */
+/** Counts the tasks of one job by zone: every attempt that is, may be, or may still be started on a machine there. */
 export class ZoneOccupancy {
   private readonly counts = new Map<string, number>();
 
@@ -58,36 +59,36 @@
     return copy;
   }
 
-  /** How many more tasks may be placed in the zone. */
+  /** Number of further tasks that may be placed in the zone. */
   capacityIn(zone: string): number {
     const { oneZone, spread } = this.spec;
     if ((oneZone || spread) && zone === UNKNOWN_ZONE) return 0;
-    if (oneZone && !this.areAllIn(zone)) return 0;
+    if (oneZone && !this.areAllTasksIn(zone)) return 0;
     if (!spread) return NO_LIMIT;
     return Math.max(0, spreadLimit(this.spec) - this.tasksIn(zone) - this.tasksIn(UNKNOWN_ZONE));
   }
 
-  /** Counts up to so many more tasks in the zone. Returns how many may be placed there. */
+  /** Reserves capacity in the zone for up to `maximumTasks` further tasks. Returns the number reserved. */
   reserveIn(zone: string, maximumTasks: number): number {
     const tasks = Math.min(maximumTasks, this.capacityIn(zone));
     if (tasks > 0) this.add(zone, tasks);
     return tasks;
   }
 
-  /** Whether a task that is already counted in this zone may start there, given all others that are counted. */
+  /** Whether a task that is already counted in the zone may start there, given the job's other counted tasks. */
   mayStartIn(zone: string): boolean {
     const { oneZone, spread } = this.spec;
     if ((oneZone || spread) && zone === UNKNOWN_ZONE) return false;
-    if (oneZone && !this.areAllIn(zone)) return false;
+    if (oneZone && !this.areAllTasksIn(zone)) return false;
     return !spread || this.tasksIn(zone) + this.tasksIn(UNKNOWN_ZONE) <= spreadLimit(this.spec);
   }
 
-  /** Whether the tasks must share a zone and are in several: nothing more may start before one zone is left. */
+  /** Whether a one-zone job has tasks in several zones. None may start until they are all in one zone. */
   get isSplit(): boolean {
     return this.spec.oneZone && this.counts.size > 1;
   }
 
-  /** The zone with the most tasks, of several the first by name; null if no task is in a known zone. */
+  /** The known zone with the most tasks; of equal ones, the first by name. Null if no task is in a known zone. */
   get mainZone(): string | null {
     let mainZone: string | null = null;
     for (const [zone, tasks] of this.counts) {
@@ -103,7 +104,7 @@
     return this.counts.get(zone) ?? 0;
   }
 
-  private areAllIn(zone: string): boolean {
+  private areAllTasksIn(zone: string): boolean {
     for (const other of this.counts.keys()) {
       if (other !== zone) return false;
     }
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -1,11 +1,14 @@
-/** An attempt of a task on a machine: it counts there, and against its team's limit, until proven to be terminated. */
+/**
+ * An attempt of a task on a machine. It takes up the machine's resources and the team's quota until it has certainly
+ * terminated.
+ */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { Machine } from "../machines/machine.js";
 
 /**
- * Where a placement stands. `loaded`: read from the store after a takeover, nothing else known of it. `planned`: no start
- * was sent under the present fencing token. `sent`: a start is in flight or unanswered. The others are as in the
- * worker's last heartbeat.
+ * State of a placement. `loaded`: read from the store after a takeover, with its state on the machine still unknown.
+ * `planned`: no start was sent under the current fencing token. `sent`: a start is in flight or unanswered. The other
+ * states are those reported in the worker's last heartbeat.
  */
 export type PlacementState =
   | "loaded"
@@ -19,29 +22,30 @@
 /** A request to stop a placement. */
 export interface StopRequest {
   readonly why: string;
-  /** Time for the task to checkpoint. */
+  /** Seconds that the task has to checkpoint. */
   readonly graceS: number;
-  /** When the stop was last sent. */
+  /** Time at which the stop was last sent. */
   sentAt: number;
 }
 
 /** One attempt of a task on one machine. */
 export class Placement {
   state: PlacementState = "planned";
-  /** Direct requests in flight that carry its start. */
+  /** Number of direct requests in flight that carry the start of this attempt. */
   startsInFlight = 0;
   stop: StopRequest | null = null;
-  /** When its start was last sent. */
+  /** Time at which the start was last sent. */
   sentAt = Number.NEGATIVE_INFINITY;
   readonly placedAt: number;
-  /** Meaningful once it is `running`. */
+  /** Time at which the task was first reported as running; valid only once it was. */
   runningSince = 0;
   /**
-   * Longest delay of the start of a gang task whose machine has the image long before those of its gang peers: it starts
-   * once a peer has pulled the image, or this long after it was placed. 0: it is not delayed.
+   * Maximum start delay, in seconds, of a gang task whose machine will have the image long before the machines of its
+   * gang peers. The task starts once a peer has pulled the image, or at the latest this long after it was placed.
+   * 0: no delay.
    */
   startDelayS = 0;
-  /** Its start was seen by this leader, so that its run time is known. */
+  /** This leader observed the start of the task, so the run time of the task is known. */
   hasKnownStart = false;
 
   constructor(
@@ -49,21 +53,21 @@
     readonly task: number,
     readonly attempt: number,
     readonly machine: Machine,
-    /** Incarnation of the worker to which it belongs. */
+    /** Incarnation of the worker that the attempt belongs to. */
     readonly incarnation: number,
-    /** The job's version that must be persisted before a start is sent. */
+    /** Version of the job that must be persisted before a start is sent. */
     readonly version: number,
     now: number,
   ) {
     this.placedAt = now;
   }
 
-  /** Its key in the maps of its machine. */
+  /** Key of this attempt in the machine's maps. */
   get key(): string {
     return taskKey(this.job.spec.id, this.task, this.attempt);
   }
 
-  /** Whether its start is delayed, and none of its gang peers has pulled the image yet. */
+  /** Whether the start is still delayed because no gang peer has pulled the image yet. */
   waitsForGangPeers(now: number): boolean {
     if (this.startDelayS === 0 || now - this.placedAt >= this.startDelayS) return false;
     for (const { state } of this.job.placements.values()) {
@@ -73,6 +77,6 @@
   }
 }
 
-/** Names an attempt of a task. */
+/** Returns the key that identifies an attempt of a task. */
 export const taskKey = (job: string, task: number, attempt: number): string =>
   `${job}/${task}#${attempt}`;
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -1,4 +1,4 @@
-/** Takes in worker heartbeats: what a heartbeat says of its machine, and then of the tasks placed on it. */
+/** Processes worker heartbeats: first the state of the machine, then the tasks on it. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { LeaderContext } from "../leader-context.js";
@@ -8,7 +8,7 @@
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { TaskReconciler } from "./task-reconciler.js";
 
-/** Heartbeat intervals without a message after which contact with a worker changes what can be planned. */
+/** Heartbeat intervals of silence after which the next message from a worker triggers a scheduling cycle. */
 const LONG_SILENCE_INTERVALS = 1.5;
 
 /** Updates the leader's view of a machine from its worker's heartbeats. */
@@ -25,10 +25,11 @@
   }
 
   /**
-   * Handles a heartbeat, whether the worker sent it by itself or as the answer to a direct request.
+   * Handles a heartbeat that the worker sent on its own or in response to a direct request.
    *
-   * @returns the machine it is about, also if the heartbeat is no newer than the last and was ignored; null if the heartbeat counts for nothing: the machine is terminated, its type is
-   * unknown, or another leader has a higher fencing token.
+   * @returns the machine that sent the heartbeat, also if the heartbeat was ignored because it is no newer than the
+   * last one; null if the heartbeat was rejected because the machine is terminated, its type is unknown, or another
+   * leader has a higher fencing token.
    */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): Machine | null {
     if (this.machinePool.terminated.has(heartbeat.machine)) return null;
@@ -36,13 +37,13 @@
     const machine = this.findMachine(heartbeat, now);
     if (machine === null || !isNewer(heartbeat, machine)) return machine;
     this.applyDescription(machine, heartbeat, now);
-    this.noteContact(machine, now);
+    this.recordContact(machine, now);
     if (heartbeat.incarnation > machine.incarnation) {
       this.beginIncarnation(machine, heartbeat.incarnation, now);
     }
     machine.sequence = heartbeat.sequence;
     this.handleInterruptionNotice(machine, heartbeat.interruptionNoticeS, now);
-    this.noteFencingToken(machine, heartbeat.fencingToken);
+    this.recordFencingToken(machine, heartbeat.fencingToken);
     if (machine.hasAcknowledgedToken) {
       this.taskReconciler.reconcileTasks(machine, heartbeat.tasks, now);
     }
@@ -50,7 +51,7 @@
     return machine;
   }
 
-  /** A higher fencing token proves that another leader was elected. */
+  /** Steps down if the worker has seen a higher fencing token, which proves that another leader was elected. */
   private stepDownIfSuperseded({ machine, fencingToken }: WorkerHeartbeat): boolean {
     if (fencingToken <= this.context.epoch) return false;
     this.context.effects.push({
@@ -64,16 +65,16 @@
     return this.context.findOrAddMachine(heartbeat.machine, heartbeat, now);
   }
 
-  /** What the worker says of its machine corrects the record of it, or adds one. */
+  /** Applies the worker's description of its machine, and corrects or adds the machine's stored record. */
   private applyDescription(machine: Machine, heartbeat: WorkerHeartbeat, now: number): void {
     this.context.applySelfDescription(machine, heartbeat);
     if (machine.isRecordOutdated) this.machinePool.recordShards.correct(machine);
-    if (machine.state === "booting") this.noteBooted(machine, now);
+    if (machine.state === "booting") this.handleBooted(machine, now);
     machine.address = heartbeat.address;
     if (!machine.isPersisted) this.machinePool.recordShards.add(machine);
   }
 
-  private noteBooted(machine: Machine, now: number): void {
+  private handleBooted(machine: Machine, now: number): void {
     this.machinePool.noteMachineUp(machine, now);
     machine.state = "up";
     machine.idleSince = now;
@@ -86,7 +87,7 @@
     });
   }
 
-  private noteContact(machine: Machine, now: number): void {
+  private recordContact(machine: Machine, now: number): void {
     const { settings, options, startedAt } = this.context;
     if (machine.lastHeartbeatAt === Number.NEGATIVE_INFINITY) machine.lastHeartbeatAt = now;
     if (now - machine.lastMessageAt > LONG_SILENCE_INTERVALS * settings.heartbeatIntervalS) {
@@ -94,15 +95,15 @@
     }
     machine.lastMessageAt = now;
     machine.consecutiveFailedRequests = 0;
-    // An incarnation begins no later than its first heartbeat; a former leader may renew the lease during its grace
-    // period.
+    // The lease runs at least from this heartbeat, because an incarnation begins no later than its first heartbeat.
+    // A former leader may also have renewed the lease during its grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
 
   /**
-   * The lease expired: the worker killed and forgot all its tasks, and refuses starts that were sent to an earlier
-   * incarnation from now on.
+   * Handles a new worker incarnation, which begins when the worker's lease expires. The worker has killed and
+   * forgotten all its tasks, and refuses starts that were sent to an earlier incarnation.
    */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     for (const placement of [...machine.placements.values()]) {
@@ -115,7 +116,10 @@
     machine.exitedTasks.clear();
   }
 
-  /** Empties a spot machine that its cloud is about to take, except of array tasks without checkpoints that may complete in time. */
+  /**
+   * Stops the tasks on a spot machine that the cloud is about to reclaim. Array tasks without checkpoints that may
+   * complete before then keep running.
+   */
   private handleInterruptionNotice(machine: Machine, noticeS: number | null, now: number): void {
     if (noticeS === null || machine.interruptionAt !== null) return;
     machine.interruptionAt = now + noticeS;
@@ -135,8 +139,11 @@
     this.context.cycleRequested = true;
   }
 
-  /** A worker that acknowledged the present token drops the starts that carried an earlier one. */
-  private noteFencingToken(machine: Machine, fencingToken: number): void {
+  /**
+   * Records whether the worker has acknowledged the current fencing token. From then on, the worker drops starts that
+   * carry an earlier token, so these no longer count as unanswered.
+   */
+  private recordFencingToken(machine: Machine, fencingToken: number): void {
     const { epoch } = this.context;
     const isAcknowledged = fencingToken === epoch;
     if (isAcknowledged && !machine.hasAcknowledgedToken) {
@@ -150,7 +157,7 @@
   }
 }
 
-/** Whether a heartbeat was sent after the last one that was taken in: by incarnation, then by sequence number. */
+/** Whether a heartbeat is newer than the last processed one, by incarnation and then by sequence number. */
 export const isNewer = (heartbeat: WorkerHeartbeat, machine: Machine): boolean =>
   heartbeat.incarnation > machine.incarnation ||
   (heartbeat.incarnation === machine.incarnation && heartbeat.sequence > machine.sequence);
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Compares the tasks in a worker's heartbeat with those placed on it, and updates the placements to match. */
+/** Compares the tasks in a worker's heartbeat with the placements on its machine, and updates the placements. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { LeaderContext } from "../leader-context.js";
@@ -9,10 +9,10 @@
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { Placement, taskKey } from "./placement.js";
 
-/** Run times of a job that are kept to tell slow machines; further ones would change little. */
+/** Maximum number of run times kept per job to detect slow machines; more would hardly change the result. */
 const MAXIMUM_RUN_TIMES = 256;
 
-/** Brings the leader's placements in line with the tasks that a worker has. */
+/** Reconciles the leader's placements with the tasks that a worker reports. */
 export class TaskReconciler {
   constructor(
     private readonly context: LeaderContext,
@@ -20,7 +20,7 @@
     private readonly faultAttribution: FaultAttribution,
   ) {}
 
-  /** Takes in all tasks of a worker that acknowledged the present fencing token. */
+  /** Reconciles all tasks of a worker that has acknowledged the current fencing token. */
   reconcileTasks(machine: Machine, tasks: readonly TaskStatus[], now: number): void {
     const reportedKeys = new Set<string>();
     for (const status of tasks) {
@@ -32,7 +32,7 @@
       }
       const placement = machine.placements.get(key);
       if (placement !== undefined) this.handleTaskProgress(placement, status, now);
-      else this.stopUnrecorded(machine, status, now);
+      else this.stopUnrecordedTask(machine, status, now);
     }
     this.handleMissingTasks(machine, reportedKeys, now);
     for (const key of [...machine.exitedTasks.keys()]) {
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Placements that the worker does not have: their start is still to come, or they are lost. */
+  /** Handles placements that the worker does not report: they have yet to be started, or they are lost. */
   private handleMissingTasks(
     machine: Machine,
     reportedKeys: ReadonlySet<string>,
@@ -53,33 +53,33 @@
         case "planned":
           break;
         case "loaded":
-          // The worker drops starts of former leaders by now, so it never arrived.
+          // The worker has not received the former leader's start, and would now drop it if it still arrived.
           placement.state = "planned";
           break;
         case "sent":
           if (!machine.unansweredStarts.has(placement.key)) placement.state = "planned";
           break;
         default:
-          this.dispatcher.handleTaskLost(placement, "no longer on its machine", now);
+          this.dispatcher.handleTaskLost(placement, "not reported by its worker", now);
       }
     }
   }
 
   private handleTaskProgress(placement: Placement, status: TaskStatus, now: number): void {
     if (status.state === "exited" || placement.state === status.state) return;
-    if (status.state !== "pulling image") this.noteImagePulled(placement, now);
+    if (status.state !== "pulling image") this.recordPulledImage(placement, now);
     if (status.state === "running" && placement.state !== "checkpointing") {
-      this.noteRunning(placement, now);
+      this.handleTaskRunning(placement, now);
     }
     placement.state = status.state;
   }
 
-  private noteRunning(placement: Placement, now: number): void {
+  private handleTaskRunning(placement: Placement, now: number): void {
     const { job, machine } = placement;
     placement.runningSince = now;
     placement.hasKnownStart = placement.state !== "loaded";
-    this.noteFirstStart(job);
-    this.context.logTask("running", () => ({
+    this.reportFirstStart(job);
+    this.context.logTask("task running", () => ({
       task: `${job.spec.id}/${placement.task}`,
       machine: machine.name,
       class: job.spec.class,
@@ -88,7 +88,7 @@
     }));
   }
 
-  private noteFirstStart(job: ActiveJob): void {
+  private reportFirstStart(job: ActiveJob): void {
     if (job.firstTaskStarted) return;
     job.firstTaskStarted = true;
     this.context.effects.push({
@@ -98,7 +98,7 @@
     });
   }
 
-  private noteImagePulled({ job, machine }: Placement, now: number): void {
+  private recordPulledImage({ job, machine }: Placement, now: number): void {
     const { image, imageGb } = job.spec;
     const known = machine.images.get(image);
     if (known !== undefined) {
@@ -110,7 +110,10 @@
     this.evictImages(machine);
   }
 
-  /** A worker keeps the most recently used images: what exceeds its cache counts as evicted, unless it is in use. */
+  /**
+   * Predicts the worker's image cache, which keeps the most recently used images. Images beyond the cache size are
+   * assumed to be evicted unless they are in use.
+   */
   private evictImages(machine: Machine): void {
     const inUse = new Set([...machine.placements.values()].map(({ job }) => job.spec.image));
     let sumGb = 0;
@@ -127,7 +130,7 @@
     const placement = machine.placements.get(key);
     const job = this.context.cluster.jobs.get(status.job);
     if (placement !== undefined) {
-      if (isDone) this.noteCompletedRun(placement, now);
+      if (isDone) this.recordCompletedRun(placement, now);
       this.dispatcher.release(placement, now);
       this.faultAttribution.handleExit(placement, status, now);
     }
@@ -140,7 +143,7 @@
     });
   }
 
-  private noteCompletedRun(placement: Placement, now: number): void {
+  private recordCompletedRun(placement: Placement, now: number): void {
     const { job, machine } = placement;
     machine.images.set(job.spec.image, {
       lastUsedAt: now,
@@ -155,32 +158,32 @@
   private markTaskDone(job: ActiveJob, task: number): void {
     const { id, kind, tasks } = job.spec;
     if (kind === "service" || task >= tasks) return;
-    // The tasks of a gang complete together: if one is done, all are.
+    // The tasks of a gang complete together: once one is done, all are.
     for (const doneTask of kind === "gang" ? range(tasks) : [task]) {
       if (!job.doneTasks.add(doneTask)) continue;
       job.markChanged(doneTask);
       const otherAttempt = job.placements.get(doneTask);
       if (otherAttempt !== undefined && kind !== "gang") {
-        this.dispatcher.stop(otherAttempt, "already done", 0);
+        this.dispatcher.stop(otherAttempt, "task is already done", 0);
       }
     }
     if (job.isComplete) this.context.log("all tasks done", { job: id, tasks });
     this.context.cycleRequested = true;
   }
 
-  /** A task that no placement accounts for: its resources count while it is there, and it is stopped. */
-  private stopUnrecorded(machine: Machine, status: TaskStatus, now: number): void {
+  /** Stops a task that has no recorded placement. Its resources count as used until it has terminated. */
+  private stopUnrecordedTask(machine: Machine, status: TaskStatus, now: number): void {
     const { job: id, task, attempt } = status;
     this.context.log("orphaned task", { task: `${id}/${task}`, attempt, machine: machine.name });
     const job = this.context.cluster.jobs.get(id);
     if (job === undefined) {
-      // The job is terminal, so it is stopped outright: there is nothing to count it against.
+      // The job is terminal, so no job is left to account the task's resources to. The task is stopped without grace.
       this.dispatcher.orphanedTasks.push({ machine: machine.name, job: id, task, attempt });
       return;
     }
     const placement = new Placement(job, task, attempt, machine, machine.incarnation, 0, now);
     placement.state = status.state === "exited" ? "running" : status.state;
     this.context.cluster.addPlacement(placement, true);
-    this.dispatcher.stop(placement, "no placement recorded", 0);
+    this.dispatcher.stop(placement, "no recorded placement", 0);
   }
 }
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -52,7 +52,7 @@
     return seen;
   };
   const withoutTaskLines = messagesOf(false);
-  for (const message of ["place", "running", "task ended"]) {
+  for (const message of ["place", "task running", "task ended"]) {
     assert.equal(withoutTaskLines.has(message), false, message);
     assert.ok(messagesOf(true).has(message), message);
   }
