--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -1,4 +1,4 @@
-/** A job that is not terminal, as the leader knows it. */
+/** The leader's in-memory state of a job that is not terminal. */
 import type { Expression } from "../../algebra/expression.js";
 import type { Placement } from "../dispatch/placement.js";
 import { ZoneOccupancy } from "../dispatch/placement-constraints.js";
@@ -7,50 +7,50 @@
 import { eventName, formatResiduals, isEventAcceptable, parseResiduals } from "./pipeline.js";
 import { type LoadedJob, ShardedJob } from "./sharded-job.js";
 
-/** Adds to the stored side of a job its dependencies, its urgency, and what the last scheduling cycles found. */
+/** Extends the stored state of a job with its dependencies, its urgency and results of recent scheduling cycles. */
 export class ActiveJob extends ShardedJob {
-  /** Time of day of the submission, in milliseconds. */
+  /** Time of day (ms) of the submission. */
   readonly submittedAtMs: number;
-  /** Residuals as stored; parsed only when an event residuates them, so that a takeover is quick. */
+  /** Residuals in stored form. They are parsed on first use only, which keeps takeovers fast. */
   residualsText: readonly string[];
-  /** Rank of its own priority, or the highest of its dependents, direct or not. */
+  /** Rank of the most urgent priority among the job and its direct and transitive dependents. */
   effectiveRank: number;
-  /** Time of day (ms) by which it should end, for its own deadline and for its dependents; null: no deadline. */
+  /** Time of day (ms) by which the job should end to meet its own and its dependents' deadlines; null: none. */
   effectiveDeadlineMs: number | null;
-  /** Epoch of the leader that accepted its start; 0: none has. */
+  /** Epoch of the leader that accepted the job's start; 0: the start has not been accepted. */
   ownerEpoch: number;
   isStartAccepted: boolean;
-  /** Attempts that workers report and that are not in the stored state: they count, and are stopped. */
+  /** Attempts that workers report but that are not in the stored state. They use resources, and are being stopped. */
   readonly unrecorded = new Set<Placement>();
-  /** Zones of all its placements, the unrecorded ones too. */
+  /** Zones of all placements of the job, including unrecorded ones. */
   readonly zones: ZoneOccupancy;
-  /** A task of it ran, as far as this leader knows. */
+  /** Whether any task of the job has run, as far as this leader knows. */
   firstTaskStarted = false;
-  /** Nothing of it is placed before, after failures. */
+  /** Time until which no task of the job is placed, after failures. */
   backoffUntil = Number.NEGATIVE_INFINITY;
   readonly failures = new FailureHistory();
-  /** Run times of tasks that completed, in seconds. */
+  /** Run times of completed tasks, in seconds. */
   readonly runTimes: number[] = [];
-  /** How strongly it holds its place, the strongest first, as of the last cycle. */
+  /** Preemption precedence as of the last cycle; a lower value is stronger. See `precedenceOf`. */
   precedence = 0;
-  /** No search for tasks to preempt before then: the last one found none. */
+  /** Time of the next search for tasks to preempt, after a search that found none. */
   nextPreemptionAt = Number.NEGATIVE_INFINITY;
-  /** If it is a gang: its team's guarantee can still be kept. */
+  /** For a gang: whether a start now would still meet the objectives on team guarantees. */
   guaranteeStillReachable = true;
-  /** It goes first because it has waited for too long. */
+  /** Whether the job goes first because it has waited for too long. */
   isStarving = false;
-  /** Its place in the queue as of the last cycle. */
+  /** Position in the queue as of the last cycle. */
   queuePosition = Number.MAX_SAFE_INTEGER;
-  /** Zone in which capacity is reserved for a gang until all its tasks fit; "" if any zone will do; null: none is. */
+  /** Zone in which capacity is reserved for a gang until all its tasks fit; "": any zone; null: no reservation. */
   reservedZone: string | null = null;
-  /** Since when tasks of it wait for capacity; null: none does. */
+  /** Time since which tasks of the job have waited for capacity; null: none waits. */
   waitingSince: number | null = null;
   private parsedResiduals: Expression[] | null = null;
-  /** Result of `isBlockedOnDependencies` since the residuals last changed; null: not computed. */
+  /** Cached `isBlockedOnDependencies`, cleared when the residuals change; null: not computed. */
   private blockedCache: boolean | null = null;
-  /** Time of day (ms) at which its dependencies were done. */
+  /** Time of day (ms) at which all dependencies of the job were done; null: not known to be done. */
   private readyAtMs: number | null = null;
-  /** Result of `pendingCount` since the placements last changed; null: not computed. */
+  /** Cached `pendingCount`, cleared when the placements change; null: not computed. */
   private pendingCountCache: number | null = null;
 
   constructor(loaded: LoadedJob) {
@@ -65,7 +65,7 @@
     this.isStartAccepted = value.ownerEpoch > 0;
   }
 
-  /** Residuals of its dependencies. */
+  /** Residuals of the job's dependencies. */
   get dependencies(): readonly Expression[] {
     this.parsedResiduals ??= parseResiduals(this.residualsText);
     return this.parsedResiduals;
@@ -77,41 +77,41 @@
     this.residualsText = formatResiduals(residuals);
   }
 
-  /** Its start would make a dependency zero, or insecure, as things stand. */
+  /** Whether the job's start would currently reduce a dependency to zero or make it insecure. */
   get isBlockedOnDependencies(): boolean {
     if (this.spec.after === undefined || this.isStartAccepted) return false;
     this.blockedCache ??= !isEventAcceptable(this.dependencies, eventName("start", this.spec.id));
     return this.blockedCache;
   }
 
-  /** Its dependencies are known to be done, or it has none. */
+  /** Whether the job has no dependencies, or all of them are known to be done. */
   get isReady(): boolean {
     return this.spec.after === undefined || this.readyAtMs !== null;
   }
 
-  /** The last of its dependencies is done, as of this time of day. */
+  /** Records the time of day at which the last dependency was done. */
   markReady(wallMs: number): void {
     this.readyAtMs ??= wallMs;
   }
 
-  /** Time of day (ms) from which its service-level objectives count, other than its deadline. */
+  /** Time of day (ms) from which the job's service-level objectives, other than its deadline, are measured. */
   get objectivesCountFromMs(): number {
     if (this.spec.after === undefined) return this.submittedAtMs;
     return this.readyAtMs ?? this.submittedAtMs;
   }
 
-  /** Time of day (ms) of its own deadline; null: it has none. */
+  /** Time of day (ms) of the job's own deadline; null: no deadline. */
   get ownDeadlineMs(): number | null {
     const { deadlineS } = this.spec;
     return deadlineS === null ? null : this.submittedAtMs + 1000 * deadlineS;
   }
 
-  /** It fails wherever it is placed, as far as is known. */
+  /** Whether the job is suspected of failing on any machine. */
   get isSuspect(): boolean {
     return this.failures.suspicion !== null;
   }
 
-  /** It is suspect, and an attempt is under way that shows whether it still fails. */
+  /** Whether the job is suspect and has an attempt, placed since then, that will show whether it still fails. */
   get isOnProbation(): boolean {
     const { suspicion } = this.failures;
     if (suspicion === null) return false;
@@ -125,7 +125,7 @@
     return this.spec.kind !== "service" && this.doneTasks.size >= this.spec.tasks;
   }
 
-  /** All attempts that count, the unrecorded ones too. */
+  /** Number of attempts that use resources, including unrecorded ones. */
   get placementCount(): number {
     return this.placements.size + this.unrecorded.size;
   }
@@ -135,7 +135,7 @@
     yield* this.unrecorded;
   }
 
-  /** Another attempt of this task may be on a machine. */
+  /** Whether another attempt of this placement's task may be on a machine. */
   hasOtherAttempt(placement: Placement): boolean {
     for (const other of this.unrecorded) {
       if (other !== placement && other.task === placement.task) return true;
@@ -143,7 +143,7 @@
     return this.placements.get(placement.task) !== placement;
   }
 
-  /** Tasks to be placed, in order. One that an unrecorded attempt may run waits for the end of that. */
+  /** Tasks to be placed, in ascending order. A task with an unrecorded attempt is left out until the attempt ends. */
   *pendingTasks(): Generator<number> {
     const unrecorded = this.unrecordedTasks();
     for (const task of this.doneTasks.missing(this.spec.tasks)) {
@@ -157,7 +157,7 @@
     return this.pendingCountCache;
   }
 
-  /** Its placements changed, whether or not that must be stored. */
+  /** Called on every change of the placements, including those that need not be stored. */
   invalidatePendingCount(): void {
     this.pendingCountCache = null;
   }
--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -1,29 +1,29 @@
-/** Where the tasks of a job failed, and what is concluded from it. */
+/** Records the machines on which tasks of a job failed, and the conclusions drawn from it. */
 
-/** A job is suspected of failing on any machine. */
+/** The suspicion that a job fails on any machine. */
 export interface Suspicion {
-  /** When the suspicion arose, in seconds. */
+  /** Time at which the suspicion arose, in seconds. */
   readonly since: number;
-  /** Attempts that have failed since. */
+  /** Number of attempts placed since then that have failed. */
   failedRetries: number;
 }
 
-/** Failures of one job, on which fault attribution decides. Not stored: a successor counts anew. */
+/** Failures of one job, the input of fault attribution. They are not stored: a new leader starts with none. */
 export class FailureHistory {
-  /** Machines on which a task of it ever failed; a few are enough to know. */
+  /** Machines on which a task of the job ever failed. Only as many are kept as fault attribution needs. */
   readonly failedMachines = new Set<string>();
-  /** The longest that a task of it ran before it failed, in seconds. */
+  /** Longest run time of a task of the job before it failed, in seconds. */
   longestRunBeforeFailureS = 0;
-  /** Null: nothing speaks against the job. */
+  /** Null: the job is not suspect. */
   suspicion: Suspicion | null = null;
-  /** Machines that the job avoids, and until when, in seconds. */
+  /** Machines that the job avoids, with the time in seconds until which it does. */
   private readonly avoidedMachines = new Map<string, number>();
 
   avoid(machine: string, until: number): void {
     this.avoidedMachines.set(machine, until);
   }
 
-  /** A task of it failed there a while ago. */
+  /** Whether the job avoids the machine because one of its tasks recently failed there. */
   avoids(machine: string, now: number): boolean {
     const until = this.avoidedMachines.get(machine);
     if (until === undefined) return false;
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -1,4 +1,4 @@
-/** Whether a job can ever run, by the machine types that the cloud offers and its team's quota. */
+/** Checks whether a job can ever run, given the cloud's machine types and the team's quota. */
 
 import { areZonesSufficient, isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
@@ -8,8 +8,8 @@
 import type { ClusterSettings } from "../model/settings.js";
 
 /**
- * True if some machine type in some zone can run a task of the job (for a gang: if all its tasks can run at the same
- * time), and the job, or a single task of an array, fits its team's quota.
+ * Whether some machine type in some zone can run a task of the job, and the job fits its team's quota. For an array,
+ * only a single task must fit the quota. For a gang, the zones must also allow all tasks to run at the same time.
  */
 export function canEverRun(
   spec: JobSpec,
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,4 +1,4 @@
-/** How many gangs of each class and size started lately, within the users' bound on starting. */
+/** Counts the gangs of each class and size that started within the users' bound on the start latency. */
 import { START_BOUND_S } from "../model/constants.js";
 import type { JobSpec } from "../model/jobs.js";
 
@@ -6,25 +6,25 @@
   readonly spec: JobSpec;
 }
 
-/** Names the class and size that a gang belongs to. */
+/** Returns the key of a gang's class and size. */
 export const gangSizeKey = (spec: JobSpec): string => `${spec.class} ${spec.tasks}`;
 
-/** Times at which gangs started, by class and size. Not stored: a new leader counts anew. */
+/** Start times of gangs, by class and size. They are not stored: a new leader starts with none. */
 export class GangStarts {
   private readonly startTimes = new Map<string, number[]>();
-  private readonly counted = new WeakSet<StartedJob>();
+  private readonly countedJobs = new WeakSet<StartedJob>();
 
-  /** A job was placed. A gang counts once, however often it starts again; other jobs do not count. */
+  /** Records that a job was placed. A gang is counted once, even if it restarts; other jobs are not counted. */
   noteStart(job: StartedJob, now: number): void {
-    if (job.spec.kind !== "gang" || this.counted.has(job)) return;
-    this.counted.add(job);
+    if (job.spec.kind !== "gang" || this.countedJobs.has(job)) return;
+    this.countedJobs.add(job);
     const key = gangSizeKey(job.spec);
     const times = this.startTimes.get(key);
     if (times === undefined) this.startTimes.set(key, [now]);
     else times.push(now);
   }
 
-  /** How many of a class and size started within the last `START_BOUND_S` seconds. */
+  /** Number of gangs with this key that started within the last `START_BOUND_S` seconds. */
   recentStarts(key: string, now: number): number {
     const times = this.startTimes.get(key);
     if (times === undefined) return 0;
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * The life of a job in the leader's view: loaded from the stored state, cancelled, unblocked by the outcomes of its
- * dependencies, and removed once its final record is stored.
+ * The lifecycle of a job in the leader's in-memory state: the job is loaded from the stored state, unblocked by the
+ * outcomes of its dependencies, possibly cancelled, and removed once its final record is stored.
  */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
@@ -20,10 +20,10 @@
 import type { CancellationCause } from "./sharded-job.js";
 import { TaskRanges } from "./task-ranges.js";
 
-/** Share of the largest value that an unsharded job may come to; beyond that it is resharded. */
+/** Maximum size of an unsharded job, as a share of the largest stored value. Larger jobs are resharded. */
 const FILL_RATIO = 0.95;
 
-/** Stored placements cannot be loaded before the catalog of machine types is known. */
+/** Thrown when stored placements are loaded before the catalog of machine types is known. */
 export class UnknownMachineTypesError extends Error {
   constructor() {
     super("machine types unknown");
@@ -40,8 +40,9 @@
   ) {}
 
   /**
-   * Some keys of a job changed, or were read again after a transaction with an unknown outcome.
-   * Throws `UnknownMachineTypesError`.
+   * Handles a job whose keys changed, or were read again after a transaction with an unknown outcome.
+   *
+   * @throws UnknownMachineTypesError if the job has placements and the machine types are not known yet.
    */
   handleJobChange(replica: StateReplica, id: string, now: number): void {
     const stored = replica.activeJobs.get(id);
@@ -59,20 +60,21 @@
   }
 
   /**
-   * Priority and urgency of a job flow up to all its dependencies, direct or not: each has the highest priority, and
-   * leaves to its dependents, along the longest path, the time that they will take. `ids`: where to begin.
+   * Propagates priorities and deadlines from dependents to the given jobs and to their direct and transitive
+   * dependencies. A job takes on the most urgent priority of its dependents, and a deadline that leaves enough time
+   * for the longest path of dependents after it. `ids`: the jobs to begin with.
    */
   inheritUrgency(replica: StateReplica, ids: readonly string[]): void {
-    const changed = [...ids];
-    for (let id = changed.pop(); id !== undefined; id = changed.pop()) {
+    const pendingIds = [...ids];
+    for (let id = pendingIds.pop(); id !== undefined; id = pendingIds.pop()) {
       const job = this.context.cluster.jobs.get(id);
       if (job === undefined || !this.updateUrgency(replica, job)) continue;
       this.context.cycleRequested = true;
-      changed.push(...(job.spec.after ?? []));
+      pendingIds.push(...(job.spec.after ?? []));
     }
   }
 
-  /** Its final record is stored: nothing of it is left. */
+  /** Removes a job whose final record is stored, and releases all its placements. */
   remove(job: ActiveJob, now: number): void {
     for (const placement of [...job.allPlacements()]) {
       this.context.cluster.releasePlacement(placement, now);
@@ -93,9 +95,9 @@
         : null,
     });
     this.context.cluster.jobs.set(spec.id, job);
-    this.adoptPlacements(job, stored.value.placements, 0, now);
+    this.loadPlacements(job, stored.value.placements, 0, now);
     for (const [index, shard] of shards) {
-      this.adoptPlacements(job, shard.value.placements, index * (job.shardSize ?? 0), now);
+      this.loadPlacements(job, shard.value.placements, index * (job.shardSize ?? 0), now);
     }
     this.reshardIfTooLarge(job, plannedBytes);
     this.loadDependencies(replica, job, now);
@@ -103,7 +105,7 @@
     return job;
   }
 
-  /** It stands in one value, stored when values might be larger. */
+  /** Reshards a job that was stored as a single value when larger values were accepted, and may now be too large. */
   private reshardIfTooLarge(job: ActiveJob, plannedBytes: number): void {
     if (job.shardSize !== null || !job.isStartAccepted) return;
     if (maxValueBytes(job) <= FILL_RATIO * plannedBytes) return;
@@ -118,8 +120,8 @@
     if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
   }
 
-  /** `firstTask`: the task that number 0 stands for in what is stored. */
-  private adoptPlacements(
+  /** Loads stored placements. `firstTask`: the task number that 0 stands for in the stored ranges. */
+  private loadPlacements(
     job: ActiveJob,
     stored: readonly StoredPlacements[],
     firstTask: number,
@@ -129,10 +131,11 @@
       const machine =
         this.context.cluster.machines.get(name) ?? this.addUnrecordedMachine(name, now);
       for (const task of TaskRanges.parse(tasks)) {
-        const number = firstTask + task;
-        const placement = new Placement(job, number, attempt, machine, incarnation, 0, now);
+        const taskNumber = firstTask + task;
+        const placement = new Placement(job, taskNumber, attempt, machine, incarnation, 0, now);
         placement.state = "loaded";
-        // Whether any ran under the former leader is not stored: its first start is not told twice.
+        // It is not stored whether a task ran under the former leader. The first start is assumed to be reported
+        // already, so that it is not reported twice.
         job.firstTaskStarted = true;
         this.context.cluster.addPlacement(placement);
         if (incarnation > machine.incarnation) machine.incarnation = incarnation;
@@ -140,7 +143,7 @@
     }
   }
 
-  /** No record of the machine is stored: it counts until the cloud confirms that it is terminated. */
+  /** Adds a machine without a stored record. It is kept until the cloud confirms that it is terminated. */
   private addUnrecordedMachine(name: string, now: number): Machine {
     const [type] = this.context.machineTypes.values();
     if (type === undefined) throw new UnknownMachineTypesError();
@@ -148,11 +151,11 @@
     machine.state = "up";
     this.context.awaitFirstContact(machine);
     this.context.cluster.machines.set(name, machine);
-    this.machinePool.requestRelease(machine, "no record of it");
+    this.machinePool.requestRelease(machine, "no stored record");
     return machine;
   }
 
-  /** Residuates a job's dependencies by the outcome of one of them, if that is stored. */
+  /** Residuates a job's dependencies by the outcome of one of these jobs, if that outcome is stored. */
   private applyOutcome(replica: StateReplica, job: ActiveJob, dependency: string): void {
     const outcome = replica.outcomeOf(dependency);
     if (outcome === null) return;
@@ -160,19 +163,20 @@
   }
 
   /**
-   * The outcome of a job is stored. It is an event for its dependents: their starts become acceptable, or are
-   * rejected for good, and then their own failed events are applied to their dependents.
+   * Applies the stored outcome of a job, which is an event, to its dependents. The start of a dependent becomes
+   * acceptable or is rejected permanently. In the latter case, the dependent is cancelled, and its own failed event
+   * is applied to its dependents in turn.
    */
   private applyOutcomeToDependents(replica: StateReplica, id: string, now: number): void {
-    const ended = [id];
-    for (let dependency = ended.pop(); dependency !== undefined; dependency = ended.pop()) {
+    const endedJobs = [id];
+    for (let dependency = endedJobs.pop(); dependency !== undefined; dependency = endedJobs.pop()) {
       for (const dependent of replica.dependentsOf(dependency)) {
         const job = this.context.cluster.jobs.get(dependent);
         if (job === undefined || job.isCancelled || job.isStartAccepted) continue;
         this.applyOutcome(replica, job, dependency);
         if (isStartExcluded(job)) {
           this.cancel(replica, job, "by dependency", now);
-          ended.push(dependent);
+          endedJobs.push(dependent);
         } else if (!job.isBlockedOnDependencies) {
           this.machinePool.noteJobShape(job.spec);
           this.context.cycleRequested = true;
@@ -181,7 +185,7 @@
     }
   }
 
-  /** True if the job's effective priority or deadline changed. */
+  /** Recomputes the job's effective priority and deadline. Returns whether either changed. */
   private updateUrgency(replica: StateReplica, job: ActiveJob): boolean {
     const { heartbeatIntervalS } = this.context.settings;
     let rank = priorityRank(job.spec.priority);
@@ -201,7 +205,7 @@
     return true;
   }
 
-  /** A cancelled job makes nothing urgent any more. */
+  /** Cancels a job. Its dependencies no longer inherit its priority and deadline. */
   private cancel(
     replica: StateReplica,
     job: ActiveJob,
@@ -219,14 +223,14 @@
     for (const placement of [...job.allPlacements()]) {
       this.dispatcher.stop(placement, "cancelled", 0);
     }
-    this.context.log("cancel", { job: job.spec.id, tasks: job.placementCount });
+    this.context.log("cancelling job", { job: job.spec.id, tasks: job.placementCount });
     this.context.cycleRequested = true;
     const machines = new Set([...job.allPlacements()].map((placement) => placement.machine));
     for (const machine of machines) this.dispatcher.sendDue(machine, now);
   }
 }
 
-/** Takes over mod revisions that are newer than those known. */
+/** Records the versions and mod revisions of stored values that are newer than the known ones. */
 function refreshJob(job: ActiveJob, stored: Versioned<JobRecord>, replica: StateReplica): void {
   if (stored.modRevision > job.mainShard.modRevision) {
     job.markPersisted(job.mainShard, stored.value.version, stored.modRevision);
--- a/src/core/jobs/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -1,9 +1,9 @@
 /**
- * Pipelines: jobs bound by dependencies over their start, done and failed events.
+ * Pipelines: jobs linked by dependencies between their start, done and failed events.
  *
- * A submission holds one job, and names those that must be done before it. What is stored of a job are the residuals
- * of its own dependencies and of those on the jobs that it names; the outcome of one of these is an event that
- * residuates them.
+ * A submission contains one job and names the jobs that must be done before it. The stored record of a job contains
+ * the residuals of its own dependencies and of those on the jobs that it names. The outcome of a named job is an
+ * event that residuates them.
  */
 import {
   type Atom,
@@ -17,34 +17,34 @@
   residuate,
 } from "../../algebra/expression.js";
 
-/** A cancelled job has failed. */
+/** An event of a job. The cancellation of a job is its failed event. */
 export type JobEvent = "start" | "done" | "failed";
 
-/** How a job ended, as an event for its dependents. */
+/** The outcome of a job, as an event for its dependents. */
 export type JobOutcome = Exclude<JobEvent, "start">;
 
 const EVENT_PREFIXES: Readonly<Record<JobEvent, string>> = { start: "s", done: "d", failed: "f" };
 
-/** The event's name in expressions: `start` of job `a` is `s:a`, with the signs of the algebra escaped. */
+/** The event's name in expressions: `start` of job `a` is `s:a`. Operators of the algebra are escaped in job ids. */
 export const eventName = (event: JobEvent, job: string): string =>
-  `${EVENT_PREFIXES[event]}:${job.replace(/[.+~]/g, escapeSign)}`;
+  `${EVENT_PREFIXES[event]}:${job.replace(/[.+~]/g, escapeOperator)}`;
 
-const escapeSign = (sign: string): string => `%${sign.charCodeAt(0).toString(16)}`;
+const escapeOperator = (operator: string): string => `%${operator.charCodeAt(0).toString(16)}`;
 
-/** Start is triggered by the controllers. */
+/** The controllers trigger the start event. */
 const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
-/** Like commit in the paper: it counts only once the transaction is committed, so it can be delayed and rejected. */
+/** Like commit in the paper: it occurs only once the transaction is committed, so it can be delayed and rejected. */
 const DONE: EventAttributes = { triggerable: false, rejectable: true, delayable: true };
-/** Like abort in the paper: the controllers are told after the fact. */
+/** Like abort in the paper: the controllers learn of the failed event only after it has occurred. */
 const FAILED: EventAttributes = { triggerable: false, rejectable: false, delayable: false };
 
-/** Attributes of an event, by its name. */
+/** Returns the attributes of an event, given its name. */
 export function attributesOf(event: string): EventAttributes {
   if (event.startsWith("s:")) return START;
   return event.startsWith("d:") ? DONE : FAILED;
 }
 
-/** What every job obeys: start before done, never both done and failed, no start once failed. */
+/** Dependencies that hold for every job: start before done, never both done and failed, no start after failed. */
 export function ownDependencies(job: string): Expression[] {
   const start = eventName("start", job);
   const done = eventName("done", job);
@@ -56,7 +56,7 @@
   ];
 }
 
-/** Its start comes after the other's done; and never, if the other fails. */
+/** Dependencies of `job` on `other`: `job` starts only after `other` is done, and never if `other` fails. */
 export function afterDependencies(job: string, other: string): Expression[] {
   const start = eventName("start", job);
   const otherDone = eventName("done", other);
@@ -67,13 +67,13 @@
   ];
 }
 
-/** All that is stored of a job when it is submitted; `after`: the jobs that must be done before it. */
+/** All dependencies stored with a new job. `after`: the jobs that must be done before it. */
 export const dependenciesOf = (job: string, after: readonly string[]): Expression[] => [
   ...ownDependencies(job),
   ...after.flatMap((other) => afterDependencies(job, other)),
 ];
 
-/** The other ended: its outcome occurred, and the opposite one never will. */
+/** Residuates by the outcome of `other`, and by the complement of the opposite outcome, which can no longer occur. */
 export function residuateByOutcome(
   dependencies: readonly Expression[],
   other: string,
@@ -84,28 +84,28 @@
   return residuateByEvent(residuated, `~${eventName(opposite, other)}`);
 }
 
-/** Some residual can only be met if the event never occurs: a start so excluded is rejected for good. */
+/** Whether some residual can be met only if the event never occurs. An excluded start is rejected permanently. */
 export const isEventExcluded = (dependencies: readonly Expression[], event: string): boolean =>
   dependencies.some(
     (dependency) => dependency.length > 0 && dependency.every((term) => term.includes(`~${event}`)),
   );
 
-/** Residuals from their stored form. */
+/** Parses residuals from their stored form. */
 export const parseResiduals = (dependencies: readonly string[]): Expression[] =>
   dependencies.map(parseExpression);
 
-/** Residuals in their stored form. */
+/** Formats residuals in their stored form. */
 export const formatResiduals = (dependencies: readonly Expression[]): string[] =>
   dependencies.map(formatExpression);
 
-/** An event that occurred, or never will (its complement), residuates each dependency that names it. */
+/** Residuates each dependency that names the atom's event. A complement states that the event will never occur. */
 export function residuateByEvent(dependencies: readonly Expression[], atom: Atom): Expression[] {
   return dependencies.map((dependency) =>
     mentions(dependency, atom) ? residuate(dependency, atom) : dependency,
   );
 }
 
-/** A waiting event is accepted when no residual becomes zero and each stays secure. */
+/** Whether an attempted event can be accepted: no residual becomes zero, and each stays secure. */
 export function isEventAcceptable(dependencies: readonly Expression[], event: string): boolean {
   return dependencies.every((dependency) => {
     if (!mentions(dependency, event)) return true;
@@ -114,7 +114,7 @@
   });
 }
 
-/** Starts that some residual can only be met by: they are triggered and queued as attempted. */
+/** Starts without which some residual cannot be met. They are triggered, that is, queued as attempted events. */
 export function requiredStarts(dependencies: readonly Expression[]): string[] {
   const starts = new Set<string>();
   for (const dependency of dependencies) {
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -1,6 +1,6 @@
 /**
- * The stored side of an active job: which tasks are done and placed, the shards in which it is stored, and what of
- * this is persisted.
+ * The stored state of an active job: its done and placed tasks, the shards in which these are stored, and which
+ * changes are persisted.
  */
 import type { Placement } from "../dispatch/placement.js";
 import type { JobSpec } from "../model/jobs.js";
@@ -8,43 +8,43 @@
 import type { JobRecord, JobShardRecord, Versioned } from "../state/stored-values.js";
 import { TaskRanges } from "./task-ranges.js";
 
-/** Index of the main shard: the job's own value. */
+/** Index of the main shard, which is the job record itself. */
 const MAIN_SHARD_INDEX = -1;
 
-/** Why a job is cancelled. Only the first leaves a key of its own in the store. */
+/** Cause of a cancellation. Only `by user` has a key of its own in the store. */
 export type CancellationCause = "by user" | "by dependency";
 
-/** A stored job, as it is read. */
+/** A job as read from the store. */
 export interface LoadedJob {
   readonly stored: Versioned<JobRecord>;
-  /** Its stored shards, by index. */
+  /** The job's stored shards, by index. */
   readonly shards: ReadonlyMap<number, Versioned<JobShardRecord>>;
-  /** Tasks in a shard, if its start was never accepted and it needs shards; null: it needs none. */
+  /** Tasks per shard, used if the job's start was never accepted; null: the job needs no shards. */
   readonly initialShardSize: number | null;
 }
 
-/** The stored side of an active job; `ActiveJob` adds what only the leader knows. */
+/** The stored state of an active job. `ActiveJob` adds the state that only the leader has. */
 export class ShardedJob {
   readonly spec: JobSpec;
-  /** Counts the changes that are to be stored. */
+  /** Number of the latest change that is to be stored. */
   version: number;
-  /** The job's own value. */
+  /** The job record. */
   readonly mainShard: JobShard;
-  /** Shards of a large job of which any task was placed, by index. */
+  /** Shards of a large job that have had a task placed, by index. */
   readonly shards = new Map<number, JobShard>();
   readonly unpersistedShards = new Set<JobShard>();
-  /** Tasks in a shard; null: all stand in the job's own value. */
+  /** Tasks per shard; null: all tasks are stored in the job record. */
   shardSize: number | null;
-  /** Shards that must be stored together with the job's own value, which held their tasks before; null: none. */
+  /** Shards that must be stored in one transaction with the job record, which held their tasks before; null: none. */
   resharded: Set<JobShard> | null = null;
-  /** Indexes of the shards that are terminal, and not stored by themselves any more. */
+  /** Indexes of terminal shards, which no longer have a stored value of their own. */
   readonly closedShards = new Set<number>();
   readonly doneTasks: TaskRanges;
-  /** By task. */
+  /** Placements by task number. */
   readonly placements = new Map<number, Placement>();
-  /** Since when a placement of it waits to be stored; null: none does. */
+  /** Time since which a placement has waited to be stored; null: none waits. */
   unpersistedSince: number | null = null;
-  /** Null: it is not cancelled. */
+  /** Cause of the job's cancellation; null: the job is not cancelled. */
   cancellation: CancellationCause | null = null;
   private reshardedAtVersion = 0;
 
@@ -72,31 +72,31 @@
     return this.unpersistedShards.size > 0;
   }
 
-  /** A placement is not stored yet: its start waits. */
+  /** Whether a placement is not stored yet, so that its task must not start. */
   get hasUnpersistedPlacement(): boolean {
     for (const shard of this.unpersistedShards) if (shard.hasUnpersistedPlacement) return true;
     return false;
   }
 
-  /** The shard in which a task is stored. */
+  /** Returns the shard in which a task is stored. */
   shardOf(task: number): JobShard {
     if (this.shardSize === null || task >= this.spec.tasks) return this.mainShard;
     return this.shardAt(Math.floor(task / this.shardSize), this.shardSize);
   }
 
-  /** Attempt number for a task that is placed now; `shared`: the number of those placed in the same cycle. */
-  attemptFor(task: number, shared: number): number {
-    if (this.shardSize === null) return shared;
+  /** Attempt number for a task to be placed. `cycleAttempt`: the job's attempt number in this scheduling cycle. */
+  attemptFor(task: number, cycleAttempt: number): number {
+    if (this.shardSize === null) return cycleAttempt;
     const shard = this.shardOf(task);
-    return this.spec.kind === "gang" ? shard.shareAttempt(shared) : shard.nextAttempt(task);
+    return this.spec.kind === "gang" ? shard.shareAttempt(cycleAttempt) : shard.nextAttempt(task);
   }
 
-  /** Everything about a task that was true at this version is stored. */
+  /** Whether the state of a task as of this version of the job is stored. */
   isPersisted(task: number, version: number): boolean {
     return this.shardOf(task).isPersisted(version);
   }
 
-  /** No task of the shard is placed, nor will be. */
+  /** Whether no task of the shard is placed or will be placed again. */
   isShardTerminal(shard: JobShard): boolean {
     if (this.shardSize === null || shard === this.mainShard) return false;
     for (let task = shard.firstTask; task < shard.endTask; task++) {
@@ -106,22 +106,22 @@
     return true;
   }
 
-  /** The shard is terminal: its key is deleted with the next write of the job's own value. */
+  /** Closes a terminal shard. Its key is deleted with the next write of the job record. */
   closeShard(shard: JobShard): void {
     if (!this.isCancelled) this.closedShards.add(shard.index);
     if (!this.mainShard.isUnpersisted) this.markChanged();
   }
 
-  /** Something to be stored changed: of a task, or (null) of the job as a whole. */
+  /** Marks a change that is to be stored, of one task or (null) of the job as a whole. */
   markChanged(task: number | null = null): void {
     const shard = task === null ? this.mainShard : this.shardOf(task);
     shard.changedVersion = ++this.version;
     this.unpersistedShards.add(shard);
   }
 
-  /** The shard is stored as of this version of the job, with this mod revision. */
+  /** Records that the shard is stored as of this version of the job, with this mod revision. */
   markPersisted(shard: JobShard, version: number, modRevision: number): void {
-    // A late copy of an earlier write says nothing of shards that were made since.
+    // A late notification of a write from before the resharding does not show that the new shards are stored.
     if (shard === this.mainShard && version >= this.reshardedAtVersion) this.resharded = null;
     shard.modRevision = Math.max(shard.modRevision, modRevision);
     shard.persistedVersion = Math.max(shard.persistedVersion, version);
@@ -129,13 +129,13 @@
     if (!this.hasUnpersistedPlacement) this.unpersistedSince = null;
   }
 
-  /** The key of a closed shard is deleted. */
+  /** Removes a closed shard whose key has been deleted. */
   removeShard(shard: JobShard): void {
     this.unpersistedShards.delete(shard);
     this.shards.delete(shard.index);
   }
 
-  /** The stored state was read again after a transaction with an unknown outcome. */
+  /** Applies the stored state, which was read again after a transaction with an unknown outcome. */
   refreshFromReplica(
     stored: Versioned<JobRecord>,
     storedShards: ReadonlyMap<number, Versioned<JobShardRecord>>,
@@ -149,8 +149,9 @@
   }
 
   /**
-   * Resharding: the job stands in one value, stored when values might be larger, and may not fit one now. The shards
-   * are stored together with its own value, so that at any moment either holds the tasks.
+   * Splits a job into shards. It was stored as a single value when larger values were accepted, and may no longer fit
+   * one. The shards are stored in one transaction with the job record, so that each task is always stored in one or
+   * the other.
    */
   reshard(shardSize: number): void {
     this.shardSize = shardSize;
@@ -163,7 +164,7 @@
     this.reshardedAtVersion = this.version;
   }
 
-  private moveTasksToShard(index: number, shardSize: number, resharded: Set<JobShard>): void {
+  private moveTasksToShard(index: number, shardSize: number, reshardedShards: Set<JobShard>): void {
     const firstTask = index * shardSize;
     const endTask = Math.min(this.spec.tasks, firstTask + shardSize);
     let done = 0;
@@ -178,7 +179,7 @@
       shard.attempt = Math.max(shard.attempt, this.mainShard.attempt);
       shard.changedVersion = ++this.version;
       this.unpersistedShards.add(shard);
-      resharded.add(shard);
+      reshardedShards.add(shard);
     }
   }
 
@@ -194,9 +195,9 @@
       const shard = this.shardAt(index, shardSize);
       shard.modRevision = modRevision;
       shard.persistedVersion = value.version;
-      // The last attempts of single tasks are not stored.
+      // The last attempt number of each task is not stored, so all tasks continue above the shard's newest number.
       shard.attempt = value.nextAttempt + 1;
-      // A gang's attempt number may be in a shard that was stored, and not yet in its own value.
+      // A gang's attempt number may already be in a stored shard but not yet in the job record.
       if (this.spec.kind === "gang") {
         this.mainShard.attempt = Math.max(this.mainShard.attempt, shard.attempt);
       }
--- a/src/core/jobs/task-ranges.ts
+++ b/src/core/jobs/task-ranges.ts
@@ -1,9 +1,9 @@
-/** A set of task numbers kept as sorted, disjoint, closed ranges, written `0-5,7`. */
+/** A set of task numbers, kept as sorted, disjoint, closed ranges and formatted like `0-5,7`. */
 export class TaskRanges {
   private readonly ranges: [first: number, last: number][] = [];
   private count = 0;
 
-  /** Reads the form that `toString` writes; the stored text is trusted to be sorted and disjoint. */
+  /** Parses the format of `toString`. The text is not checked: its ranges must be sorted and disjoint. */
   static parse(text: string): TaskRanges {
     const parsed = new TaskRanges();
     if (text === "") return parsed;
@@ -33,13 +33,13 @@
   }
 
   has(task: number): boolean {
-    const range = this.ranges[this.indexOfRangeEndingFrom(task)];
+    const range = this.ranges[this.firstRangeEndingAtOrAfter(task)];
     return range !== undefined && range[0] <= task;
   }
 
-  /** False if the task was in the set already. */
+  /** Adds a task. Returns false if it was already in the set. */
   add(task: number): boolean {
-    const index = this.indexOfRangeEndingFrom(task);
+    const index = this.firstRangeEndingAtOrAfter(task);
     const next = this.ranges[index];
     if (next !== undefined && next[0] <= task) return false;
     this.count++;
@@ -83,7 +83,7 @@
   }
 
   /** Index of the first range that ends at or after the task; `ranges.length` if there is none. */
-  private indexOfRangeEndingFrom(task: number): number {
+  private firstRangeEndingAtOrAfter(task: number): number {
     let low = 0;
     let high = this.ranges.length;
     while (low < high) {
