--- a/src/core/model/constants.ts
+++ b/src/core/model/constants.ts
@@ -1,10 +1,10 @@
-/** Bounds of the protocol and tolerances that several modules share. */
+/** Protocol bounds and tolerances used by several modules. */
 
-/** Amounts of CPUs, GPUs and GB that differ by less are equal: sums of decimal numbers are not exact. */
+/** Amounts of CPUs, GPUs or GB that differ by less are treated as equal, because floating-point sums are inexact. */
 export const AMOUNT_TOLERANCE = 1e-6;
 
-/** The steady clocks of two machines drift apart by at most this ratio (the protocol's figure). */
+/** Maximum drift between the steady clocks of two machines, as a ratio; specified by the protocol. */
 export const CLOCK_DRIFT = 0.0005;
 
-/** Seconds within which every job, the largest too, is to start (the users' bound). */
+/** The users' bound on the start latency: every job, including the largest, should start within this many seconds. */
 export const START_BOUND_S = 240;
--- a/src/core/model/jobs.ts
+++ b/src/core/model/jobs.ts
@@ -1,12 +1,12 @@
-/** Jobs as users submit them and as they are told about them. */
+/** Jobs as submitted by users, and job states as reported to them. */
 
 /**
- * How the tasks of a job relate: `array`: independent tasks, each runs to completion; `gang`: all tasks
- * run at the same time or none does; `service`: replicas, which run until the job is cancelled.
+ * Relation between the tasks of a job. `array`: independent tasks, each of which runs to completion. `gang`: either
+ * all tasks run at the same time or none does. `service`: replicas that run until the job is cancelled.
  */
 export type JobKind = "array" | "gang" | "service";
 
-/** How urgent a job is, the most urgent first; it decides who may preempt whom. */
+/** Priority of a job, most urgent first. It decides which jobs may preempt which others. */
 export type Priority = "production" | "high" | "normal" | "low";
 
 const PRIORITY_RANKS: Readonly<Record<Priority, number>> = {
@@ -16,62 +16,62 @@
   low: 3,
 };
 
-/** A priority as a number: 0 is the most urgent. */
+/** Returns the rank of a priority; 0 is the most urgent. */
 export const priorityRank = (priority: Priority): number => PRIORITY_RANKS[priority];
 
-/** A submission as it was accepted. Stored as it is: its fields never change their names. */
+/** An accepted submission. It is stored in this form, so its fields must not be renamed. */
 export interface JobSpec {
-  /** Unique, chosen by the user; a repeated submission has the same. */
+  /** Unique id, chosen by the user. A repeated submission has the same id. */
   readonly id: string;
-  /** Class of jobs that it belongs to, for which the settings state service-level objectives. */
+  /** Class of the job. The settings define service-level objectives per class. */
   readonly class: string;
-  /** Team whose quota and guarantee apply. */
+  /** Team whose quota and guarantee apply to the job. */
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
-  /** Number of tasks; they are numbered from 0. */
+  /** Number of tasks, which are numbered from 0. */
   readonly tasks: number;
-  /** CPUs that each task takes. */
+  /** CPUs per task. */
   readonly cpus: number;
-  /** GPUs that each task takes. */
+  /** GPUs per task. */
   readonly gpus: number;
-  /** Memory that each task takes, in GB. */
+  /** Memory per task, in GB. */
   readonly memoryGb: number;
-  /** Names of the machine types allowed; null: any. */
+  /** Names of the allowed machine types; null: any. */
   readonly types: readonly string[] | null;
-  /** The only zone allowed; null: any. */
+  /** The only allowed zone; null: any. */
   readonly zone: string | null;
-  /** All tasks must be in the same zone. */
+  /** Whether all tasks must be in the same zone. */
   readonly oneZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may be in one zone. */
   readonly spread: boolean;
-  /** It may run on spot machines. */
+  /** Whether the job may run on spot machines. */
   readonly spot: boolean;
-  /** Image that a machine must have pulled before a task can start. */
+  /** Image that a machine must pull before a task can start. */
   readonly image: string;
   /** Size of the image, in GB. */
   readonly imageGb: number;
-  /** The owner's estimate of a task's run time without the image pull, in seconds; 0 for services. */
+  /** The owner's estimate of a task's run time, excluding the image pull, in seconds; 0 for services. */
   readonly estimateS: number;
-  /** Seconds of progress between checkpoints; 0: it never checkpoints, and a stop loses its work. */
+  /** Seconds of progress between checkpoints; 0: tasks never checkpoint, and a stopped task loses its work. */
   readonly checkpointS: number;
-  /** Seconds that a task needs to checkpoint when it is stopped. */
+  /** Seconds that a task needs to checkpoint when stopped. */
   readonly saveS: number;
-  /** Seconds from the submission by which the job should be complete; null: no deadline. */
+  /** Seconds from the submission within which the job should complete; null: no deadline. */
   readonly deadlineS: number | null;
-  /** Jobs that must be done before it starts; left out where there are none. */
+  /** Ids of the jobs that must be done before this job starts; omitted if there are none. */
   readonly after?: readonly string[];
 }
 
-/** What a user is told of the state of a job. */
+/** State of a job as reported to users. */
 export type JobState = "queued" | "running" | "done" | "cancelled";
 
-/** What a user is told of a job. */
+/** A job as reported to users. */
 export interface JobView {
   readonly id: string;
   readonly state: JobState;
-  /** Tasks that are done. */
+  /** Number of tasks that are done. */
   readonly done: number;
-  /** Tasks that are placed on machines. */
+  /** Number of tasks that are placed on machines. */
   readonly running: number;
 }
--- a/src/core/model/machines.ts
+++ b/src/core/model/machines.ts
@@ -1,4 +1,4 @@
-/** Machines as the cloud describes them. */
+/** Machine types and machines as described by the cloud. */
 
 /** A machine type in the cloud's catalog. */
 export interface MachineType {
@@ -7,30 +7,30 @@
   readonly gpus: number;
   /** Memory, in GB. */
   readonly memoryGb: number;
-  /** Space for cached images, in GB. */
+  /** Size of the image cache, in GB. */
   readonly cacheGb: number;
-  /** Rate at which images are pulled, in GB a second. */
+  /** Rate at which images are pulled, in GB per second. */
   readonly fetchGbPerS: number;
-  /** Price of an ordinary machine, an hour. */
+  /** Price of an on-demand machine, per hour. */
   readonly price: number;
-  /** Current price of a spot machine, an hour. */
+  /** Current price of a spot machine, per hour. */
   readonly spotPrice: number;
-  /** Usual time from the scale-out until the worker is up, in seconds. */
+  /** Typical time from the scale-out request until the worker is up, in seconds. */
   readonly bootS: number;
-  /** Zones in which it is offered. */
+  /** Zones in which the type is offered. */
   readonly zones: readonly string[];
 }
 
-/** A machine in the cloud's list of this cluster's machines, which lags. */
+/** An entry of the cloud's list of this cluster's machines. The list lags behind the actual state. */
 export interface ListedMachine {
   readonly name: string;
-  /** Address of its worker, host:port; empty while it has none. */
+  /** Address of the machine's worker, host:port; empty until it has one. */
   readonly address: string;
-  /** Name of its machine type. */
+  /** Name of the machine type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly state: "booting" | "running" | "failed";
-  /** Seconds since it was requested, as of the list. */
+  /** Seconds since the machine was requested, as of the list. */
   readonly ageS: number;
 }
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -1,65 +1,65 @@
-/** What the platform's settings say of the cluster, in the field's terms. */
+/** Cluster settings, converted from the names of the platform's settings file. */
 
-/** A team's guarantee and quota. */
+/** A team with its guarantee and quota. */
 export interface Team {
   readonly name: string;
-  /** CPUs guaranteed; 0: nothing is guaranteed. */
+  /** Guaranteed CPUs; 0: no guarantee. */
   readonly cpus: number;
-  /** Most CPUs at one time; 0: no limit. */
+  /** Maximum CPUs in use at the same time; 0: no limit. */
   readonly cpusMax: number;
-  /** GPUs guaranteed; 0: nothing is guaranteed. */
+  /** Guaranteed GPUs; 0: no guarantee. */
   readonly gpus: number;
-  /** Most GPUs at one time; 0: no limit. */
+  /** Maximum GPUs in use at the same time; 0: no limit. */
   readonly gpusMax: number;
 }
 
 /** A service-level objective (SLO) for a class of jobs. */
 export interface Objective {
-  /** What is measured. */
+  /** Kind of objective, which determines the measured quantity. */
   readonly kind: string;
-  /** Class of jobs; null: all. */
+  /** Class of jobs that the objective applies to; null: all classes. */
   readonly class: string | null;
-  /** Time bound, in seconds; null: none. */
+  /** Time bound, in seconds; null: no time bound. */
   readonly withinS: number | null;
-  /** Share of the jobs that must meet it, from 0 to 1. */
+  /** Share of the jobs that must meet the objective, from 0 to 1. */
   readonly share: number;
 }
 
-/** The cluster that the controllers manage, and what they may take of the services and of the node. */
+/** Settings of the managed cluster, and limits on the controllers' use of external services and of their own node. */
 export interface ClusterSettings {
   /** Number of controllers. */
   readonly nodes: number;
   readonly zones: readonly string[];
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
-  /** Seconds between a worker's heartbeats, give or take a quarter. */
+  /** Seconds between a worker's heartbeats; actual intervals vary by up to a quarter. */
   readonly heartbeatIntervalS: number;
-  /** Seconds after which a worker without an answered heartbeat ends all its tasks. */
+  /** Lease of a worker: seconds without a response to a heartbeat after which the worker kills all its tasks. */
   readonly leaseS: number;
-  /** Seconds that a gang task waits for its peers before it exits. */
+  /** Seconds that a gang task waits for its peers to start before it exits. */
   readonly gangWaitS: number;
-  /** Seconds within which gang tasks notice that a peer no longer runs, and within which all must be stopped. */
+  /** Seconds within which gang tasks detect that a peer no longer runs, and within which all must be stopped. */
   readonly gangPeerS: number;
-  /** Seconds from the confirmation of a cancellation within which no task may run any more. */
+  /** Seconds from the confirmation of a cancellation after which no task of the job may run. */
   readonly cancelS: number;
-  /** Requests a second that the key-value store takes from all controllers together. */
+  /** Rate limit of the key-value store, in requests per second, for all controllers together. */
   readonly stateRps: number;
-  /** Changes a second that it takes from all controllers together. */
+  /** Rate limit of the key-value store, in changes per second, for all controllers together. */
   readonly stateWriteRps: number;
-  /** Largest stored value, in KiB. */
+  /** Maximum size of a stored value, in KiB. */
   readonly valueKb: number;
-  /** Most changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   readonly txnOps: number;
-  /** Requests a second that the cloud takes. */
+  /** Rate limit of the cloud's API, in requests per second. */
   readonly cloudRps: number;
-  /** Seconds by which the cloud's list of machines lags, at times twice as much. */
+  /** Seconds by which the cloud's list of machines normally lags. At times it lags twice as much. */
   readonly listLagS: number;
-  /** Cores of this node: its share of a CPU, or several. */
+  /** CPU cores available to this node; may be a fraction of a core, or several cores. */
   readonly cpuShare: number;
-  /** Memory of this node, in MiB. */
+  /** Memory available to this node, in MiB. */
   readonly memoryMb: number;
-  /** Sockets that this node may have open. */
+  /** Maximum number of open sockets of this node. */
   readonly sockets: number;
-  /** Bound on the difference between the times of day of two machines, in milliseconds. */
+  /** Maximum difference between the wall clocks of two machines, in milliseconds. */
   readonly clockOffMs: number;
 }
