--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -91,7 +91,7 @@
     this.context.cycleRequested = true;
   }
 
-  /** Handles an attempt that ended because its machine or the worker's incarnation ended. */
+  /** Handles an attempt that ended with its machine or its worker's incarnation, or that its worker no longer has. */
   handleTaskLost(placement: Placement, why: string, now: number): void {
     const { job, task, attempt, machine } = placement;
     this.context.log("task lost", {
@@ -145,9 +145,9 @@
   }
 
   /**
-   * Records a direct request without a response and schedules the next one: after 1/30 of the heartbeat interval
-   * following the first failure, as two consecutive failures are stronger evidence than one, and after 1/3 of it
-   * following any later failure.
+   * Records that a direct request got no response, and schedules the next one. After the first failure, the delay is
+   * 1/30 of the heartbeat interval, because two consecutive failures are stronger evidence than one. After
+   * later failures, the delay is 1/3 of the interval.
    */
   recordUnansweredRequest(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -33,6 +33,7 @@
   state: PlacementState = "planned";
   /** Number of direct requests in flight that carry the start of this attempt. */
   startsInFlight = 0;
+  /** Request to stop this attempt; null: none. */
   stop: StopRequest | null = null;
   /** Time at which the start was last sent. */
   sentAt = Number.NEGATIVE_INFINITY;
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -33,7 +33,7 @@
   readonly runTimes: number[] = [];
   /** Preemption precedence as of the last cycle; a lower value is stronger. See `precedenceOf`. */
   precedence = 0;
-  /** Time of the next search for tasks to preempt, after a search that found none. */
+  /** Earliest time of the next search for tasks to preempt; set after a search that found none. */
   nextPreemptionAt = Number.NEGATIVE_INFINITY;
   /** For a gang: whether a start now would still meet the objectives on team guarantees. */
   guaranteeStillReachable = true;
@@ -111,7 +111,7 @@
     return this.failures.suspicion !== null;
   }
 
-  /** Whether the job is suspect and has an attempt, placed since then, that will show whether it still fails. */
+  /** Whether an attempt that was placed after the job became suspect is in progress, to test if it still fails. */
   get isOnProbation(): boolean {
     const { suspicion } = this.failures;
     if (suspicion === null) return false;
--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -4,7 +4,7 @@
 export interface Suspicion {
   /** Time at which the suspicion arose, in seconds. */
   readonly since: number;
-  /** Number of attempts placed since then that have failed. */
+  /** Number of failed attempts that were placed after that time. */
   failedRetries: number;
 }
 
@@ -16,7 +16,7 @@
   longestRunBeforeFailureS = 0;
   /** Null: the job is not suspect. */
   suspicion: Suspicion | null = null;
-  /** Machines that the job avoids, with the time in seconds until which it does. */
+  /** Machines that the job avoids, with the time in seconds at which the avoidance ends. */
   private readonly avoidedMachines = new Map<string, number>();
 
   avoid(machine: string, until: number): void {
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -42,7 +42,8 @@
   /**
    * Handles a job whose keys changed, or were read again after a transaction with an unknown outcome.
    *
-   * @throws UnknownMachineTypesError if the job has placements and the machine types are not known yet.
+   * @throws UnknownMachineTypesError if the job has a placement on a machine without a stored record, and the machine
+   * types are not known yet.
    */
   handleJobChange(replica: StateReplica, id: string, now: number): void {
     const stored = replica.activeJobs.get(id);
--- a/src/core/jobs/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -29,7 +29,7 @@
 export const eventName = (event: JobEvent, job: string): string =>
   `${EVENT_PREFIXES[event]}:${job.replace(/[.+~]/g, escapeOperator)}`;
 
-const escapeOperator = (operator: string): string => `%${operator.charCodeAt(0).toString(16)}`;
+const escapeOperator = (character: string): string => `%${character.charCodeAt(0).toString(16)}`;
 
 /** The controllers trigger the start event. */
 const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -26,7 +26,7 @@
 /** The stored state of an active job. `ActiveJob` adds the state that only the leader has. */
 export class ShardedJob {
   readonly spec: JobSpec;
-  /** Number of the latest change that is to be stored. */
+  /** Version of the job, incremented with each change that is to be stored. */
   version: number;
   /** The job record. */
   readonly mainShard: JobShard;
@@ -84,7 +84,7 @@
     return this.shardAt(Math.floor(task / this.shardSize), this.shardSize);
   }
 
-  /** Attempt number for a task to be placed. `cycleAttempt`: the job's attempt number in this scheduling cycle. */
+  /** Attempt number for a task to be placed. `cycleAttempt`: number shared by the job's tasks placed in this cycle. */
   attemptFor(task: number, cycleAttempt: number): number {
     if (this.shardSize === null) return cycleAttempt;
     const shard = this.shardOf(task);
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -1,4 +1,4 @@
-/** Cluster settings, converted from the names of the platform's settings file. */
+/** Cluster settings from the platform's settings file, under the scheduler's own field names. */
 
 /** A team with its guarantee and quota. */
 export interface Team {
