--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -84,7 +84,7 @@
     return this.shardAt(Math.floor(task / this.shardSize), this.shardSize);
   }
 
-  /** Attempt number for a task to be placed. `cycleAttempt`: number shared by the job's tasks placed in this cycle. */
+  /** Attempt number for a task to be placed. `cycleAttempt`: number shared by tasks placed in the same cycle. */
   attemptFor(task: number, cycleAttempt: number): number {
     if (this.shardSize === null) return cycleAttempt;
     const shard = this.shardOf(task);
