--- a/src/node/admission-composition.ts
+++ b/src/node/admission-composition.ts
@@ -1,10 +1,10 @@
-/** Connects admission control with the node that it is part of. */
+/** Creates the admission control of a node and connects it to the node's log and clock. */
 import type { Logger } from "pino";
 import { AdmissionControl, type AdmissionPorts, type LoggedDecision } from "../admission/index.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { NodeSettings } from "../wire/settings.js";
 
-/** What admission control of a node is created from. */
+/** Dependencies of a node's admission control. */
 export interface AdmissionCompositionOptions
   extends Pick<AdmissionPorts, "now" | "transact" | "readLatest" | "onWrite"> {
   readonly settings: NodeSettings;
@@ -12,7 +12,7 @@
   readonly log: Logger;
 }
 
-/** Admission control of a node; null if it is switched off. */
+/** Returns the admission control of a node; null if it is disabled. */
 export function createAdmissionControl(
   options: AdmissionCompositionOptions,
 ): AdmissionControl | null {
@@ -31,7 +31,7 @@
   });
 }
 
-/** What an open window admits is of no interest to operators. */
+/** Logs an admission decision; admissions by an open window are routine and logged at debug level only. */
 function logDecision(log: Logger, decision: LoggedDecision): void {
   const isRoutine = decision.kind === "admit" && decision.reason === "open";
   log[isRoutine ? "debug" : "info"](decision, "admission decision");
--- a/src/node/background-loop.ts
+++ b/src/node/background-loop.ts
@@ -1,17 +1,17 @@
-/** The loops that run in the background for as long as a node does. */
+/** Background loops that run for the lifetime of a node. */
 import type { Logger } from "pino";
 
 /** A loop that runs until it is stopped. */
 export interface BackgroundLoop {
-  /** Resolves after `stop`, and not before. */
+  /** Resolves only after `stop` was called. */
   run(): Promise<void>;
-  /** Ends the loop after what it does now, without waiting for it. */
+  /** Requests the loop to end after its current step, without waiting for it. */
   stop(): void;
 }
 
 /**
- * Runs a loop until it is stopped. One that fails is named in the log, and its error is rethrown to the process's own
- * handler of unhandled rejections: whether the program ends is for the program to decide.
+ * Runs a loop until it is stopped. If the loop fails, this logs the loop's name and rethrows the error, which reaches
+ * the process's handler of unhandled rejections. The embedding program decides there whether to exit.
  */
 export async function runInBackground(
   name: string,
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One controller node, as a program embeds it: constructed with its settings, started, and stopped.
- * What it does is in the components that `NodeComposition` puts together.
+ * One controller node, for use by an embedding program: constructed with its settings, started and stopped. It
+ * delegates to the components that `NodeComposition` creates.
  */
 import type { FastifyInstance } from "fastify";
 import type { Logger } from "pino";
@@ -20,7 +20,7 @@
 import { createHttpServer, listen } from "./http-server.js";
 import { NodeComposition } from "./node-composition.js";
 
-/** A node of the cluster's control plane: serves users and workers, and leads when it is elected. */
+/** A node of the cluster's control plane: serves users and workers, and leads if it is elected. */
 export class Controller implements ApiBackend {
   private readonly node: NodeComposition;
   private readonly httpServer: FastifyInstance;
@@ -35,12 +35,12 @@
     this.httpServer = createHttpServer(this, { settings, operator, timing, log });
   }
 
-  /** The server that users and workers connect to, for programs that embed a controller. */
+  /** The HTTP server that users and workers connect to, for programs that embed a controller. */
   get server(): FastifyInstance["server"] {
     return this.httpServer.server;
   }
 
-  /** Resolves once the node listens. Rejects if one of its addresses cannot be used. */
+  /** Resolves once the node listens on both of its addresses; rejects if it cannot listen on one of them. */
   async start(): Promise<void> {
     const { watcher, peers, machineTypes, leader } = this.node;
     await listen(this.httpServer, this.settings, this.log);
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Resolves once no connection of users or workers is left. As if the process had ended: nothing is handed
-   * over, and each background loop ends with what it does now.
+   * Stops the node as if its process had ended: leadership is not handed over, and each background loop ends after
+   * its current step. Resolves once all connections of users and workers are closed.
    */
   async stop(): Promise<void> {
     const { watcher, peers, machineTypes, leader } = this.node;
--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -1,10 +1,10 @@
-/** Watches over the scheduling loop: slow cycles, lag, and the node's load. */
+/** Monitors the scheduling loop: logs slow cycles and the node's load, and reports overload to the scheduler. */
 import type { Logger } from "pino";
 import type { StateReplica } from "../core/state/state-replica.js";
 import type { Leadership } from "./leadership.js";
 import type { NodeLoad } from "./node-load.js";
 
-/** What the cycle monitor compares the loop's measurements with, and logs to. */
+/** Dependencies of `CycleMonitor`. */
 export interface CycleMonitorOptions {
   readonly heartbeatIntervalS: number;
   readonly replica: StateReplica;
@@ -13,11 +13,11 @@
   readonly log: Logger;
 }
 
-/** Takes what the scheduling loop measures. */
+/** Handles the measurements of the scheduling loop. */
 export class CycleMonitor {
   constructor(private readonly options: CycleMonitorOptions) {}
 
-  /** A cycle lasted `durationS` seconds, and began `sinceLastCycleS` seconds after the end of the one before it. */
+  /** Logs a slow cycle. `sinceLastCycleS`: seconds from the end of the previous cycle to the start of this one. */
   handleCycleEnd(durationS: number, sinceLastCycleS: number): void {
     const { heartbeatIntervalS, replica, log } = this.options;
     if (durationS <= heartbeatIntervalS / 4) return;
@@ -27,12 +27,14 @@
     );
   }
 
-  /** Timers are late by so much. */
+  /**
+   * Handles a measurement of the average timer lag: updates the scheduler's overload flag, and logs due load reports.
+   */
   handleLag(lagS: number, isOverloaded: boolean): void {
     const { leadership, load, log } = this.options;
     const leading = leadership.current;
     if (leading !== null) leading.scheduler.isOverloaded = isOverloaded;
-    const line = load.line(lagS);
-    if (line !== null) log.info({ leads: leading !== null, ...line }, "load");
+    const report = load.line(lagS);
+    if (report !== null) log.info({ leads: leading !== null, ...report }, "load");
   }
 }
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -1,4 +1,4 @@
-/** Carries out the scheduler's effects, and gives it their results while it still leads. */
+/** Executes the scheduler's effects, and passes their results back while the scheduler's term is current. */
 import type { Logger } from "pino";
 import type { CloudClient } from "../cloud/client.js";
 import { assertNever } from "../core/assert-never.js";
@@ -8,32 +8,34 @@
 import type { JobTracer } from "./job-tracer.js";
 import type { ActiveLeadership, Leadership } from "./leadership.js";
 
-/** What effects are carried out with. */
+/** Dependencies of `EffectExecutor`. */
 export interface EffectExecutorOptions {
   readonly workers: WorkerClient;
   readonly cloud: CloudClient;
   readonly leadership: Leadership;
-  /** Null: tracing is switched off. */
+  /** Null if tracing is disabled. */
   readonly tracer: JobTracer | null;
   readonly log: Logger;
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly heartbeatIntervalS: number;
-  /** Sockets that this process may have open. */
+  /** Maximum number of sockets that this process may have open. */
   readonly sockets: number;
-  /** Hands a result to the scheduler by calling `handle`, and performs the effects that it returns. */
+  /** Must call `handle`, which passes a result to the scheduler, and perform the effects that it returns. */
   readonly onResult: (handle: () => readonly Effect[]) => void;
 }
 
 type EffectOf<Kind extends Effect["kind"]> = Extract<Effect, { readonly kind: Kind }>;
-/** Effects that the node carries out only while it leads. */
+/** Effects that are executed only while this node leads. */
 type LeaderEffect = Exclude<Effect, { readonly kind: "log" | "first start" }>;
 
-/** Carries out effects, in their order. */
+/** Executes effects in the given order. */
 export class EffectExecutor {
   constructor(private readonly options: EffectExecutorOptions) {}
 
-  /** Carries out effects; those after one that ends the leadership are dropped, but for logs and traces. */
+  /**
+   * Executes effects. After an effect that ends leadership, only logs and traces are executed; others are dropped.
+   */
   perform(effects: readonly Effect[]): void {
     for (const effect of effects) this.performOne(effect);
   }
@@ -106,7 +108,8 @@
     const { workers, now, heartbeatIntervalS } = this.options;
     const startedAt = now();
     void workers.probe(address).then((heartbeat) => {
-      // Later than the timeout of a request: this node was stalled, and the machine may be sound.
+      // A result more than 25% later than the request timeout means that this node was stalled; the machine may be
+      // healthy.
       const isLate = now() - startedAt > (1.25 * heartbeatIntervalS) / 3;
       this.handleResult(leading, () =>
         leading.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
@@ -156,7 +159,7 @@
     leadership.stepDown(why);
   }
 
-  /** Results of a scheduler that leads no more are dropped. */
+  /** Drops results for a scheduler whose term is no longer current. */
   private handleResult(leading: ActiveLeadership, handle: () => readonly Effect[]): void {
     if (this.options.leadership.current === leading) this.options.onResult(handle);
   }
--- a/src/node/http-server.ts
+++ b/src/node/http-server.ts
@@ -1,4 +1,4 @@
-/** The server of a node for users, workers and health checks. */
+/** HTTP server of a node, for users, workers and health checks. */
 import type { FastifyInstance } from "fastify";
 import type { Logger } from "pino";
 import { type ApiBackend, buildServer } from "../api/server.js";
@@ -8,10 +8,10 @@
 import type { NodeSettings } from "../wire/settings.js";
 import type { NodeTiming } from "./node-timing.js";
 
-/** Connections that one core accepts in a second while there is other work. */
+/** Connections per second that one core accepts alongside its other work. */
 export const ACCEPTS_PER_CORE_S = 500;
 
-/** What the server follows. */
+/** Settings and logger of the server. */
 export interface HttpServerOptions {
   readonly settings: NodeSettings;
   readonly operator: OperatorSettings;
@@ -19,7 +19,7 @@
   readonly log: Logger;
 }
 
-/** The server in front of a node; it does not listen yet. */
+/** Creates the server of a node; it does not listen yet. */
 export function createHttpServer(backend: ApiBackend, options: HttpServerOptions): FastifyInstance {
   const { settings, operator, timing, log } = options;
   const { heartbeatIntervalS } = settings.cluster;
@@ -35,7 +35,7 @@
     now: steadyNowS,
     retryAfterS: 1,
     cancellationWaitS: heartbeatIntervalS / 3,
-    // A peer that vanished without a word must not hold a socket for long.
+    // Frees the socket of a client that disappeared without closing its connection.
     idleTimeoutS: Math.max(10, 4 * heartbeatIntervalS),
     onRequestDone: (what, durationS, status) => {
       if (durationS > heartbeatIntervalS / 30) {
@@ -46,19 +46,20 @@
   });
 }
 
-/** Listens at the node's address. Rejects if the address cannot be used. */
+/** Listens on the node's address; rejects if that is not possible. */
 export async function listen(
   httpServer: FastifyInstance,
   { listenAddress, member, cluster }: NodeSettings,
   log: Logger,
 ): Promise<void> {
   const [host, port] = listenAddress.split(":") as [string, string];
-  // After a takeover every worker connects at once, and one that is not accepted and answered in time
-  // gives up and comes again. A long queue is then served to those who have left: the leader accepted
-  // hundreds a second and kept none, for a whole lease. So it holds what is accepted in a second.
+  // The backlog holds as many connections as are accepted in one second. After a takeover all workers connect at
+  // once, and a worker that is not answered in time closes its connection and retries. With a long backlog the leader
+  // accepted hundreds of connections a second that their workers had already closed, and kept none for the duration
+  // of a whole lease.
   const backlog = Math.ceil(ACCEPTS_PER_CORE_S * cluster.cpuShare);
   await httpServer.listen({ host, port: Number(port), backlog });
-  // With no socket left a connection cannot be accepted; that must not end the process.
+  // Accepting a connection fails if no socket is left; this error must not end the process.
   httpServer.server.on("error", (error) => log.debug({ err: error }, "connection not accepted"));
   log.info({ member, on: listenAddress }, "listening");
 }
--- a/src/node/job-tracer.ts
+++ b/src/node/job-tracer.ts
@@ -1,9 +1,9 @@
 /**
- * Traces of jobs, by the OpenTelemetry API: from the submission over the admission decision to the first start. Off by
- * default; a program that embeds controllers registers the provider of the spans, and without one they are dropped.
+ * Traces jobs with the OpenTelemetry API, from the submission and its admission decision to the start of the first
+ * task. Disabled by default. An embedding program registers a tracer provider; without one, spans are dropped.
  *
- * A job's trace id is derived from the job's id, so the spans of all controllers join one trace with nothing stored or
- * sent for it.
+ * A job's trace id is derived from the job's id, so that the spans of all controllers belong to one trace without
+ * storing or sending a trace context.
  */
 import { createHash } from "node:crypto";
 import {
@@ -23,7 +23,7 @@
 const SPAN_ID_DIGITS = 16;
 const TRACER_NAME = "peatsaddle";
 
-/** The context that is the parent of all spans of a job. */
+/** Returns the parent context of all spans of a job. */
 function jobContext(jobId: string): Context {
   const digits = createHash("sha256").update(jobId).digest("hex");
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Traces a submission until it is answered; one that throws is marked as an error. `attributesOf` gives the
-   * span's attributes by the outcome.
+   * Records a span for a submission until it is answered; if `submit` throws, the span's status is an error.
+   * `attributesOf` returns the span's attributes for an outcome.
    */
   async traceSubmission<Outcome>(
     job: JobSpec,
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Traces the wait of a job from its submission until its first task runs. */
+  /** Records a span for a job's wait from its submission until its first task runs. */
   traceFirstStart(jobId: string, submittedAtMs: number): void {
     this.startSpan("job.wait", jobId, SpanKind.INTERNAL, submittedAtMs).end();
   }
--- a/src/node/leader-composition.ts
+++ b/src/node/leader-composition.ts
@@ -1,4 +1,7 @@
-/** Puts the leader's side of a node together: what campaigns, schedules, carries out and writes. */
+/**
+ * Composes the components that a node needs to lead: leader election, scheduling cycles, execution of effects, and
+ * transactions.
+ */
 import type { Logger } from "pino";
 import type { AdmissionControl } from "../admission/index.js";
 import type { OperatorSettings } from "../config/operator.js";
@@ -19,7 +22,7 @@
 import { SchedulerGuard } from "./scheduler-guard.js";
 import { SchedulingLoop } from "./scheduling-loop.js";
 
-/** What the leader's side is created from. */
+/** Dependencies of `LeaderComposition`. */
 export interface LeaderCompositionOptions {
   readonly settings: NodeSettings;
   readonly operator: OperatorSettings;
@@ -27,15 +30,15 @@
   readonly adapters: NodeAdapters;
   readonly watcher: StateWatcher;
   readonly machineTypes: MachineTypeCatalog;
-  /** Null: admission control is switched off. */
+  /** Null if admission control is disabled. */
   readonly admission: AdmissionControl | null;
   /** Called at each poll of the scheduling loop. */
   readonly onPoll: () => void;
 }
 
 /**
- * The components that a node leads with. Each is created after those that it is given; callbacks reach the
- * others once the node runs.
+ * The components of a node's leader role. A component is constructed after those that are passed to it; callbacks may
+ * use the other components once the node runs.
  */
 export class LeaderComposition {
   readonly leadership: Leadership;
@@ -52,12 +55,12 @@
     this.schedulingLoop = this.createSchedulingLoop();
   }
 
-  /** Carries out what the scheduler asked for. */
+  /** Executes effects that the scheduler returned. */
   performEffects(effects: readonly Effect[]): void {
     this.effectExecutor.perform(effects);
   }
 
-  /** Runs work of the scheduler; if it fails, this node steps down. */
+  /** Runs scheduler work; if it throws, this node steps down. */
   runSchedulerWork(activity: Activity, work: () => void): void {
     this.schedulerGuard.run(activity, work);
   }
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -1,6 +1,7 @@
 /**
- * What this node may write to the key-value store, and the leader's transactions: one at a time, as large as the budget
- * and the store's limits allow, each under the term that it was composed in.
+ * The node's write budget for the key-value store, and the leader's transactions. Transactions are sent one at a
+ * time, each as large as the write budget and the store's limits allow. The result of a transaction is used only if
+ * the term in which it was composed is still current.
  */
 import type { Logger } from "pino";
 import { assertNever } from "../core/assert-never.js";
@@ -16,59 +17,65 @@
 import { sleepSeconds } from "../time/sleep.js";
 import type { ActiveLeadership, Leadership } from "./leadership.js";
 
-/** The protocol's limit on a transaction, less what the message around it takes. */
+/** Size limit of a transaction: the protocol's limit less an allowance for the enclosing message. */
 export const MAXIMUM_TRANSACTION_BYTES = 60 * 1024;
-/** Changes that the write budget must allow at the least, before a transaction is composed. */
-const MINIMUM_CHANGES = 3;
-/** Burst of a node's write budget at the least, in changes. */
+/** Number of changes that the write budget must allow before a transaction is composed. */
+const MINIMUM_ALLOWED_CHANGES = 3;
+/** Smallest burst of a node's write budget, in changes. */
 const MINIMUM_BURST = 4;
-/** Of the changes a second that the store accepts: what nodes other than the leader may use together. */
+/** Share of the store's accepted changes per second that all followers together may use. */
 const FOLLOWERS_SHARE = 5 / 6;
+/** Largest number of followers that the followers' share is divided by. */
 const MAXIMUM_FOLLOWERS = 5;
-/** Burst of a node that does not lead, in seconds' worth of all changes that the store accepts. */
+/** Burst of a follower's write budget, in seconds of the store's whole rate of accepted changes. */
 const FOLLOWER_BURST_S = 1 / 3;
-/** Waits in parts of a heartbeat interval: the interval divided by these. */
-const REFUSAL_WAIT_DIVISOR = 30;
-const READ_RETRY_DIVISOR = 10;
+/**
+ * Delays after a refused transaction and before a read is retried: the heartbeat interval divided by these values.
+ */
+const REFUSAL_DELAY_DIVISOR = 30;
+const READ_RETRY_DELAY_DIVISOR = 10;
 
-/** Collaborators and callbacks of `LeaderTransactions`. */
+/** Dependencies and callbacks of `LeaderTransactions`. */
 export interface LeaderTransactionsOptions {
   readonly settings: ClusterSettings;
   readonly keyValueClient: KeyValueClient;
   readonly watcher: StateWatcher;
   readonly replica: StateReplica;
-  /** Steady time in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly log: Logger;
   readonly performEffects: (effects: readonly Effect[]) => void;
-  /** A transaction ended: there may be more to write. */
+  /** Called when a transaction has ended, so that the next one can be sent. */
   readonly onTransactionEnd: () => void;
 }
 
 /** Sends the leader's transactions, one at a time, within the node's write budget. */
 export class LeaderTransactions {
-  /** Changes that this node may write, for users as well as for the leader. */
+  /** Budget of changes that this node may write, shared by user requests and the leader's transactions. */
   readonly writeBudget: TokenBucket;
-  private readonly leaderBudget: WriteBudget;
+  /** Computes the rate of changes that the leader may write, from the changes that other nodes store. */
+  private readonly leaderRateLimit: WriteBudget;
   private isWriting = false;
-  /** Changes in a transaction at the most: fewer for a while after one was refused for its size. */
+  /**
+   * Maximum number of changes in a transaction. Reduced after one was rejected as invalid, then raised step by step.
+   */
   private changeLimit: number;
 
   constructor(private readonly options: LeaderTransactionsOptions) {
     const { txnOps, stateWriteRps } = options.settings;
     this.changeLimit = txnOps;
-    this.leaderBudget = new WriteBudget(stateWriteRps);
+    this.leaderRateLimit = new WriteBudget(stateWriteRps);
     this.writeBudget = new TokenBucket(this.budgetRate(false), this.budgetBurst(false));
   }
 
-  /** The node's share of the write budget follows whether it leads. */
+  /** Sets the rate and burst of the write budget for a leader or a follower. */
   setLeading(isLeader: boolean): void {
     this.writeBudget.setRate(this.budgetRate(isLeader), this.budgetBurst(isLeader));
   }
 
-  /** So many submissions and cancellations were stored, by whichever node. */
-  noteUserRequests(changes: number): void {
-    this.leaderBudget.recordRequestChanges(changes);
+  /** Records the number of changes that any node stored for submissions and cancellations. */
+  recordUserRequestChanges(changes: number): void {
+    this.leaderRateLimit.recordRequestChanges(changes);
   }
 
   /** Sends the leader's next transaction, if one is due and none is in flight. */
@@ -78,7 +85,7 @@
     const now = this.options.now();
     if (!current.term.mayAct(now)) return;
     if (leadership.fencingTokenAdvanceRequested) {
-      this.begin(leadership.advanceFencingToken(current));
+      this.runExclusively(leadership.advanceFencingToken(current));
       return;
     }
     this.setLeading(true);
@@ -86,29 +93,31 @@
     if (!this.isTransactionDue(current.scheduler, allowedChanges)) return;
     const transaction = this.compose(current.scheduler, allowedChanges, now);
     if (transaction === null) {
-      // What goes into one transaction may need more changes than were tried since one was refused.
+      // The next indivisible group of changes may exceed the limit that was reduced after a rejection.
       this.raiseChangeLimit();
       return;
     }
     this.writeBudget.takeOnCredit(transaction.changes.length, now);
-    this.options.log.debug({ ...transaction.counts, allowedChanges }, "write");
-    this.begin(this.commit(leadership, current, transaction));
+    this.options.log.debug({ ...transaction.counts, allowedChanges }, "sending transaction");
+    this.runExclusively(this.commit(leadership, current, transaction));
   }
 
   /**
-   * The leader writes most, see `WriteBudget`. The others may use five sixths together, and a third each at a time, as
-   * submissions come in bursts; if the store refuses some, they are sent again a moment later.
+   * Changes per second that this node may write. `WriteBudget` gives the rate of the leader. The followers divide
+   * `FOLLOWERS_SHARE` evenly, and each gets a burst (`FOLLOWER_BURST_S`), because submissions arrive in bursts. The
+   * shares of leader and followers may add up to more than the store accepts; refused writes are retried shortly
+   * after.
    */
   private budgetRate(isLeader: boolean): number {
     const { stateWriteRps, nodes } = this.options.settings;
-    if (isLeader) return this.leaderBudget.leaderChangesPerS(this.options.now());
+    if (isLeader) return this.leaderRateLimit.leaderChangesPerS(this.options.now());
     const followers = Math.max(1, Math.min(MAXIMUM_FOLLOWERS, nodes - 1));
     return (FOLLOWERS_SHARE * stateWriteRps) / followers;
   }
 
   /**
-   * One second's worth of the node's own share at the least, which the store allows. (The leader was once left with the
-   * burst of another node: too small for any transaction but the smallest.)
+   * The leader's burst covers one second of `LEADER_SHARE_AFTER_REFUSAL`, which the store accepts. With the burst of
+   * a follower, the leader could send only the smallest transactions.
    */
   private budgetBurst(isLeader: boolean): number {
     const seconds = isLeader ? LEADER_SHARE_AFTER_REFUSAL : FOLLOWER_BURST_S;
@@ -116,7 +125,7 @@
   }
 
   private isTransactionDue(scheduler: Scheduler, allowedChanges: number): boolean {
-    const minimum = Math.max(MINIMUM_CHANGES, scheduler.minimumTransactionChanges);
+    const minimum = Math.max(MINIMUM_ALLOWED_CHANGES, scheduler.minimumTransactionChanges);
     return allowedChanges >= minimum && scheduler.hasPendingWrite;
   }
 
@@ -125,13 +134,14 @@
     allowedChanges: number,
     now: number,
   ): LeaderTransaction | null {
-    // Progress waits until there is plenty: placements and ends must not wait for it.
+    // Progress updates are written only if at least half of the burst is available, so that they do not delay
+    // placements and job ends.
     const urgentOnly = allowedChanges < this.budgetBurst(true) / 2;
     const maxChanges = Math.min(allowedChanges, this.changeLimit);
     return scheduler.nextTransaction(maxChanges, MAXIMUM_TRANSACTION_BYTES, urgentOnly, now);
   }
 
-  private begin(transaction: Promise<void>): void {
+  private runExclusively(transaction: Promise<void>): void {
     this.isWriting = true;
     void transaction.finally(() => {
       this.isWriting = false;
@@ -165,11 +175,14 @@
       case "refused":
         this.handleRefusal(active.scheduler, transaction, result.status);
         finish({ kind: "refused" });
-        await sleepSeconds(this.options.settings.heartbeatIntervalS / REFUSAL_WAIT_DIVISOR);
+        await sleepSeconds(this.options.settings.heartbeatIntervalS / REFUSAL_DELAY_DIVISOR);
         return;
       case "failed":
       case "unknown":
-        this.options.log.info({ outcome: result }, "write outcome unknown");
+        this.options.log.info(
+          { outcome: result },
+          "transaction failed or its outcome is unknown; reading the stored state",
+        );
         if (await this.readStoredOutcome(leadership, active)) {
           finish({ kind: result.kind === "failed" ? "conflict" : "unknown" });
         }
@@ -184,14 +197,14 @@
     transaction: LeaderTransaction,
     status: number,
   ): void {
-    this.options.log.debug({ status }, "write refused");
-    if (status === 400) this.handleOversizedTransaction(scheduler, transaction);
-    this.leaderBudget.recordRefusal(this.options.now());
+    this.options.log.debug({ status }, "transaction refused");
+    if (status === 400) this.handleInvalidTransaction(scheduler, transaction);
+    this.leaderRateLimit.recordRefusal(this.options.now());
   }
 
   /**
-   * Whatever happened to a transaction, only a linearizable read tells what is stored now. False: this term no longer
-   * leads.
+   * Reads the stored state, because a failed or unanswered transaction does not tell what is stored. Retries until a
+   * linearizable read succeeds. Returns false if this term is no longer current.
    */
   private async readStoredOutcome(
     leadership: Leadership,
@@ -200,17 +213,23 @@
     const { watcher, replica, settings } = this.options;
     while (!(await watcher.readLatest())) {
       if (leadership.current !== active) return false;
-      await sleepSeconds(settings.heartbeatIntervalS / READ_RETRY_DIVISOR);
+      await sleepSeconds(settings.heartbeatIntervalS / READ_RETRY_DELAY_DIVISOR);
     }
     if (replica.epoch.modRevision === active.term.epochModRevision) return true;
-    if (leadership.current === active) leadership.stepDown("a write found another epoch");
+    if (leadership.current === active) leadership.stepDown("stored epoch belongs to another term");
     return false;
   }
 
-  /** Too large, or its lease has expired. Smaller ones may pass; one that can't be smaller waits. */
-  private handleOversizedTransaction(scheduler: Scheduler, transaction: LeaderTransaction): void {
+  /**
+   * Handles status 400: the transaction is too large, or its lease has expired. Smaller transactions may be accepted,
+   * so the change limit is halved. For a single change, the scheduler plans smaller stored values from now on.
+   */
+  private handleInvalidTransaction(scheduler: Scheduler, transaction: LeaderTransaction): void {
     const changes = transaction.changes.length;
-    this.options.log.warn({ changes }, "transaction too large");
+    this.options.log.warn(
+      { changes },
+      "transaction rejected as too large or because its lease expired",
+    );
     if (changes > 1) this.changeLimit = Math.max(1, changes >> 1);
     else scheduler.handleRefusedValue(transaction, this.options.now());
   }
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -1,4 +1,6 @@
-/** Leadership of one node: acquiring it, renewing its lease, advancing its fencing token, and stepping down. */
+/**
+ * Leader election of one node: acquiring leadership, renewing its lease, advancing the fencing token, stepping down.
+ */
 import type { Logger } from "pino";
 import type { Effect } from "../core/effects.js";
 import { LeadershipTerm } from "../core/leadership/term.js";
@@ -9,49 +11,52 @@
 import type { StateWatcher } from "../state/state-watcher.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Renewals that are sent in the time of one lease. */
+/** Number of lease renewals sent per lease duration. */
 const RENEWALS_PER_LEASE = 4;
 
-/** A term with the scheduler that acts under it. */
+/** A leadership term and the scheduler that acts under it. */
 export interface ActiveLeadership {
   readonly term: LeadershipTerm;
   readonly scheduler: Scheduler;
 }
 
-/** Collaborators and callbacks of `Leadership`. */
+/** Settings and callbacks of `Leadership`. */
 export interface LeadershipOptions {
   readonly member: string;
   readonly leaseS: number;
-  /** Seconds after the term for which heartbeats of some workers may still be answered; the longest such time. */
+  /**
+   * Longest time after the end of a term for which a former leader may still answer worker heartbeats, in seconds
+   * (`NodeTiming.leaseExtensionS`).
+   */
   readonly leaseExtensionS: number;
-  /** Steady time in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly log: Logger;
   readonly createScheduler: (epoch: number, epochModRevision: number, now: number) => Scheduler;
   readonly performEffects: (effects: readonly Effect[]) => void;
-  /** Leadership was acquired or lost. */
+  /** Called after this node acquired or lost leadership. */
   readonly onLeadershipChange: (isLeader: boolean) => void;
 }
 
 type LeadershipState =
   | { readonly kind: "standby" }
-  /** Requests that acquire leadership, or end the term of this node's former process, are in flight. */
+  /** Requests to acquire leadership, or to end the term of this node's previous process, are in flight. */
   | { readonly kind: "acquiring" }
   | { readonly kind: "leading"; readonly leadership: ActiveLeadership }
   | { readonly kind: "stopped" };
 
 const STANDBY: LeadershipState = { kind: "standby" };
 
-/** What a candidate has sent to the key-value store. */
+/** A pending attempt of this node to become the leader. */
 interface Candidacy {
   readonly leader: LeaderRecord;
-  /** Steady time at which the lease was requested. */
+  /** Steady-clock time at which the lease was requested, in seconds. */
   readonly grantSentAt: number;
 }
 
-/** Acquires, renews and gives up leadership for this node. */
+/** Acquires, renews and gives up this node's leadership. */
 export class Leadership {
-  /** The epoch is to be advanced with the next transaction. */
+  /** True if the next transaction must advance the epoch, which is also the fencing token. */
   fencingTokenAdvanceRequested = false;
   private state: LeadershipState = STANDBY;
   private electionCooldownUntil = Number.NEGATIVE_INFINITY;
@@ -63,24 +68,27 @@
     private readonly options: LeadershipOptions,
   ) {}
 
-  /** Null: this node does not lead. */
+  /** The current term and its scheduler; null if this node does not lead. */
   get current(): ActiveLeadership | null {
     return this.state.kind === "leading" ? this.state.leadership : null;
   }
 
-  /** As if the process had ended: the term ends with its lease, and nothing waits for it any more. */
+  /**
+   * Stops acting and renewing without revoking the lease, as if the process had ended: the term ends when its lease
+   * expires.
+   */
   stop(): void {
     this.state = { kind: "stopped" };
   }
 
-  /** After a node stepped down, the others may acquire leadership first for so long. */
+  /** Keeps this node from campaigning for `durationS` seconds, so that another node can acquire leadership. */
   startElectionCooldown(durationS: number): void {
     this.electionCooldownUntil = this.options.now() + durationS;
   }
 
   /**
-   * Acquires leadership if nobody holds it. If the stored leader is this node, as it was before its process restarted,
-   * that term is ended first.
+   * Starts to acquire leadership if no leader is stored. If the stored leader is this node itself, the record was
+   * written by its process before a restart, and that term is ended first.
    */
   campaign(): void {
     if (this.state.kind !== "standby") return;
@@ -88,7 +96,7 @@
     if (leader === null) {
       if (this.options.now() >= this.electionCooldownUntil) void this.acquire();
     } else if (leader.value.member === this.options.member) {
-      void this.endFormerTerm(leader.value);
+      void this.endPreviousTerm(leader.value);
     }
   }
 
@@ -103,7 +111,7 @@
     this.options.onLeadershipChange(false);
   }
 
-  /** Advances the fencing token within the same term, so that workers drop starts that are still in flight. */
+  /** Advances the fencing token within the current term, so that workers reject start commands still in flight. */
   async advanceFencingToken({ term, scheduler }: ActiveLeadership): Promise<void> {
     const epoch = term.epoch + 1;
     const result = await this.storeAdvancedEpoch(term, epoch);
@@ -125,12 +133,12 @@
     }
   }
 
-  /** The term is of the process that ran here before: nobody acts under it any more. */
-  private async endFormerTerm(leader: LeaderRecord): Promise<void> {
+  /** Revokes the lease of a term that was held by this node's previous process, which no longer runs. */
+  private async endPreviousTerm(leader: LeaderRecord): Promise<void> {
     this.state = { kind: "acquiring" };
     await this.keyValueClient.revokeLease(leader.leaseId);
     await this.watcher.readLatest();
-    this.endAcquiring();
+    this.returnToStandby();
   }
 
   private async acquire(): Promise<void> {
@@ -140,13 +148,13 @@
       if (candidacy === null) return;
       const result = await this.storeCandidacy(candidacy.leader);
       const hasRead = await this.watcher.readLatest();
-      if (!hasRead || !this.hasWon(candidacy.leader)) {
-        this.giveUp(candidacy.leader, result);
+      if (!hasRead || !this.isStoredLeader(candidacy.leader)) {
+        this.abandonCandidacy(candidacy.leader, result);
       } else if (this.state.kind === "acquiring") {
-        this.begin(candidacy);
+        this.beginTerm(candidacy);
       }
     } finally {
-      this.endAcquiring();
+      this.returnToStandby();
     }
   }
 
@@ -173,17 +181,17 @@
     );
   }
 
-  /** Whatever the transaction's result: only what is stored now tells who leads. */
-  private hasWon({ leaseId, epoch }: LeaderRecord): boolean {
+  /** Checks the stored leader, because the result of the transaction may be unknown. */
+  private isStoredLeader({ leaseId, epoch }: LeaderRecord): boolean {
     return this.replica.leader?.value.leaseId === leaseId && this.replica.epoch.value === epoch;
   }
 
-  private giveUp({ leaseId }: LeaderRecord, { kind }: TransactionResult): void {
+  private abandonCandidacy({ leaseId }: LeaderRecord, { kind }: TransactionResult): void {
     if (kind !== "failed") this.options.log.info({ outcome: kind }, "leadership not acquired");
     void this.keyValueClient.revokeLease(leaseId);
   }
 
-  private begin({ leader, grantSentAt }: Candidacy): void {
+  private beginTerm({ leader, grantSentAt }: Candidacy): void {
     const { leaseS, now, log, createScheduler, onLeadershipChange, performEffects } = this.options;
     const { epoch, leaseId, acquiredAtMs } = leader;
     const epochModRevision = this.replica.epoch.modRevision;
@@ -207,13 +215,13 @@
     void this.runRenewals(term);
   }
 
-  private endAcquiring(): void {
+  private returnToStandby(): void {
     if (this.state.kind === "acquiring") this.state = STANDBY;
   }
 
   /**
-   * Sends a renewal several times a lease, whether the one before it was answered or not. (A slow leader waited for each
-   * answer, which came late or not in time, and its lease expired between two renewals.)
+   * Sends renewals at a fixed interval, without waiting for the answer to the previous one. If a slow leader waits
+   * for each answer, its lease can expire between two renewals.
    */
   private async runRenewals(term: LeadershipTerm): Promise<void> {
     while (this.current?.term === term) {
@@ -230,9 +238,9 @@
     if (renewal.kind === "ok") {
       term.extendFrom(sentAt);
     } else if (renewal.kind === "expired") {
-      this.stepDown("the lease expired");
+      this.stepDown("the leadership lease expired");
     } else if (!term.isWithinGracePeriod(now(), leaseExtensionS)) {
-      this.stepDown("no renewal within the lease extension");
+      this.stepDown("no leadership lease renewal within the worker lease extension period");
     }
   }
 
--- a/src/node/machine-type-catalog.ts
+++ b/src/node/machine-type-catalog.ts
@@ -1,5 +1,8 @@
-/** The machine types that the cloud offers, stored as well for a start while the cloud is down. */
-// The default import, so that tests can mock the timer: a named import is bound before they do.
+/**
+ * The machine types that the cloud offers. They are also stored in the state service, so that a node can start while
+ * the cloud is unavailable.
+ */
+// Uses the default import because tests mock the timer: a named import would be bound before the mock is installed.
 import timers from "node:timers/promises";
 import type { CloudClient } from "../cloud/client.js";
 import type { MachineType } from "../core/model/machines.js";
@@ -10,23 +13,23 @@
 import type { StateWatcher } from "../state/state-watcher.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Worker leases between two requests for the catalog, as prices move. */
+/** Interval between two requests for the catalog, in worker leases. The requests repeat because prices change. */
 const REFRESH_LEASES = 10;
 
-/** What the catalog is read from and stored with. */
+/** Dependencies and callbacks of `MachineTypeCatalog`. */
 export interface MachineTypeCatalogOptions {
   readonly cluster: ClusterSettings;
   readonly cloud: CloudClient;
   readonly keyValueClient: KeyValueClient;
   readonly watcher: StateWatcher;
   readonly replica: StateReplica;
-  /** The cloud returned its catalog, changed or not. */
+  /** Called when the cloud returned its catalog, even if it is unchanged. */
   readonly onChange: (types: readonly MachineType[]) => void;
 }
 
 /** Keeps the machine types up to date. */
 export class MachineTypeCatalog {
-  /** Empty until the cloud or the state service returned some. */
+  /** The known types; empty until the cloud or the state service has returned some. */
   known: readonly MachineType[] = [];
   private stopped = false;
 
@@ -37,13 +40,13 @@
     this.stopped = true;
   }
 
-  /** Uses the stored types for as long as the cloud has returned none. */
+  /** Uses the stored types until the cloud has returned any. */
   loadFromReplica(): void {
     const { machineTypes } = this.options.replica;
     if (this.known.length === 0 && machineTypes !== null) this.known = machineTypes;
   }
 
-  /** Requests the catalog again and again until `stop`. */
+  /** Refreshes the catalog periodically until `stop`. */
   async run(): Promise<void> {
     const { cluster, cloud, onChange } = this.options;
     const { leaseS, cloudRps } = cluster;
@@ -56,7 +59,8 @@
       this.known = types;
       onChange(types);
       await this.persist(types);
-      // The wait must not keep a program alive that embeds a controller and has stopped it.
+      // The timer is unreferenced, so that it does not keep an embedding program alive after it stopped the
+      // controller.
       await timers.setTimeout(REFRESH_LEASES * 1000 * leaseS, undefined, { ref: false });
     }
   }
@@ -67,7 +71,7 @@
     const stored = replica.machineTypes;
     if (stored !== null && withoutPrices(stored) === withoutPrices(types)) return;
     if (JSON.stringify(types).length > cluster.valueKb * 1024) return;
-    // Conditional, so that a copy of the request that arrives late does not overwrite newer types.
+    // The write is conditional, so that a delayed duplicate of the request does not overwrite newer types.
     const modRevision = replica.machineTypesModRevision;
     await keyValueClient.transact(
       [{ key: KEY.machineTypes, modRevision }],
@@ -76,7 +80,9 @@
   }
 }
 
-/** A text to compare types by: prices move all the time, and a change of them is not worth a write. */
+/**
+ * Serializes types without prices for comparison: prices change often, and a price change does not justify a write.
+ */
 function withoutPrices(types: readonly MachineType[]): string {
   return JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0, price: 0 })));
 }
--- a/src/node/node-adapters.ts
+++ b/src/node/node-adapters.ts
@@ -1,4 +1,4 @@
-/** What connects a node with the services around it, and what it knows of them. */
+/** Clients of the services that a node uses, and other components that depend on no other component of the node. */
 import { CloudClient } from "../cloud/client.js";
 import type { OperatorSettings } from "../config/operator.js";
 import { StateReplica } from "../core/state/state-replica.js";
@@ -8,14 +8,14 @@
 import { WorkerClient } from "../workers/client.js";
 import { maxWorkerConnections } from "../workers/sockets.js";
 import { JobTracer } from "./job-tracer.js";
-import { type NodeLoad, newNodeLoad } from "./node-load.js";
+import { createNodeLoad, type NodeLoad } from "./node-load.js";
 import { type NodeTiming, nodeTiming } from "./node-timing.js";
 
-/** Components that depend on no other component of the node. */
+/** Service clients, the state replica and measurements of a node. */
 export interface NodeAdapters {
   readonly timing: NodeTiming;
   readonly load: NodeLoad;
-  /** Null: tracing is switched off. */
+  /** Null if tracing is disabled. */
   readonly tracer: JobTracer | null;
   readonly replica: StateReplica;
   readonly keyValueClient: KeyValueClient;
@@ -23,7 +23,7 @@
   readonly workers: WorkerClient;
 }
 
-/** The adapters of a node; none opens a connection yet. */
+/** Creates the adapters of a node, without opening connections. */
 export function createNodeAdapters(
   settings: NodeSettings,
   operator: OperatorSettings,
@@ -33,7 +33,7 @@
   const { requestTimeoutMs } = timing;
   return {
     timing,
-    load: newNodeLoad(cluster),
+    load: createNodeLoad(cluster),
     tracer: operator.tracingEnabled ? new JobTracer(member) : null,
     replica: new StateReplica(),
     keyValueClient: new KeyValueClient(stateServiceAddress, steadyNowS, requestTimeoutMs),
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -1,4 +1,4 @@
-/** Puts a node together: creates its components and connects their callbacks. */
+/** Composition root of a node: creates its components and connects their callbacks. */
 import type { Logger } from "pino";
 import type { AdmissionControl } from "../admission/index.js";
 import { CompletionWaiters } from "../api/completion-waiters.js";
@@ -20,14 +20,14 @@
 import { MachineTypeCatalog } from "./machine-type-catalog.js";
 import { createNodeAdapters, type NodeAdapters } from "./node-adapters.js";
 import { NodeHealth } from "./node-health.js";
-import { ReplicaChanges } from "./replica-changes.js";
+import { ReplicaChangeHandler } from "./replica-changes.js";
 import { StateContact } from "./state-contact.js";
-import { UserRequests } from "./user-requests.js";
-import { WorkerHeartbeats } from "./worker-heartbeats.js";
+import { UserRequestHandler } from "./user-requests.js";
+import { WorkerHeartbeatHandler } from "./worker-heartbeats.js";
 
 /**
- * All components of one node. Each is created after those that it is given; callbacks reach the others once
- * the node runs.
+ * All components of one node. A component is constructed after those that are passed to it; callbacks may use the
+ * other components once the node runs.
  */
 export class NodeComposition {
   readonly adapters: NodeAdapters;
@@ -36,14 +36,14 @@
   readonly leader: LeaderComposition;
   readonly peers: PeerMesh;
   readonly health: NodeHealth;
-  readonly userRequests: UserRequests;
-  readonly workerHeartbeats: WorkerHeartbeats;
+  readonly userRequests: UserRequestHandler;
+  readonly workerHeartbeats: WorkerHeartbeatHandler;
   private readonly admission: AdmissionControl | null;
   private readonly stateContact: StateContact;
   private readonly leaseExtension: LeaseExtension;
   private readonly standby: StandbyResponder;
   private readonly completionWaiters: CompletionWaiters;
-  private readonly replicaChanges: ReplicaChanges;
+  private readonly replicaChanges: ReplicaChangeHandler;
 
   constructor(
     private readonly settings: NodeSettings,
@@ -136,12 +136,15 @@
       watcher,
       machineTypes,
       admission,
-      onPoll: () => this.noteContacts(),
+      onPoll: () => this.recordContacts(),
     });
   }
 
-  /** What the node may do while it does not lead depends on whom it saw last, and when. */
-  private noteContacts(): void {
+  /**
+   * Records the times of the last contact with the state service and of the last stored leader. They decide whether a
+   * standby may answer heartbeats.
+   */
+  private recordContacts(): void {
     const { keyValueClient, replica } = this.adapters;
     if (this.watcher.isLoaded) this.leaseExtension.noteContact(keyValueClient.lastAnswerAt);
     if (replica.leader !== null) this.standby.noteLeaderSeen(steadyNowS());
@@ -173,10 +176,10 @@
     return new CompletionWaiters((id) => replica.finalRecords.has(id));
   }
 
-  private createReplicaChanges(): ReplicaChanges {
+  private createReplicaChanges(): ReplicaChangeHandler {
     const { standby, completionWaiters, machineTypes } = this;
     const { leadership, transactions } = this.leader;
-    return new ReplicaChanges({
+    return new ReplicaChangeHandler({
       now: steadyNowS,
       replica: this.adapters.replica,
       leadership,
@@ -208,11 +211,11 @@
     return new NodeHealth({ stateContact, peers, leadership: leader.leadership });
   }
 
-  private createUserRequests(): UserRequests {
+  private createUserRequests(): UserRequestHandler {
     const { settings, watcher, stateContact, machineTypes, completionWaiters, admission } = this;
     const { replica, tracer } = this.adapters;
     const submissionWriter = this.createSubmissionWriter();
-    return new UserRequests({
+    return new UserRequestHandler({
       cluster: settings.cluster,
       replica,
       watcher,
@@ -240,10 +243,10 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeats {
+  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
     const { settings, stateContact, health, standby, leader } = this;
     const { timing, replica, load } = this.adapters;
-    return new WorkerHeartbeats({
+    return new WorkerHeartbeatHandler({
       member: settings.member,
       timing,
       now: steadyNowS,
--- a/src/node/node-cycle.ts
+++ b/src/node/node-cycle.ts
@@ -1,4 +1,4 @@
-/** What a node does in one scheduling cycle. */
+/** One scheduling cycle of a node. */
 import type { AdmissionControl } from "../admission/index.js";
 import type { Effect } from "../core/effects.js";
 import type { StateWatcher } from "../state/state-watcher.js";
@@ -6,30 +6,29 @@
 import type { ActiveLeadership, Leadership } from "./leadership.js";
 import type { MachineTypeCatalog } from "./machine-type-catalog.js";
 
-/** Times in a heartbeat interval at which the leader checks whether admission must be limited. */
+/** Number of times per heartbeat interval at which the leader checks whether to limit admission. */
 const ADMISSION_UPDATES_PER_INTERVAL = 8;
 
-/** What takes part in a cycle. */
+/** Dependencies of `NodeCycle`. */
 export interface NodeCycleOptions {
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly heartbeatIntervalS: number;
   readonly watcher: StateWatcher;
   readonly machineTypes: MachineTypeCatalog;
   readonly leadership: Leadership;
   readonly transactions: LeaderTransactions;
-  /** Null: admission control is switched off. */
+  /** Null if admission control is disabled. */
   readonly admission: AdmissionControl | null;
   readonly performEffects: (effects: readonly Effect[]) => void;
 }
 
-/** Runs cycles: a standby campaigns, the leader schedules, updates admission and writes. */
+/** Runs cycles: a standby campaigns for leadership; the leader schedules, updates admission and writes. */
 export class NodeCycle {
   private nextAdmissionUpdateAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: NodeCycleOptions) {}
 
-  /** Runs one cycle. */
   run(): void {
     const { now, watcher, admission, leadership } = this.options;
     const startedAt = now();
@@ -51,7 +50,7 @@
     transactions.sendNext(leadership);
   }
 
-  /** Admission windows follow the load as the leader sees it. */
+  /** Updates the admission window to the leader's current view of the cluster load. */
   private updateAdmission({ term, scheduler }: ActiveLeadership, now: number): void {
     const { admission, heartbeatIntervalS } = this.options;
     if (admission === null || now < this.nextAdmissionUpdateAt) return;
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -1,28 +1,29 @@
-/** Whether a node is of use to users, and with whom it is in contact. */
+/** Health of a node, and its connectivity to the state service and to peers. */
 import type { NodeConnectivity } from "../core/leadership/standby-responder.js";
 import type { PeerMesh } from "../peers/peer-mesh.js";
 import type { Leadership } from "./leadership.js";
 import type { StateContact } from "./state-contact.js";
 
-/** Other nodes that are enough for the users: one may end and two are left. */
+/** Number of other nodes that suffices to serve users: if one of them fails, two are left. */
 const SUFFICIENT_PEERS = 3;
 
-/** What a node's health is judged by. */
+/** Dependencies of `NodeHealth`. */
 export interface NodeHealthOptions {
   readonly stateContact: StateContact;
   readonly peers: PeerMesh;
   readonly leadership: Leadership;
 }
 
-/** Health of one node, for load balancers and for its own decisions. */
+/** Determines the health of one node, for load balancers and for the node's own decisions. */
 export class NodeHealth {
   private isSheddingUsers = false;
 
   constructor(private readonly options: NodeHealthOptions) {}
 
   /**
-   * A node that alone cannot reach the state service is of no use to users. If no other reaches
-   * it either, it is down for all, and failed health checks would only delay the return.
+   * A node is unhealthy if it cannot reach the state service while another node can. If no node can reach it, the
+   * service is down for all, and failing the health check would only delay the recovery. Also unhealthy before the
+   * replica is loaded, and while the node sheds users.
    */
   isHealthy(): boolean {
     const { stateContact, peers } = this.options;
@@ -31,14 +32,15 @@
   }
 
   /**
-   * The leader has most to do: where enough others are in contact, they serve the users, who then notice
-   * neither its slow scheduling cycles nor its end.
+   * The leader has the most work. If enough other nodes are in contact, they serve the users, who are then not
+   * affected by slow scheduling cycles or by a failure of the leader.
    */
   shedsUsers(): boolean {
     if (this.options.leadership.current === null) {
       this.isSheddingUsers = false;
     } else {
-      // One peer fewer than it takes to begin, so that a single peer that comes and goes changes nothing.
+      // Hysteresis: shedding continues with one peer fewer than it takes to start, so that one unstable peer does not
+      // switch it on and off.
       const peersInContact = this.options.peers.peersInContact();
       this.isSheddingUsers =
         peersInContact >= SUFFICIENT_PEERS ||
@@ -47,7 +49,7 @@
     return this.isSheddingUsers;
   }
 
-  /** With whom this node is in contact now. */
+  /** Current connectivity of this node to the state service, peers and the leader. */
   connectivity(): NodeConnectivity {
     const { stateContact, peers } = this.options;
     return {
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -1,75 +1,77 @@
 /**
- * What this node spends its time on, for operators who size it: a line in the log every few heartbeat intervals
- * (docs/operations-sizing.md).
+ * Measures how a node spends its processor time, and reports it in the log every few heartbeat intervals. Operators
+ * use the reports to size a node (docs/operations-sizing.md).
  */
 import type { ClusterSettings } from "../core/model/settings.js";
 import { steadyNowS } from "../time/steady-clock.js";
 
-/** Heartbeat intervals between two lines. */
-const LINE_INTERVALS = 5;
+/** Heartbeat intervals between two reports. */
+const REPORT_INTERVALS = 5;
 
-/** What is counted: heartbeats answered, scheduling cycles, results of effects, and changes of the replica. */
+/**
+ * Measured activities: answering heartbeats, scheduling cycles, handling effect results, and handling replica
+ * changes.
+ */
 export const ACTIVITIES = ["heartbeats", "cycles", "effectResults", "replicaChanges"] as const;
-/** Something that a node spends its time on. */
 export type Activity = (typeof ACTIVITIES)[number];
 
-/** How often something was done, and for how many seconds in all. */
+/** Count and total duration of an activity. */
 interface ActivityTotals {
   count: number;
   seconds: number;
 }
 
-/** How often something was done in a second, and the share of the time that was spent on it. */
+/** Frequency of an activity, and the share of the time that was spent on it. */
 export interface ActivityRate {
   readonly perSecond: number;
   readonly share: number;
 }
 
-/** One line: the processor time used since the last one, and what was done in it. */
-export interface LoadLine {
-  /** Seconds since the last line. */
+/** A load report: processor time used since the previous report, and the activities in that time. */
+export interface LoadReport {
+  /** Seconds since the previous report. */
   readonly intervalS: number;
   /** Processor time used, as a share of a core. */
   readonly cpu: number;
-  /** The share of a core that the settings give. */
+  /** Share of a core that the settings give this node. */
   readonly cpuShare: number;
-  /** How late timers fire. */
+  /** Average timer lag, in milliseconds. */
   readonly lagMs: number;
   readonly heapMb: number;
   readonly residentMb: number;
   readonly activities: Readonly<Record<Activity, ActivityRate>>;
 }
 
-/** What the load is measured by. */
+/** Clocks and settings of `NodeLoad`. */
 export interface NodeLoadOptions {
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
-  /** Processor time that this process has used, in seconds. */
+  /** Processor time that this process has used so far, in seconds. */
   readonly cpuS: () => number;
   /** Memory of this process, in bytes. */
   readonly memory: () => { readonly heapUsed: number; readonly rss: number };
-  /** The share of a core that the settings give. */
+  /** Share of a core that the settings give this node. */
   readonly cpuShare: number;
-  /** Seconds between two lines. */
+  /** Seconds between two reports. */
   readonly lineIntervalS: number;
 }
 
 const BYTES_PER_MB = 2 ** 20;
 const rounded = (value: number): number => Math.round(value * 1000) / 1000;
 
-/** Counts and times the activities of a node. */
+/** Counts and times a node's activities. */
 export class NodeLoad {
   private readonly totals = new Map<Activity, ActivityTotals>();
-  private lastLineAt: number;
-  private cpuSAtLastLine: number;
+  private lastReportAt: number;
+  private cpuSAtLastReport: number;
 
   constructor(private readonly options: NodeLoadOptions) {
-    this.lastLineAt = options.now();
-    this.cpuSAtLastLine = options.cpuS();
+    this.lastReportAt = options.now();
+    this.cpuSAtLastReport = options.cpuS();
     this.resetTotals();
   }
 
-  /** Does the work, and counts it as that activity, also when it throws. */
+  /** Runs `work` and records it as `activity`, even if it throws. */
   measure<Result>(activity: Activity, work: () => Result): Result {
     const startedAt = this.options.now();
     try {
@@ -81,26 +83,28 @@
     }
   }
 
-  /** The line that is due, or null. `lagS`: how late timers fire. */
-  line(lagS: number): LoadLine | null {
+  /**
+   * Returns a report and resets the totals if a report is due; otherwise null. `lagS`: average timer lag in seconds.
+   */
+  line(lagS: number): LoadReport | null {
     const { now, cpuS, memory, cpuShare, lineIntervalS } = this.options;
-    const intervalS = now() - this.lastLineAt;
+    const intervalS = now() - this.lastReportAt;
     if (intervalS < lineIntervalS) return null;
     const cpuSNow = cpuS();
     const { heapUsed, rss } = memory();
-    const line: LoadLine = {
+    const report: LoadReport = {
       intervalS: rounded(intervalS),
-      cpu: rounded((cpuSNow - this.cpuSAtLastLine) / intervalS),
+      cpu: rounded((cpuSNow - this.cpuSAtLastReport) / intervalS),
       cpuShare,
       lagMs: Math.round(1000 * lagS),
       heapMb: Math.round(heapUsed / BYTES_PER_MB),
       residentMb: Math.round(rss / BYTES_PER_MB),
       activities: this.activityRates(intervalS),
     };
-    this.lastLineAt = now();
-    this.cpuSAtLastLine = cpuSNow;
+    this.lastReportAt = now();
+    this.cpuSAtLastReport = cpuSNow;
     this.resetTotals();
-    return line;
+    return report;
   }
 
   private activityRates(intervalS: number): Record<Activity, ActivityRate> {
@@ -119,8 +123,8 @@
   }
 }
 
-/** The load of this process. */
-export function newNodeLoad({ cpuShare, heartbeatIntervalS }: ClusterSettings): NodeLoad {
+/** Creates the load measurement of this process. */
+export function createNodeLoad({ cpuShare, heartbeatIntervalS }: ClusterSettings): NodeLoad {
   return new NodeLoad({
     now: steadyNowS,
     cpuS: () => {
@@ -129,6 +133,6 @@
     },
     memory: process.memoryUsage,
     cpuShare,
-    lineIntervalS: LINE_INTERVALS * heartbeatIntervalS,
+    lineIntervalS: REPORT_INTERVALS * heartbeatIntervalS,
   });
 }
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -1,4 +1,4 @@
-/** Passes changes of the stored state on to all of a node that depends on them. */
+/** Notifies the components of a node of changes in the stored state. */
 import type { CompletionWaiters } from "../api/completion-waiters.js";
 import type { StandbyResponder } from "../core/leadership/standby-responder.js";
 import type { ReplicaChange, StateReplica } from "../core/state/state-replica.js";
@@ -6,9 +6,9 @@
 import type { ActiveLeadership, Leadership } from "./leadership.js";
 import type { MachineTypeCatalog } from "./machine-type-catalog.js";
 
-/** What depends on the stored state. */
-export interface ReplicaChangesOptions {
-  /** Steady time, in seconds. */
+/** The replica, and the components that are notified of its changes. */
+export interface ReplicaChangeHandlerOptions {
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly leadership: Leadership;
@@ -18,11 +18,11 @@
   readonly machineTypes: MachineTypeCatalog;
 }
 
-/** Applies what changed in the replica. */
-export class ReplicaChanges {
-  constructor(private readonly options: ReplicaChangesOptions) {}
+/** Passes changes of the replica to the components that depend on it. */
+export class ReplicaChangeHandler {
+  constructor(private readonly options: ReplicaChangeHandlerOptions) {}
 
-  /** The replica applied these changes; null: it was read again as a whole. */
+  /** Handles changes that the replica has applied; null after a full read of the stored state. */
   apply(change: ReplicaChange | null): void {
     const { now, leadership, standby, completionWaiters, transactions, machineTypes } =
       this.options;
@@ -30,7 +30,7 @@
     if (leadership.current !== null) this.applyAsLeader(leadership.current, change, appliedAt);
     if (change === null) standby.noteLeaderSeen(appliedAt);
     completionWaiters.notifyChanged(change === null ? null : change.jobs);
-    if (change !== null) transactions.noteUserRequests(change.userRequests);
+    if (change !== null) transactions.recordUserRequestChanges(change.userRequests);
     machineTypes.loadFromReplica();
   }
 
@@ -41,10 +41,10 @@
   ): void {
     const { replica, leadership } = this.options;
     const epoch = replica.epoch.value;
-    // This node's own advance of the token changes the epoch as well.
+    // When this node advances its own fencing token, the stored epoch is higher than the term's as well.
     if (epoch > term.epoch && !leadership.fencingTokenAdvanceRequested) {
-      const member = replica.leader?.value.member ?? "another";
-      leadership.stepDown(`epoch ${epoch} was taken by ${member}`);
+      const member = replica.leader?.value.member ?? "another node";
+      leadership.stepDown(`epoch ${epoch} was acquired by ${member}`);
       return;
     }
     const ids = change === null ? replica.activeJobs.keys() : change.jobs;
--- a/src/node/scheduler-factory.ts
+++ b/src/node/scheduler-factory.ts
@@ -1,4 +1,4 @@
-/** Creates the scheduler of a new term. */
+/** Creates the scheduler of a new leadership term. */
 import type { Logger } from "pino";
 import type { OperatorSettings } from "../config/operator.js";
 import type { SchedulerOptions } from "../core/effects.js";
@@ -7,7 +7,7 @@
 import type { MachineTypeCatalog } from "./machine-type-catalog.js";
 import type { NodeTiming } from "./node-timing.js";
 
-/** What schedulers are created from. */
+/** Dependencies of `SchedulerFactory`. */
 export interface SchedulerFactoryOptions {
   readonly settings: NodeSettings;
   readonly operator: OperatorSettings;
@@ -16,11 +16,11 @@
   readonly log: Logger;
 }
 
-/** Creates schedulers that know the settings and the machine types. */
+/** Creates schedulers with this node's settings and the known machine types. */
 export class SchedulerFactory {
   constructor(private readonly options: SchedulerFactoryOptions) {}
 
-  /** A scheduler of the term with this epoch, whose key has this mod revision. */
+  /** Creates the scheduler for the term with this epoch. `epochModRevision`: mod revision of the stored epoch. */
   create(epoch: number, epochModRevision: number, now: number): Scheduler {
     const { settings, machineTypes } = this.options;
     const options = this.schedulerOptions();
@@ -49,7 +49,7 @@
   }
 }
 
-/** The number of other controllers in each zone. */
+/** Counts the other controllers in each zone. */
 function controllersPerZone({ peers }: NodeSettings): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { zone } of peers) counts.set(zone, (counts.get(zone) ?? 0) + 1);
--- a/src/node/scheduler-guard.ts
+++ b/src/node/scheduler-guard.ts
@@ -1,33 +1,33 @@
-/** Measures work of the scheduler, and keeps its faults from ending the process. */
+/** Measures scheduler work, and prevents its errors from ending the process. */
 import type { Logger } from "pino";
 import type { Leadership } from "./leadership.js";
 import type { Activity, NodeLoad } from "./node-load.js";
 
-/** What a guard measures by, and what it needs to step down. */
+/** Dependencies of `SchedulerGuard`. */
 export interface SchedulerGuardOptions {
   readonly leadership: Leadership;
   readonly load: NodeLoad;
   readonly log: Logger;
-  /** For how long the others campaign first after a fault. */
+  /** Time after an error in which this node does not campaign, so that another node can lead, in seconds. */
   readonly electionCooldownS: number;
 }
 
-/** Runs work of the scheduler, and steps down when it fails. */
+/** Runs scheduler work, and steps down if it throws. */
 export class SchedulerGuard {
   constructor(private readonly options: SchedulerGuardOptions) {}
 
   /**
-   * A fault must not end the process, nor leave a leader whose view may be half changed: whoever
-   * leads next starts from the stored state.
+   * An error must not end the process. The leader steps down because its in-memory state may be inconsistent; the
+   * next leader starts from the stored state.
    */
   run(activity: Activity, work: () => void): void {
     const { leadership, load, log, electionCooldownS } = this.options;
     try {
       load.measure(activity, work);
     } catch (error) {
-      log.error({ err: error as Error }, "scheduler fault");
+      log.error({ err: error as Error }, "unhandled scheduler error");
       leadership.startElectionCooldown(electionCooldownS);
-      leadership.stepDown("scheduler fault");
+      leadership.stepDown("unhandled scheduler error");
     }
   }
 }
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -1,35 +1,42 @@
-/** When a node runs scheduling cycles: at intervals, and soon after an input, with time left for answers in between. */
+/**
+ * Runs scheduling cycles at a fixed poll interval and soon after new input, with pauses that leave processor time for
+ * answering requests.
+ */
 import type { ClusterSettings } from "../core/model/settings.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Polls in a heartbeat interval when nothing comes in. */
+/** Polls per heartbeat interval when there is no input. */
 const POLLS_PER_INTERVAL = 20;
-/** Least rest between two cycles, as a share of the heartbeat interval. */
-const MINIMUM_REST_SHARE = 1 / 100;
-/** Rest after a cycle, as a ratio to its duration; and the same while more comes in than can be done. */
-const REST_RATIO = 2;
-const OVERLOADED_REST_RATIO = 8;
-/** Lag of timers from which a node is overloaded, as a share of the heartbeat interval. */
+/** Shortest pause between two cycles, as a share of the heartbeat interval. */
+const MINIMUM_PAUSE_SHARE = 1 / 100;
+/**
+ * Pause after a cycle, as a multiple of the cycle's duration: in normal operation, and while the node is overloaded.
+ */
+const PAUSE_RATIO = 2;
+const OVERLOADED_PAUSE_RATIO = 8;
+/** Average timer lag above which a node counts as overloaded, as a share of the heartbeat interval. */
 const OVERLOADED_LAG_SHARE = 1 / 30;
-/** Weight of the last measurement of the lag in its moving average. */
+/** Weight of the latest measurement in the moving average of the timer lag. */
 const LAG_SMOOTHING = 0.3;
 
-/** What the loop runs, and the callbacks that receive its measurements. */
+/** Callbacks that the loop runs, and callbacks that receive its measurements. */
 export interface SchedulingLoopOptions {
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly settings: Pick<ClusterSettings, "heartbeatIntervalS">;
-  /** Called at each poll, before the cycle that may be due. */
+  /** Called at each poll, before a due cycle is run. */
   readonly onPoll: () => void;
   /** Runs one scheduling cycle. */
   readonly runCycle: () => void;
-  /** Receives the duration of each cycle, and how long after the end of the last one it began, in seconds. */
+  /**
+   * Receives the duration of each cycle, and the time from the end of the previous cycle to its start, in seconds.
+   */
   readonly onCycleEnd: (durationS: number, sinceLastCycleS: number) => void;
-  /** Receives after each poll how late timers fire on average, in seconds, and whether that is too much. */
+  /** Receives the average timer lag in seconds after each poll, and whether the node is overloaded by it. */
   readonly onLag: (lagS: number, isOverloaded: boolean) => void;
 }
 
-/** Spaces the scheduling cycles of a node. */
+/** Schedules the cycles of a node. */
 export class SchedulingLoop {
   private isQueued = false;
   private nextCycleAt = Number.NEGATIVE_INFINITY;
@@ -40,26 +47,26 @@
 
   constructor(private readonly options: SchedulingLoopOptions) {}
 
-  /** Polls until `stop`, and runs a cycle at each poll unless the rest after the last one still lasts. */
+  /** Polls until `stop`. Runs a cycle at each poll unless the pause after the previous cycle has not ended. */
   async run(): Promise<void> {
     const { now, settings, onPoll, onLag } = this.options;
     const pollIntervalS = settings.heartbeatIntervalS / POLLS_PER_INTERVAL;
     while (!this.stopped) {
       onPoll();
       if (now() >= this.nextCycleAt) this.runCycle();
-      const sleptFrom = now();
+      const sleepStartedAt = now();
       await sleepSeconds(pollIntervalS);
-      this.updateLag(now() - sleptFrom - pollIntervalS);
+      this.updateLag(now() - sleepStartedAt - pollIntervalS);
       onLag(this.lagS, this.isOverloaded);
     }
   }
 
-  /** Ends the loop. No cycle begins after this. */
+  /** Ends the loop; no further cycle starts. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Input arrived: the next cycle runs as soon as the rest after the last one ends. */
+  /** Requests a cycle for new input; it runs as soon as the pause after the previous cycle ends. */
   requeue(): void {
     if (this.isQueued) return;
     this.isQueued = true;
@@ -70,14 +77,14 @@
     }, 1000 * delayS);
   }
 
-  /** A sleep that lasted far longer than requested means that more arrives than can be handled. */
+  /** A sleep that lasts much longer than requested shows that the event loop is overloaded. */
   private updateLag(measuredS: number): void {
     this.lagS = (1 - LAG_SMOOTHING) * this.lagS + LAG_SMOOTHING * measuredS;
     const { heartbeatIntervalS } = this.options.settings;
     this.isOverloaded = this.lagS > OVERLOADED_LAG_SHARE * heartbeatIntervalS;
   }
 
-  /** Cycles are spaced, so that whatever they cost, as much time is left for answers. */
+  /** Runs a cycle and sets the pause after it in proportion to its duration, which leaves time to answer requests. */
   private runCycle(): void {
     const { now, settings, runCycle, onCycleEnd } = this.options;
     const startedAt = now();
@@ -86,8 +93,8 @@
     const durationS = endedAt - startedAt;
     onCycleEnd(durationS, startedAt - this.lastCycleEndedAt);
     this.lastCycleEndedAt = endedAt;
-    const restS = durationS * (this.isOverloaded ? OVERLOADED_REST_RATIO : REST_RATIO);
-    const minimumRestS = MINIMUM_REST_SHARE * settings.heartbeatIntervalS;
-    this.nextCycleAt = endedAt + Math.max(minimumRestS, restS);
+    const pauseS = durationS * (this.isOverloaded ? OVERLOADED_PAUSE_RATIO : PAUSE_RATIO);
+    const minimumPauseS = MINIMUM_PAUSE_SHARE * settings.heartbeatIntervalS;
+    this.nextCycleAt = endedAt + Math.max(minimumPauseS, pauseS);
   }
 }
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -1,29 +1,29 @@
-/** Whether a node is in contact with the state service. */
+/** Detects whether a node is in contact with the state service. */
 import type { KeyValueClient } from "../state/key-value-client.js";
 import type { StateWatcher } from "../state/state-watcher.js";
 
-/** What contact with the state service is judged by. */
+/** Dependencies of `StateContact`. */
 export interface StateContactOptions {
   readonly keyValueClient: KeyValueClient;
   readonly watcher: StateWatcher;
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
-  /** Longest time between two answers that counts as contact. */
+  /** Longest time since the last answer at which the node still counts as in contact, in seconds. */
   readonly maximumContactGapS: number;
 }
 
-/** Knows whether the state service answered recently. */
+/** Determines contact with the state service from the time of its last answer. */
 export class StateContact {
   constructor(private readonly options: StateContactOptions) {}
 
-  /** The replica holds the stored state, current or not. */
+  /** True if the replica has been loaded; it may be out of date. */
   get isLoaded(): boolean {
     return this.options.watcher.isLoaded;
   }
 
   /**
-   * A watch ends several times within the longest gap, so a longer one means that this node is partitioned from the
-   * service.
+   * Watches return several times within `maximumContactGapS`, so a longer time without an answer means that this node
+   * is partitioned from the service.
    */
   reachesStateService(): boolean {
     const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
--- a/src/node/user-requests.ts
+++ b/src/node/user-requests.ts
@@ -1,4 +1,4 @@
-/** What users ask of a node: reads, submissions and cancellations of jobs. */
+/** Serves users' requests: reads, submissions and cancellations of jobs. */
 import type { AdmissionControl } from "../admission/index.js";
 import type { CompletionWaiters } from "../api/completion-waiters.js";
 import {
@@ -21,8 +21,8 @@
 import type { MachineTypeCatalog } from "./machine-type-catalog.js";
 import type { StateContact } from "./state-contact.js";
 
-/** What users' requests are answered with. */
-export interface UserRequestsOptions {
+/** Dependencies of `UserRequestHandler`. */
+export interface UserRequestHandlerOptions {
   readonly cluster: ClusterSettings;
   readonly replica: StateReplica;
   readonly watcher: StateWatcher;
@@ -31,23 +31,23 @@
   readonly submissions: SubmissionService;
   readonly submissionWriter: SubmissionWriter;
   readonly completionWaiters: CompletionWaiters;
-  /** Null: admission control is switched off. */
+  /** Null if admission control is disabled. */
   readonly admission: AdmissionControl | null;
-  /** Null: tracing is switched off. */
+  /** Null if tracing is disabled. */
   readonly tracer: JobTracer | null;
 }
 
-/** The part of the server's backend that serves users. */
+/** The methods of the API backend that serve users. */
 type UserBackend = Pick<
   ApiBackend,
   "readJob" | "checkFeasibility" | "submit" | "cancel" | "waitForEnd"
 >;
 
-/** Serves users' requests, on any node, whether it leads or not. */
-export class UserRequests implements UserBackend {
-  constructor(private readonly options: UserRequestsOptions) {}
+/** Serves users' requests on any node, leader or standby. */
+export class UserRequestHandler implements UserBackend {
+  constructor(private readonly options: UserRequestHandlerOptions) {}
 
-  /** A job's state by a linearizable read. */
+  /** Returns a job's state, by a linearizable read. */
   async readJob(id: string): Promise<JobReadResult> {
     const { stateContact, watcher, replica } = this.options;
     if (!stateContact.reachesStateService()) return UNAVAILABLE;
@@ -56,7 +56,7 @@
     return job === null ? { kind: "not found" } : { kind: "found", job };
   }
 
-  /** Can the job ever run, by the machine types that are known? */
+  /** Tells whether a job can ever run on the known machine types, and whether its team exists. */
   checkFeasibility(spec: JobSpec): Feasibility {
     const { cluster, machineTypes } = this.options;
     if (!cluster.teams.some((team) => team.name === spec.team)) return { kind: "infeasible" };
@@ -64,7 +64,7 @@
     return { kind: canEverRun(spec, cluster, machineTypes.known) ? "feasible" : "infeasible" };
   }
 
-  /** Stores a job, if admission allows it. */
+  /** Stores a job if admission control accepts it. */
   async submit(spec: JobSpec): Promise<SubmissionOutcome> {
     const { stateContact, submissions, tracer, admission } = this.options;
     if (!stateContact.reachesStateService()) return UNAVAILABLE;
@@ -76,7 +76,7 @@
     }));
   }
 
-  /** Stores that the user cancelled a job. */
+  /** Stores the cancellation of a job. */
   async cancel(id: string): Promise<WriteResult> {
     const { stateContact, replica, submissionWriter } = this.options;
     if (!stateContact.reachesStateService()) return UNAVAILABLE;
@@ -85,16 +85,17 @@
   }
 
   /**
-   * The end of a job whose cancellation is stored, as soon as it is stored as well. Where that takes
-   * longer than a third of a heartbeat interval (machines that hang or are partitioned, no leader), the user is
-   * told to retry later; the cancellation stays stored, and is carried out meanwhile.
+   * Waits until the end of a cancelled job is stored, and returns the job's state; null after `withinS` seconds. The
+   * server waits a third of a heartbeat interval. If the end takes longer (a machine hangs or is partitioned, or
+   * there is no leader), it tells the user to retry later; the cancellation remains stored and is carried out in the
+   * meantime.
    */
   async waitForEnd(id: string, withinS: number): Promise<JobView | null> {
     const { completionWaiters, replica } = this.options;
     return (await completionWaiters.waitFor(id, 1000 * withinS)) ? replica.view(id) : null;
   }
 
-  /** Types that do not exist change nothing, and could make the stored value too large. */
+  /** Removes unknown machine types from a job: they have no effect, and could make the stored value too large. */
   private withoutUnknownTypes(spec: JobSpec): JobSpec {
     const { known } = this.options.machineTypes;
     const types = spec.types?.filter((name) => known.some((type) => type.name === name)) ?? null;
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -1,4 +1,4 @@
-/** What a node answers to workers' heartbeats, as the leader, as a former leader and as a standby. */
+/** Answers worker heartbeats, whether the node is the leader, a former leader in its grace period, or a standby. */
 import type { HeartbeatBackend } from "../api/heartbeats.js";
 import type { HeartbeatAnswer } from "../api/outcomes.js";
 import type { Effect } from "../core/effects.js";
@@ -11,12 +11,12 @@
 import type { NodeTiming } from "./node-timing.js";
 import type { StateContact } from "./state-contact.js";
 
-/** What heartbeats are answered with. */
-export interface WorkerHeartbeatsOptions {
+/** Dependencies of `WorkerHeartbeatHandler`. */
+export interface WorkerHeartbeatHandlerOptions {
   /** The name of this node. */
   readonly member: string;
   readonly timing: NodeTiming;
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly stateContact: StateContact;
@@ -25,15 +25,15 @@
   readonly standby: StandbyResponder;
   readonly load: NodeLoad;
   readonly performEffects: (effects: readonly Effect[]) => void;
-  /** The scheduler handled a heartbeat: there may be something to schedule. */
+  /** Called after the scheduler handled a heartbeat, which may allow new placements. */
   readonly onHeartbeatHandled: () => void;
 }
 
-/** Answers heartbeats, or names the node that does. */
-export class WorkerHeartbeats implements HeartbeatBackend {
-  constructor(private readonly options: WorkerHeartbeatsOptions) {}
+/** Answers heartbeats, or redirects workers to the leader. */
+export class WorkerHeartbeatHandler implements HeartbeatBackend {
+  constructor(private readonly options: WorkerHeartbeatHandlerOptions) {}
 
-  /** Answers a heartbeat that was read. */
+  /** Answers a decoded heartbeat. */
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer {
     const { now, leadership, load, standby, health, replica, member } = this.options;
     const receivedAt = now();
@@ -48,7 +48,11 @@
     return { kind: "redirect", leader: leader === member ? null : leader };
   }
 
-  /** The leader, if this node is in contact with all that matters and another leads: no heartbeat need be read. */
+  /**
+   * The leader's name, if this node is certain that another node leads; otherwise null. Heartbeats can then be
+   * redirected without being decoded. Not certain while a new leader is settling, or without contact to the state
+   * service.
+   */
   redirectTarget(): string | null {
     const { replica, leadership, member, stateContact, standby } = this.options;
     const leader = replica.leader?.value.member;
@@ -66,14 +70,17 @@
     const { term, scheduler } = leading;
     if (!term.mayAct(receivedAt)) return this.handleInGracePeriod(leading, heartbeat, receivedAt);
     const { commands, effects } = scheduler.handleHeartbeat(heartbeat, receivedAt);
-    // Its effects may end the term.
+    // Performing the effects may end the term.
     const fencingToken = term.epoch;
     this.options.performEffects(effects);
     this.options.onHeartbeatHandled();
     return { kind: "answer", fencingToken, commands };
   }
 
-  /** A former leader may not act, but keeps leases alive for a bounded time, without commands. */
+  /**
+   * A former leader may not send commands, but extends worker leases for a bounded time by answering heartbeats
+   * without commands.
+   */
   private handleInGracePeriod(
     { term, scheduler }: ActiveLeadership,
     heartbeat: WorkerHeartbeat,
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -1,14 +1,17 @@
 /**
- * Peer heartbeats, which controllers send one another, as bytes:
+ * Heartbeat that controllers send to each other. Binary layout (byte offsets, big-endian):
  *
- *   0      magic 0x50          1      kind (1: heartbeat)
- *   2..3   length of the rest  4      flags (1: reaches the state service, 2: holds leadership)
- *   5..12  epoch it knows      13     its zone, by its place in the settings
+ *   0      magic byte 0x50
+ *   1      message kind (1: heartbeat)
+ *   2..3   payload length: number of bytes after this field
+ *   4      flags (1: reaches the state service, 2: holds leadership)
+ *   5..12  largest known epoch
+ *   13     index of the sender's zone in the settings
  */
 export interface PeerHeartbeat {
   readonly reachesStateService: boolean;
   readonly holdsLeadership: boolean;
-  /** The largest epoch that the sender knows of. */
+  /** Largest epoch that the sender knows of. */
   readonly epoch: number;
   /** Index of the sender's zone in the settings. */
   readonly zoneIndex: number;
@@ -24,15 +27,15 @@
 
 const OFFSET = { magic: 0, kind: 1, length: 2, flags: 4, epoch: 5, zone: 13 } as const;
 
-/** The bytes were not sent by a controller. */
-export class ForeignPeerMessageError extends Error {
+/** The received bytes do not start with the magic byte of a peer message, so the sender is not a controller. */
+export class InvalidPeerMessageError extends Error {
   constructor() {
     super("not a message of ours");
-    this.name = "ForeignPeerMessageError";
+    this.name = "InvalidPeerMessageError";
   }
 }
 
-/** The bytes of one message. */
+/** Encodes one heartbeat message. */
 export function encodePeerHeartbeat(heartbeat: PeerHeartbeat): Buffer {
   const flags =
     (heartbeat.reachesStateService ? FLAG_REACHES_STATE_SERVICE : 0) |
@@ -47,16 +50,16 @@
   return bytes;
 }
 
-/** Takes whole messages from the front of a stream; kinds that it does not know are skipped. */
+/** Decodes heartbeats from a byte stream. Messages of unknown kinds are skipped. */
 export class PeerHeartbeatReader {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** The heartbeats that are complete with this chunk. Throws a `ForeignPeerMessageError`. */
+  /** Returns the heartbeats that this chunk completes. Throws an `InvalidPeerMessageError` on a wrong magic byte. */
   feed(chunk: Buffer): PeerHeartbeat[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const heartbeats: PeerHeartbeat[] = [];
     while (this.pending.length >= HEADER_BYTES) {
-      if (this.pending.readUInt8(OFFSET.magic) !== MAGIC_BYTE) throw new ForeignPeerMessageError();
+      if (this.pending.readUInt8(OFFSET.magic) !== MAGIC_BYTE) throw new InvalidPeerMessageError();
       const payloadBytes = this.pending.readUInt16BE(OFFSET.length);
       if (this.pending.length < HEADER_BYTES + payloadBytes) break;
       const kind = this.pending.readUInt8(OFFSET.kind);
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -1,28 +1,31 @@
-/** Connections between controllers: each sends its peer heartbeat to all others, several times a heartbeat interval. */
+/**
+ * Heartbeat connections between controllers. Each controller sends its heartbeat to all peers, several times per
+ * worker heartbeat interval.
+ */
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { parseAddress } from "../net/address.js";
 import { encodePeerHeartbeat, type PeerHeartbeat, PeerHeartbeatReader } from "./codec.js";
 
-/** A peer counts as in contact for so many of its heartbeat intervals. */
+/** Number of peer heartbeat intervals after its last heartbeat for which a peer counts as in contact. */
 const CONTACT_INTERVALS = 4;
-/** An outbound connection is given up if it is not established within so many intervals. */
+/** Timeout for establishing an outbound connection, in peer heartbeat intervals. */
 const CONNECT_INTERVALS = 4;
-/** An inbound connection is closed after so many intervals without a byte. */
+/** Idle timeout of an inbound connection, in peer heartbeat intervals. */
 const IDLE_INTERVALS = 40;
-/** Heartbeats that may wait in a socket's buffer. */
+/** Maximum number of heartbeats buffered for sending on one socket. */
 const MAX_BUFFERED_HEARTBEATS = 10;
 
-/** What a `PeerMesh` works with. */
+/** Addresses, timing and heartbeat source of `PeerMesh`. */
 export interface PeerMeshOptions {
-  /** `host:port` at which peers send their heartbeats. */
+  /** `host:port` on which this controller receives the heartbeats of its peers. */
   readonly listenAddress: string;
   /** `host:port` of each peer. */
   readonly peerAddresses: readonly string[];
-  /** Steady time, in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
-  /** Seconds between two heartbeats to a peer. */
+  /** Interval between two heartbeats to a peer, in seconds. */
   readonly heartbeatIntervalS: number;
-  /** What to send now. */
+  /** Returns the heartbeat to send now. */
   readonly currentHeartbeat: () => PeerHeartbeat;
 }
 
@@ -31,43 +34,45 @@
   socket: Socket | null;
 }
 
-/** Sends this controller's heartbeat to its peers, and knows from theirs who is in contact. */
+/**
+ * Sends this controller's heartbeat to its peers, and tracks contact with them by the heartbeats that it receives.
+ */
 export class PeerMesh {
   private server: Server | null = null;
   private readonly links: readonly PeerLink[];
   private timer: NodeJS.Timeout | null = null;
   private readonly inbound = new Set<Socket>();
-  /** Steady time of the last heartbeat of each inbound connection whose sender reaches the state service. */
+  /** For each inbound connection: steady-clock time of the last heartbeat whose sender reached the state service. */
   private readonly lastHeartbeatAt = new Map<Socket, number>();
-  /** Steady time of the last heartbeat whose sender reaches the state service. */
+  /** Steady-clock time of the last heartbeat from any peer that reached the state service. */
   private lastStateContactAt = Number.NEGATIVE_INFINITY;
-  /** Steady time of the last heartbeat of a leader. */
+  /** Steady-clock time of the last heartbeat from a leader. */
   private lastLeaderHeartbeatAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: PeerMeshOptions) {
     this.links = options.peerAddresses.map((address) => ({ address, socket: null }));
   }
 
-  /** Another controller reached the state service a moment ago. */
+  /** True if a peer sent a heartbeat within `CONTACT_INTERVALS` that says it reaches the state service. */
   anyPeerReachesStateService(): boolean {
-    return this.isRecent(this.lastStateContactAt);
+    return this.isWithinContactTime(this.lastStateContactAt);
   }
 
-  /** The number of other controllers that reached the state service a moment ago. */
+  /** Number of peers that sent such a heartbeat within `CONTACT_INTERVALS`. */
   peersInContact(): number {
     let count = 0;
     for (const heartbeatAt of this.lastHeartbeatAt.values()) {
-      if (this.isRecent(heartbeatAt)) count++;
+      if (this.isWithinContactTime(heartbeatAt)) count++;
     }
     return count;
   }
 
-  /** A leader, whether it may act or not, sent a heartbeat a moment ago. */
+  /** True if a leader sent a heartbeat within `CONTACT_INTERVALS`, even if its term no longer allows it to act. */
   isLeaderInContact(): boolean {
-    return this.isRecent(this.lastLeaderHeartbeatAt);
+    return this.isWithinContactTime(this.lastLeaderHeartbeatAt);
   }
 
-  /** Rejects if the address can't be listened on. */
+  /** Listens for peers and starts to send heartbeats; rejects if it cannot listen on the address. */
   async start(): Promise<void> {
     const server = createServer((socket) => void this.receive(socket));
     this.server = server;
@@ -76,7 +81,7 @@
       server.once("error", reject);
       server.listen(port, host, resolve);
     });
-    // With no socket left none can be accepted; that must not end the process.
+    // Accepting a connection fails if no socket is left; this error must not end the process.
     server.on("error", () => {});
     this.timer = setInterval(() => this.sendHeartbeats(), this.options.heartbeatIntervalS * 1000);
   }
@@ -88,31 +93,31 @@
     this.server?.close();
   }
 
-  private isRecent(heartbeatAt: number): boolean {
+  private isWithinContactTime(heartbeatAt: number): boolean {
     return this.options.now() - heartbeatAt < CONTACT_INTERVALS * this.options.heartbeatIntervalS;
   }
 
-  /** Never rejects. */
+  /** Reads heartbeats from an inbound connection until it closes. Never rejects. */
   private async receive(socket: Socket): Promise<void> {
     this.inbound.add(socket);
     socket.on("error", () => {});
-    // A sender that became unreachable without closing must not keep a socket for ever.
+    // Frees the socket of a sender that became unreachable without closing its connection.
     const idleMs = 1000 * IDLE_INTERVALS * this.options.heartbeatIntervalS;
     socket.setTimeout(idleMs, () => socket.destroy());
     const reader = new PeerHeartbeatReader();
     try {
       for await (const chunk of socket) {
-        for (const heartbeat of reader.feed(chunk as Buffer)) this.note(socket, heartbeat);
+        for (const heartbeat of reader.feed(chunk as Buffer)) this.record(socket, heartbeat);
       }
     } catch {
-      // The connection broke, or its sender is no controller.
+      // The connection failed, or the sender is not a controller.
     }
     this.inbound.delete(socket);
     this.lastHeartbeatAt.delete(socket);
     socket.destroy();
   }
 
-  private note(socket: Socket, heartbeat: PeerHeartbeat): void {
+  private record(socket: Socket, heartbeat: PeerHeartbeat): void {
     const now = this.options.now();
     if (heartbeat.reachesStateService) {
       this.lastStateContactAt = now;
@@ -127,7 +132,7 @@
     for (const link of this.links) {
       const { socket } = link;
       if (socket === null) this.openLink(link);
-      // A late heartbeat is worth nothing: what cannot be sent now is dropped.
+      // A delayed heartbeat is useless, so it is dropped if the send buffer is full.
       else if (!socket.connecting && socket.writableLength < maxBuffered) socket.write(bytes);
     }
   }
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -1,8 +1,8 @@
 /**
- * Client of the key-value store that holds the cluster's state, through its protocol.
+ * Client of the key-value store that holds the cluster's state.
  *
- * Results tell apart what was certainly not done from what may have been done: no method rejects because a request
- * failed.
+ * No method rejects because a request failed. Results distinguish requests that were certainly not executed from
+ * those that may have been executed.
  */
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import {
@@ -20,31 +20,33 @@
 import { decode, encode } from "../wire/msgpack.js";
 import { PATH } from "../wire/names.js";
 
-/** Connections for requests that are answered at once, and for watches that block. */
+/** Maximum number of connections for requests that are answered immediately, and for blocking watches. */
 const REQUEST_CONNECTIONS = 32;
 const WATCH_CONNECTIONS = 4;
 const KEYS_PER_PAGE = 1000;
-/** Request timeouts that a page of a full read may take. */
-const PAGE_TIMEOUTS = 3;
+/** Timeout of one page of a full read, as a multiple of the request timeout. */
+const PAGE_TIMEOUT_FACTOR = 3;
 
-/** How a transaction ended. */
+/** Result of a transaction. */
 export type TransactionResult =
   | { readonly kind: "ok"; readonly revision: number }
-  /** Not executed: preconditions on these keys did not hold. */
+  /** Not executed, because the preconditions on these keys did not hold. */
   | { readonly kind: "failed"; readonly keys: readonly string[] }
-  /** Certainly not executed: over a limit, or the store is not available to us. Status 0: no request was sent. */
+  /**
+   * Certainly not executed: over a limit, or the store is unavailable to this node. Status 0: no request was sent.
+   */
   | { readonly kind: "refused"; readonly status: number }
-  /** May have been executed, or may yet be. */
+  /** May have been executed, or may still be executed later. */
   | { readonly kind: "unknown" };
 
-/** How a watch ended. */
+/** Result of a watch. */
 export type WatchResult =
   | { readonly kind: "ok"; readonly revision: number; readonly events: readonly ChangeEvent[] }
-  /** The store keeps no changes from so far back: only a full read helps. */
+  /** The store no longer keeps the changes since the requested revision; a full read is required. */
   | { readonly kind: "compacted" }
   | { readonly kind: "failed" };
 
-/** How a full read ended. */
+/** Result of a full read. */
 export type ReadAllResult =
   | {
       readonly kind: "ok";
@@ -54,16 +56,16 @@
     }
   | { readonly kind: "failed" };
 
-/** How a request for a lease ended. */
+/** Result of a request for a lease. */
 export type LeaseGrant =
   | { readonly kind: "ok"; readonly leaseId: number }
   | { readonly kind: "failed" };
 
-/** How the renewal of a lease ended. */
+/** Result of a lease renewal. */
 export type LeaseRenewal =
   | { readonly kind: "ok" }
   | { readonly kind: "expired" }
-  /** No answer, or none that tells: the lease may have been renewed. */
+  /** No answer, or an inconclusive one; the lease may have been renewed. */
   | { readonly kind: "failed" };
 
 type CallResult =
@@ -80,11 +82,11 @@
 
 const FAILED = { kind: "failed" } as const;
 
-/** Requests to the state service; no method rejects when it does not answer. */
+/** Sends requests to the state service; no method rejects if the service does not answer. */
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
-  /** Steady time, in seconds, at which the store last answered other than by refusing. */
+  /** Steady-clock time, in seconds, of the last answer with a status other than 429 and below 500. */
   lastAnswerAt = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -96,13 +98,13 @@
     this.watchPool = new HttpConnectionPool(address, WATCH_CONNECTIONS);
   }
 
-  /** Closes the connections; no request may follow. */
+  /** Closes the connections. No request may be made afterwards. */
   close(): void {
     this.requestPool.close();
     this.watchPool.close();
   }
 
-  /** Carries out all changes if all preconditions hold (compare-and-swap). */
+  /** Atomically applies all changes if all preconditions hold (compare-and-swap). */
   async transact(
     preconditions: readonly Precondition[],
     changes: readonly Change[],
@@ -122,7 +124,7 @@
     return { kind: "ok", revision: decoded.revision };
   }
 
-  /** Everything, page by page. */
+  /** Reads all keys, page by page. */
   async readAll(): Promise<ReadAllResult> {
     const items: KeyValueItem[] = [];
     let revision = -1;
@@ -137,7 +139,7 @@
     }
   }
 
-  /** Changes after a revision; waits up to `blockMs` until there is one. */
+  /** Reads the changes after a revision; the store waits up to `blockMs` milliseconds for a change. */
   async watch(revision: number, blockMs: number): Promise<WatchResult> {
     const result = await this.call({
       method: "GET",
@@ -176,7 +178,7 @@
     }
   }
 
-  /** Best effort: a lease that is not revoked expires. */
+  /** Revokes a lease, best effort: if the request fails, the lease expires by itself. */
   async revokeLease(leaseId: number): Promise<void> {
     await this.call({ method: "DELETE", path: `${PATH.leases}/${leaseId}` });
   }
@@ -186,7 +188,7 @@
     const result = await this.call({
       method: "GET",
       path: `${PATH.keyValues}?prefix=${since}&most=${KEYS_PER_PAGE}`,
-      timeoutMs: PAGE_TIMEOUTS * this.timeoutMs,
+      timeoutMs: PAGE_TIMEOUT_FACTOR * this.timeoutMs,
     });
     if (result.kind === "no response" || result.response.status !== 200) return null;
     return decodeRange(decode(result.response.body));
--- a/src/state/state-watcher.ts
+++ b/src/state/state-watcher.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps a node's replica of the stored state up to date, and lets many readers share one linearizable read.
+ * Keeps a node's replica of the stored state up to date, and provides linearizable reads that concurrent readers
+ * share.
  *
- * No user may be answered from the replica alone: another node may have answered with something newer a moment ago. So
- * whoever wants to answer waits for a read that began after its request; all who wait share one.
+ * A user must not be answered from the replica alone, because another node may already have answered with newer
+ * state. Each reader waits for a read of the store that starts after its request; all waiting readers share one read.
  */
 
 import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
@@ -10,34 +11,34 @@
 import { sleepSeconds } from "../time/sleep.js";
 import type { KeyValueClient, WatchResult } from "./key-value-client.js";
 
-/** Gets everything that was read, in its order, before anybody acts on it. */
+/** Receives everything that is read, in order, before `onChange` is called. */
 export interface ChangeObserver {
   reset(items: readonly KeyValueItem[], revision: number): void;
   apply(events: readonly ChangeEvent[], revision: number): void;
 }
 
-/** Collaborators and intervals of `StateWatcher`. */
+/** Dependencies, intervals and callbacks of `StateWatcher`. */
 export interface StateWatcherOptions {
   readonly keyValueClient: KeyValueClient;
   readonly replica: StateReplica;
-  /** Steady time in seconds. */
+  /** Current time of the steady clock, in seconds. */
   readonly now: () => number;
-  /** Least time between two linearizable reads, and between two watches, in seconds. */
+  /** Shortest time between two linearizable reads, and between two watches, in seconds. */
   readonly minimumIntervalS: number;
-  /** Time for which the store may hold a watch back until there is a change, in milliseconds. */
+  /** Longest time for which the store may delay the answer to a watch until there is a change, in milliseconds. */
   readonly blockMs: number;
-  /** The replica changed; null: it was read afresh. */
+  /** Called after the replica changed; with null after a full read. */
   readonly onChange: (change: ReplicaChange | null) => void;
-  /** Null: there is none. */
+  /** Null if there is no observer. */
   readonly observer: ChangeObserver | null;
 }
 
-/** Minimum intervals to wait after a failed request. */
-const INTERVALS_AFTER_FAILURE = 4;
+/** Delay after a failed request, as a multiple of the minimum interval. */
+const FAILURE_DELAY_INTERVALS = 4;
 
 /** Keeps the replica up to date, and serves linearizable reads. */
 export class StateWatcher {
-  /** The replica was read once, and every change since can be watched. */
+  /** True if the replica was read completely and the store still keeps all changes since then. */
   isLoaded = false;
   private pendingReads: ((ok: boolean) => void)[] = [];
   private isReading = false;
@@ -50,22 +51,25 @@
     this.isStopped = true;
   }
 
-  /** Watches until it is stopped. */
+  /** Loads the replica and watches for changes until `stop`. */
   async run(): Promise<void> {
     const { now, minimumIntervalS } = this.options;
     while (!this.isStopped) {
       if (!this.isLoaded && !(await this.load())) {
-        await sleepSeconds(INTERVALS_AFTER_FAILURE * minimumIntervalS);
+        await sleepSeconds(FAILURE_DELAY_INTERVALS * minimumIntervalS);
         continue;
       }
-      const beganAt = now();
+      const startedAt = now();
       await this.watchOnce();
-      const restS = minimumIntervalS - (now() - beganAt);
-      if (restS > 0) await sleepSeconds(restS);
+      const delayS = minimumIntervalS - (now() - startedAt);
+      if (delayS > 0) await sleepSeconds(delayS);
     }
   }
 
-  /** A linearizable read: true once the replica holds everything that was stored when this was called. */
+  /**
+   * Performs a linearizable read. Resolves to true once the replica holds everything that was stored when this was
+   * called, and to false if the read failed.
+   */
   readLatest(): Promise<boolean> {
     if (!this.isLoaded) return Promise.resolve(false);
     const done = new Promise<boolean>((resolve) => this.pendingReads.push(resolve));
@@ -75,10 +79,10 @@
 
   private async load(): Promise<boolean> {
     const { keyValueClient, replica, observer, onChange } = this.options;
-    const all = await keyValueClient.readAll();
-    if (all.kind === "failed") return false;
-    replica.reset(all.items, all.revision);
-    observer?.reset(all.items, all.revision);
+    const result = await keyValueClient.readAll();
+    if (result.kind === "failed") return false;
+    replica.reset(result.items, result.revision);
+    observer?.reset(result.items, result.revision);
     this.isLoaded = true;
     onChange(null);
     return true;
@@ -88,7 +92,7 @@
     const { keyValueClient, replica, blockMs, minimumIntervalS } = this.options;
     const result = await keyValueClient.watch(replica.revision, blockMs);
     this.applyResult(result);
-    if (result.kind === "failed") await sleepSeconds(INTERVALS_AFTER_FAILURE * minimumIntervalS);
+    if (result.kind === "failed") await sleepSeconds(FAILURE_DELAY_INTERVALS * minimumIntervalS);
   }
 
   private applyResult(result: WatchResult): boolean {
@@ -108,14 +112,14 @@
     if (this.isReading) return;
     this.isReading = true;
     const { keyValueClient, replica, now, minimumIntervalS } = this.options;
-    const restS = minimumIntervalS - (now() - this.lastReadAt);
-    if (restS > 0) await sleepSeconds(restS);
+    const delayS = minimumIntervalS - (now() - this.lastReadAt);
+    if (delayS > 0) await sleepSeconds(delayS);
     this.lastReadAt = now();
-    const served = this.pendingReads;
+    const waitingReads = this.pendingReads;
     this.pendingReads = [];
     const ok = this.isLoaded && this.applyResult(await keyValueClient.watch(replica.revision, 0));
     this.isReading = false;
-    for (const resolve of served) resolve(ok);
+    for (const resolve of waitingReads) resolve(ok);
     if (this.pendingReads.length > 0) void this.runRead();
   }
 }
