--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -1,50 +1,52 @@
 /**
- * Event expressions as sums of sequences, after Singh, Meredith, Tomlinson and Attie.
+ * Event algebra for dependencies between jobs, after the paper by Singh, Meredith, Tomlinson and Attie. Equations,
+ * sections and examples cited here are those of the paper.
  *
- * An atom is an event name or its complement, written `~name`. A term is a sequence of atoms that must occur in that order;
- * an expression is a sum of terms. Zero is the empty sum, top the sum that contains the empty sequence. Conjunction is not
- * part of an expression but a list of dependencies, because residuation distributes over it (Equation 5).
+ * An atom is an event name or its complement, written `~name`. A term is a sequence of atoms that must occur in that
+ * order. An expression is a sum of terms, that is, a disjunction. Zero is the empty sum; top is the sum that contains
+ * the empty sequence. A conjunction is represented as a list of expressions, because residuation distributes over it
+ * (Equation 5).
  */
 
-/** An event name, or `~` and an event name for its complement: the event will never occur. */
+/** An event name, or `~` and an event name for its complement, which states that the event will never occur. */
 export type Atom = string;
-/** A sequence of atoms, which must occur in this order. */
+/** A sequence of atoms that must occur in this order. */
 export type Term = readonly Atom[];
-/** A sum of terms, of which one must be met. */
+/** A sum of terms, at least one of which must be met. */
 export type Expression = readonly Term[];
 
-/** The expression that no trace meets. */
+/** The expression that no trace (sequence of events) meets. */
 export const ZERO: Expression = [];
 /** The expression that every trace meets. */
 export const TOP: Expression = [[]];
 
-/** What the controllers can do about an event (Section 4 of the paper). */
+/** How the controllers can influence an event (Section 4). */
 export interface EventAttributes {
-  /** They can make it occur. */
+  /** The controllers can make the event occur. */
   readonly triggerable: boolean;
-  /** They can keep it from occurring. */
+  /** The controllers can prevent the event. */
   readonly rejectable: boolean;
-  /** They can make it occur later. */
+  /** The controllers can delay the event. */
   readonly delayable: boolean;
 }
 
 /** Looks up the attributes of an event. */
 export type AttributesOf = (event: string) => EventAttributes;
 
-/** The complement of an atom: of `name` it is `~name`, and the reverse. */
+/** The complement of an atom: `~name` for `name`, and `name` for `~name`. */
 export const complement = (atom: Atom): Atom => (isComplement(atom) ? atom.slice(1) : `~${atom}`);
 
 /** The event that an atom or its complement names. */
 export const eventOf = (atom: Atom): string => (isComplement(atom) ? atom.slice(1) : atom);
 
-/** Can no trace meet the expression? */
+/** Whether no trace meets the expression. */
 export const isZero = (expression: Expression): boolean => expression.length === 0;
 
-/** Does every trace meet the expression? */
+/** Whether every trace meets the expression. */
 export const isTop = (expression: Expression): boolean =>
   expression.some((term) => term.length === 0);
 
-/** Drops repeated terms and those that no admissible trace meets; top absorbs all others. */
+/** Drops duplicate terms and terms that no admissible trace meets. If a term is top, the result is top. */
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
   const distinct = new Map<string, Term>();
@@ -54,7 +56,7 @@
   return [...distinct.values()];
 }
 
-/** Parses the form `~d + s.d`; `0` and `T` stand for zero and top. */
+/** Parses text of the form `~d + s.d`, in which `0` and `T` stand for zero and top. */
 export function parseExpression(text: string): Expression {
   if (text.trim() === "0") return ZERO;
   return normalise(
@@ -65,13 +67,13 @@
   );
 }
 
-/** The text that `parseExpression` reads. */
+/** Formats an expression as text that `parseExpression` reads. */
 export function formatExpression(expression: Expression): string {
   if (isZero(expression)) return "0";
   return expression.map((term) => (term.length === 0 ? "T" : term.join("."))).join(" + ");
 }
 
-/** The residual: what remains to be met once `atom` has occurred (Equations 1 to 4 and 8 to 10). */
+/** The residual: the expression that remains to be met once `atom` has occurred (Equations 1 to 4 and 8 to 10). */
 export function residuate(expression: Expression, atom: Atom): Expression {
   const residuals: Term[] = [];
   for (const term of expression) {
@@ -81,14 +83,15 @@
   return normalise(residuals);
 }
 
-/** Does the expression name the event of this atom? */
+/** Whether the expression contains the event of this atom, or its complement. */
 export const mentions = (expression: Expression, atom: Atom): boolean =>
   expression.some((term) => term.some((other) => eventOf(other) === eventOf(atom)));
 
 /**
- * Is the state secure, so that the controllers cannot be forced to violate the dependency? Either some term can be met by
- * triggering and rejecting alone, or there is an event outside their control after which, whether it occurs or not, the
- * residual is secure (so `f + ~f` always is, as in Example 12).
+ * Whether the expression is secure, that is, whether no event can force the controllers to violate it. It is secure
+ * if the controllers can meet some term by triggering and rejecting events, or if for some event outside their full
+ * control the residuals are secure both after the event and after its complement. For example, `f + ~f` is always
+ * secure (Example 12).
  */
 export function isSecure(expression: Expression, attributesOf: AttributesOf): boolean {
   if (isZero(expression)) return false;
@@ -110,19 +113,21 @@
   return atom.startsWith("~");
 }
 
-/** No admissible trace repeats an event or contains both the event and its complement. */
+/**
+ * Whether an admissible trace can contain the term. Such traces contain each event or its complement at most once.
+ */
 function isAdmissible(term: Term): boolean {
   return new Set(term.map(eventOf)).size === term.length;
 }
 
-/** Equations 3 and 8 to 10 for one sequence; null stands for zero. */
+/** The residual of one term (Equations 3 and 8 to 10); null stands for zero. */
 function residuateTerm(term: Term, atom: Atom): Term | null {
   if (term.length > 0 && term[0] === atom) return term.slice(1);
   const event = eventOf(atom);
   return term.some((other) => eventOf(other) === event) ? null : term;
 }
 
-/** Can the controllers bring about every atom of the term? */
+/** Whether the controllers can cause every atom of the term to occur. */
 function isControllable(term: Term, attributesOf: AttributesOf): boolean {
   return term.every((atom) =>
     isComplement(atom) ? attributesOf(eventOf(atom)).rejectable : attributesOf(atom).triggerable,
--- a/src/core/capacity/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -1,50 +1,56 @@
-/** How long a machine may boot before it counts as late, and before it counts as one that never comes up. */
+/** Decides when a booting machine counts as late, and when it is given up and released. */
 import type { Machine } from "../machines/machine.js";
 
 /**
- * Usual boot times within which a booting machine counts as capacity. One that is later may come up or never: others are
- * requested meanwhile, of another kind if there is a choice. (When machines counted for four times the usual time, no
- * others were requested while machines came late or never.)
+ * Multiple of the usual boot time up to which a booting machine counts as capacity. A later one may never come up, so
+ * other machines are requested meanwhile, from another offer if there is one. With a ratio of four, no others were
+ * requested while machines were late or failed to boot.
  */
-const ON_TIME_BOOT_RATIO = 2;
-/** Usual boot times after which a machine is released, at first and at most. */
-const FIRST_TIMEOUT = 4;
-const LONGEST_TIMEOUT = 12;
-/** A timeout that expired adds a tenth, and a machine that came up takes as much away. */
-const GROWTH = 1.1;
-const DECAY = 0.9;
+const LATE_BOOT_RATIO = 2;
+/** Boot timeout as a multiple of the usual boot time: the initial value and the maximum. */
+const INITIAL_TIMEOUT_RATIO = 4;
+const MAX_TIMEOUT_RATIO = 12;
+/** Factors on the timeout: an expired timeout adds a tenth, and a machine that came up subtracts a tenth. */
+const TIMEOUT_GROWTH_FACTOR = 1.1;
+const TIMEOUT_DECAY_FACTOR = 0.9;
 
-/** Whether a machine boots for longer than it usually takes. */
+/** Whether the machine has been booting for longer than `LATE_BOOT_RATIO` times the usual boot time of its type. */
 export const isBootLate = (machine: Machine, now: number): boolean =>
-  machine.state === "booting" &&
-  now - machine.bootingSince > ON_TIME_BOOT_RATIO * machine.type.bootS;
+  machine.state === "booting" && now - machine.bootingSince > LATE_BOOT_RATIO * machine.type.bootS;
 
-/** Boot timeouts by machine type, in usual boot times. They follow the boot times of machines of the type. */
+/** Boot timeouts by machine type, adapted to the observed boot times of the type. */
 export class BootTimeouts {
-  private readonly byType = new Map<string, number>();
+  private readonly ratioByType = new Map<string, number>();
 
-  /** The machine came up: others of its type may take as long. */
-  noteMachineUp(machine: Machine, now: number): void {
+  /** Adapts the timeout to a machine that came up, as other machines of its type may take as long. */
+  recordBoot(machine: Machine, now: number): void {
     const bootRatio = (now - machine.bootingSince) / machine.type.bootS;
-    const timeout = Math.max(FIRST_TIMEOUT, 2 * bootRatio, DECAY * this.timeoutFor(machine));
-    this.byType.set(machine.type.name, Math.min(timeout, LONGEST_TIMEOUT));
+    const timeout = Math.max(
+      INITIAL_TIMEOUT_RATIO,
+      2 * bootRatio,
+      TIMEOUT_DECAY_FACTOR * this.timeoutRatioFor(machine),
+    );
+    this.ratioByType.set(machine.type.name, Math.min(timeout, MAX_TIMEOUT_RATIO));
   }
 
-  /** Whether the machine has booted for longer than its timeout. */
+  /** Whether the machine has been booting for longer than its timeout. */
   isExpired(machine: Machine, now: number): boolean {
-    return now - machine.bootingSince > this.timeoutFor(machine) * machine.type.bootS;
+    return now - machine.bootingSince > this.timeoutRatioFor(machine) * machine.type.bootS;
   }
 
   /**
-   * The machine is released: the next of its type has longer, up to a bound. (If all needed longer than the timeout, none
-   * would ever come up.)
+   * Raises the timeout for the type, up to the maximum, because a machine is released on timeout. Otherwise no
+   * machine would ever come up if all machines of the type needed longer than the timeout.
    */
-  noteExpired(machine: Machine): void {
-    const timeout = Math.min(GROWTH * this.timeoutFor(machine), LONGEST_TIMEOUT);
-    this.byType.set(machine.type.name, timeout);
+  recordTimeout(machine: Machine): void {
+    const timeout = Math.min(
+      TIMEOUT_GROWTH_FACTOR * this.timeoutRatioFor(machine),
+      MAX_TIMEOUT_RATIO,
+    );
+    this.ratioByType.set(machine.type.name, timeout);
   }
 
-  private timeoutFor(machine: Machine): number {
-    return this.byType.get(machine.type.name) ?? FIRST_TIMEOUT;
+  private timeoutRatioFor(machine: Machine): number {
+    return this.ratioByType.get(machine.type.name) ?? INITIAL_TIMEOUT_RATIO;
   }
 }
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -1,27 +1,27 @@
-/** Reconciles the leader's machines with the lists that the cloud returns, which may be old or out of order. */
+/** Reconciles the leader's machines with the lists from the cloud, which may be stale or arrive out of order. */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
 import type { ListedMachine } from "../model/machines.js";
 
-/** What the machine pool does for the reconciler. */
-export interface MachineReleases {
-  /** Names of machines that are proven to be terminated. */
+/** The part of the machine pool that the reconciler uses. */
+export interface MachineReleaser {
+  /** Names of machines that are confirmed to be terminated. */
   readonly terminated: ReadonlySet<string>;
-  /** Has a machine released; it counts until the cloud has confirmed that it is terminated. */
+  /** Requests the release of a machine. It stays known until the cloud has confirmed its termination. */
   requestRelease(machine: Machine, why: string): void;
 }
 
-/** Adds machines that are listed, and releases those that failed or are no longer listed. */
+/** Adds listed machines, and requests the release of those that failed or are no longer listed. */
 export class MachineListReconciler {
-  /** Age of each machine, in seconds, as of the newest list. */
+  /** Age of each machine in seconds, from the newest list. */
   private readonly listedAgeS = new Map<string, number>();
 
   constructor(
     private readonly context: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
-    private readonly machinePool: MachineReleases,
+    private readonly machinePool: MachineReleaser,
   ) {}
 
   /** Whether no machine has been listed yet. */
@@ -29,7 +29,7 @@
     return this.listedAgeS.size === 0;
   }
 
-  /** Takes in a complete list of machines. */
+  /** Applies a complete list of machines. */
   reconcile(listed: readonly ListedMachine[], now: number): void {
     const isNewest = this.isNewest(listed);
     for (const entry of listed) {
@@ -43,7 +43,9 @@
     if (isNewest) this.releaseUnlisted(listed);
   }
 
-  /** Lists may arrive out of order: in an older one some machine is younger than it was listed before. */
+  /**
+   * Whether the list is not older than the lists before: in an older one, some machine has a lower age than known.
+   */
   private isNewest(listed: readonly ListedMachine[]): boolean {
     for (const { name, ageS } of listed) {
       const knownAgeS = this.listedAgeS.get(name);
@@ -61,7 +63,7 @@
     else if (entry.state === "running") this.probeIfBooted(machine, now);
   }
 
-  /** The cloud says that the machine runs, and its worker has sent nothing yet. */
+  /** Sends a request to a machine that the cloud lists as running, if its worker has not sent a message yet. */
   private probeIfBooted(machine: Machine, now: number): void {
     if (
       machine.state === "booting" &&
@@ -74,7 +76,10 @@
     }
   }
 
-  /** Once listed, a machine stays listed until it is terminated. The release makes certain that it is. */
+  /**
+   * Releases machines that were listed before and no longer are. The cloud lists a machine until it is terminated,
+   * and the release confirms the termination.
+   */
   private releaseUnlisted(listed: readonly ListedMachine[]): void {
     const names = new Set(listed.map(({ name }) => name));
     for (const name of [...this.listedAgeS.keys()]) {
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -1,4 +1,4 @@
-/** The pool of machines that the cloud provides: scaling out, listing and releasing them. */
+/** The pool of machines from the cloud: requests, lists and releases them. */
 
 import { assertNever } from "../assert-never.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -10,7 +10,7 @@
 import type { ListedMachine } from "../model/machines.js";
 import { MachineRecordShards } from "../state/machine-record-shards.js";
 import { BootTimeouts } from "./boot-timeouts.js";
-import { MachineListReconciler, type MachineReleases } from "./machine-list.js";
+import { MachineListReconciler, type MachineReleaser } from "./machine-list.js";
 import { offerKey } from "./offers.js";
 import {
   countLateBootsByOffer,
@@ -22,32 +22,32 @@
 } from "./scaling.js";
 import type { ScalingContext } from "./scaling-context.js";
 
-/** Part of a stored value that the records of machines in it may fill; the rest is for records that are added later. */
+/** Share of a stored value's size limit that machine records may fill. The rest is for records added later. */
 const SHARD_FILL_RATIO = 0.6;
-/** An offer that the cloud refused is not requested again for so many worker leases. */
+/** Backoff of an offer after the cloud lacked capacity for it, in worker leases. */
 const CAPACITY_BACKOFF_LEASES = 0.5;
-const MAXIMUM_RELEASES_PER_REQUEST = 100;
+const MAX_RELEASES_PER_REQUEST = 100;
 
-/** The machines that a scale-out asked for. */
+/** The machines that a scale-out requested. */
 export type RequestedMachines = Omit<ScaleOutRequest, "why">;
 
-/** Requests machines from the cloud, a request of each sort at a time, and releases those that are not needed. */
-export class MachinePool implements MachineReleases {
+/** Requests machines from the cloud and releases surplus ones, with one cloud request of each kind at a time. */
+export class MachinePool implements MachineReleaser {
   readonly recordShards: MachineRecordShards;
-  /** Names of machines that are proven to be terminated. */
+  /** Names of machines that are confirmed to be terminated. */
   readonly terminated = new Set<string>();
-  /** By class of job. */
+  /** Resource demands of the known jobs, by class. */
   readonly shapes = new Map<string, JobShape>();
-  /** Jobs that wait for capacity, as of the last scheduling cycle. */
+  /** Jobs that lack capacity, as of the last scheduling cycle. */
   waitingJobs: ActiveJob[] = [];
   private readonly bootTimeouts = new BootTimeouts();
   private readonly machineList: MachineListReconciler;
-  /** By `offerKey`. */
+  /** By `offerKey`: the time until which the offer is not requested again. */
   private readonly capacityBackoffUntil = new Map<string, number>();
-  /** Machines to be released, with the reason. */
+  /** Reasons for the releases that the cloud has not confirmed yet, by machine name. */
   private readonly pendingReleases = new Map<string, string>();
-  private scaleOutConsideredAt = Number.NEGATIVE_INFINITY;
-  private listedAt = Number.NEGATIVE_INFINITY;
+  private lastScaleOutCheckAt = Number.NEGATIVE_INFINITY;
+  private lastListRequestAt = Number.NEGATIVE_INFINITY;
   private nextCloudRequestAt = Number.NEGATIVE_INFINITY;
   private isListing = false;
   private scaleOutsInFlight = 0;
@@ -66,12 +66,14 @@
     this.lastJobAt = context.startedAt;
   }
 
-  /** Follows a lower limit on the size of stored values. */
+  /** Applies a lowered size limit of stored values to the machine records. */
   shrinkRecordShards(): void {
     this.recordShards.setMaxBytes(SHARD_FILL_RATIO * this.context.valueSizeLimit.plannedBytes);
   }
 
-  /** Whether the pool may grow: the maximum is not reached, and the cloud has refused no request lately. */
+  /**
+   * Whether the pool can grow: it is below its maximum, and the cloud has not lacked capacity within a worker lease.
+   */
   isGrowing(now: number): boolean {
     if (this.context.cluster.machines.size >= this.context.options.maxMachines) return false;
     const { leaseS } = this.context.settings;
@@ -82,27 +84,27 @@
     return true;
   }
 
-  /** Notes the shape of a class of jobs, for which spare capacity is kept. */
+  /** Records the resource demands of a job's class, for which spare capacity is kept. */
   noteJobShape(spec: JobSpec): void {
     const runningTasks = this.shapes.get(spec.class)?.runningTasks ?? 0;
     this.shapes.set(spec.class, { spec, runningTasks });
   }
 
-  /** The first message of a machine's worker arrived. */
+  /** Handles the first message from a machine's worker. */
   noteMachineUp(machine: Machine, now: number): void {
-    this.bootTimeouts.noteMachineUp(machine, now);
+    this.bootTimeouts.recordBoot(machine, now);
   }
 
-  /** Releases machines of which the worker sent nothing within the boot timeout. */
+  /** Releases machines whose worker has not sent a message within the boot timeout. */
   releaseLateBoots(now: number): void {
     for (const machine of this.context.cluster.machines.values()) {
       if (machine.state !== "booting" || !this.bootTimeouts.isExpired(machine, now)) continue;
       this.requestRelease(machine, "boot timeout");
-      this.bootTimeouts.noteExpired(machine);
+      this.bootTimeouts.recordTimeout(machine);
     }
   }
 
-  /** Has a machine released; it counts until the cloud has confirmed that it is terminated. */
+  /** Requests the release of a machine. It stays known until the cloud has confirmed its termination. */
   requestRelease(machine: Machine, why: string): void {
     if (this.pendingReleases.has(machine.name) || machine.state === "terminated") return;
     this.pendingReleases.set(machine.name, why);
@@ -111,7 +113,7 @@
     this.context.log("scale in", { machine: machine.name, why, tasks: machine.placements.size });
   }
 
-  /** Asks the cloud for what is due. */
+  /** Sends the requests to the cloud that are due. */
   runCloudRequests(now: number): void {
     if (now < this.nextCloudRequestAt) return;
     this.releaseIfDue();
@@ -119,7 +121,7 @@
     this.scaleIfDue(now);
   }
 
-  /** The outcome of a scale-out. */
+  /** Handles the result of a scale-out. */
   handleScaleOutResult(request: RequestedMachines, result: ScaleOutResult, now: number): void {
     this.scaleOutsInFlight--;
     switch (result.kind) {
@@ -137,7 +139,7 @@
     }
   }
 
-  /** The outcome of a release. */
+  /** Handles the result of a release. */
   handleReleaseResult(machines: readonly string[], ok: boolean, now: number): void {
     this.releasesInFlight--;
     if (!ok) {
@@ -150,7 +152,7 @@
     }
   }
 
-  /** The machines that the cloud lists; null: the request failed. */
+  /** Handles a machine list from the cloud; null: the request failed. */
   handleMachineList(listed: readonly ListedMachine[] | null, now: number): void {
     this.isListing = false;
     if (listed === null) {
@@ -165,7 +167,9 @@
     if (names.length < request.count) this.backOff(request, now);
   }
 
-  /** The cloud has no more machines of this kind: it is asked for others meanwhile. */
+  /**
+   * Excludes an offer for which the cloud lacked capacity until its backoff ends; other offers are used meanwhile.
+   */
   private backOff({ type, zone, spot }: RequestedMachines, now: number): void {
     const until = now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS;
     this.capacityBackoffUntil.set(offerKey(type, zone, spot), until);
@@ -176,28 +180,28 @@
     this.releasesInFlight++;
     this.context.effects.push({
       kind: "release machines",
-      machines: [...this.pendingReleases.keys()].slice(0, MAXIMUM_RELEASES_PER_REQUEST),
+      machines: [...this.pendingReleases.keys()].slice(0, MAX_RELEASES_PER_REQUEST),
     });
   }
 
   private listIfDue(now: number): void {
     const intervalS = Math.max(this.context.settings.listLagS, 2) / 1.5;
-    if (this.isListing || now - this.listedAt <= intervalS) return;
+    if (this.isListing || now - this.lastListRequestAt <= intervalS) return;
     this.isListing = true;
-    this.listedAt = now;
+    this.lastListRequestAt = now;
     this.context.effects.push({ kind: "list machines" });
   }
 
   private scaleIfDue(now: number): void {
     if (this.scaleOutsInFlight !== 0 || !this.context.hasMachineTypes) return;
-    if (now - this.scaleOutConsideredAt <= 2 / this.context.settings.cloudRps) return;
-    this.scaleOutConsideredAt = now;
+    if (now - this.lastScaleOutCheckAt <= 2 / this.context.settings.cloudRps) return;
+    this.lastScaleOutCheckAt = now;
     this.scale(now);
   }
 
-  /** Scales out by one request, or in if nothing is missing. */
+  /** Sends one scale-out request, or scales in if no capacity is missing. */
   private scale(now: number): void {
-    // A leader that was just elected does not know all machines yet.
+    // Before the first machine list, a newly elected leader does not know all machines yet.
     const { startedAt, settings } = this.context;
     if (now - startedAt < 2 * settings.listLagS && this.machineList.isEmpty) return;
     const isUnused = this.isClusterUnused(now);
@@ -209,7 +213,7 @@
     else this.scaleIn(scaling, isUnused);
   }
 
-  /** Without any job for a while, no spare capacity is kept. */
+  /** Whether there has been no job for a worker lease. No spare capacity is kept then. */
   private isClusterUnused(now: number): boolean {
     if (this.context.cluster.jobs.size > 0) this.lastJobAt = now;
     return now - this.lastJobAt > this.context.settings.leaseS;
@@ -244,7 +248,7 @@
     this.scaleOutCount++;
     this.context.log("scale out", { ...request });
     const { type, zone, spot, count } = request;
-    // Request names are never used again: the epoch is this term's alone.
+    // The name is unique, as no other leadership term has the same epoch.
     const name = `t${this.context.epoch}-${this.scaleOutCount}`;
     this.context.effects.push({ kind: "scale out", name, type, zone, spot, count });
   }
@@ -257,7 +261,7 @@
     }
   }
 
-  /** The machine and everything on it are terminated for certain. */
+  /** Removes a machine whose termination is confirmed, and reports all its tasks as lost. */
   private terminateMachine(name: string, why: string, now: number): void {
     this.terminated.add(name);
     const machine = this.context.cluster.machines.get(name);
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -1,34 +1,34 @@
-/** The kinds of machine that the cloud offers, and which of them serves a job at the lowest cost. */
+/** Finds the machine type, zone and spot or not that serves a job at the lowest cost. */
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
 import type { ScalingContext } from "./scaling-context.js";
 
-/** Work without GPUs is put on GPU machines only as a last resort. */
+/** Price factor of GPU machines for jobs without GPUs, which get such machines only as a last resort. */
 const GPU_WASTE_FACTOR = 100;
-/** Most machines that boot late which count against an offer. */
-const MAXIMUM_DOUBT = 3;
-/** Cost of a machine in the same zone: zones with fewer machines are preferred, by a little. */
-const CROWDING_COST = 1e-4;
+/** Maximum number of late boots that count against an offer. */
+const MAX_COUNTED_LATE_BOOTS = 3;
+/** Cost per machine already in the zone. It is small, and prefers zones with fewer machines at equal prices. */
+const ZONE_BALANCE_COST = 1e-4;
 
-/** A type of machine in a zone that may be requested, as a spot machine or not. */
+/** A machine type in a zone, as a spot machine or not, that may be requested. */
 export interface Offer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Tasks of the job that fit one machine. */
+  /** Number of tasks of the job that fit on one machine. */
   readonly tasksPerMachine: number;
 }
 
-/** The zones in which machines may be requested. */
+/** Whether machines may be requested in the zone. */
 export type ZonePredicate = (zone: string) => boolean;
 
-/** Identifies an offer, whatever it is to serve. */
+/** Key of an offer, independent of the job that it is considered for. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type} ${zone} ${spot ? "spot" : "ordinary"}`;
 
-/** The offer with the lowest cost for each task of the job, of those that the cloud has not refused lately. */
+/** The offer with the lowest cost per task of the job, without those that are in backoff after a lack of capacity. */
 export function cheapestOffer(
   spec: JobSpec,
   missingTasks: number,
@@ -75,20 +75,22 @@
   return until !== undefined && until > now;
 }
 
-/** Price for each task, weighted by what counts against the offer. */
+/** Price per task, weighted by the disadvantages of the offer. */
 function costPerTask(
   { type, zone, spot, tasksPerMachine }: Offer,
   spec: JobSpec,
   missingTasks: number,
   { lateBootsByOffer, machinesByZone }: ScalingContext,
 ): number {
-  const gpuWaste = type.gpus > 0 && spec.gpus === 0 ? GPU_WASTE_FACTOR : 1;
+  const gpuWasteFactor = type.gpus > 0 && spec.gpus === 0 ? GPU_WASTE_FACTOR : 1;
   const price = spot ? type.spotPrice : type.price;
-  // Another offer at twice the price rather than one of which machines do not boot.
+  // Each late boot adds the price once more, so an offer at up to twice the price is preferred after one late boot.
   const lateBoots = lateBootsByOffer.get(offerKey(type.name, zone, spot)) ?? 0;
-  const doubt = 1 + Math.min(MAXIMUM_DOUBT, lateBoots);
-  const crowding = CROWDING_COST * (machinesByZone.get(zone) ?? 0);
+  const lateBootFactor = 1 + Math.min(MAX_COUNTED_LATE_BOOTS, lateBoots);
+  const zoneBalanceCost = ZONE_BALANCE_COST * (machinesByZone.get(zone) ?? 0);
   return (
-    (gpuWaste * doubt * price) / Math.min(tasksPerMachine, Math.max(missingTasks, 1)) + crowding
+    (gpuWasteFactor * lateBootFactor * price) /
+      Math.min(tasksPerMachine, Math.max(missingTasks, 1)) +
+    zoneBalanceCost
   );
 }
--- a/src/core/capacity/scaling-context.ts
+++ b/src/core/capacity/scaling-context.ts
@@ -1,18 +1,18 @@
-/** What the planning of the pool's growth and the choice of an offer are given. */
+/** Input of scale-out planning and of the choice of an offer. */
 import type { Cluster } from "../cluster.js";
 import type { MachineType } from "../model/machines.js";
 
-/** What scaling depends on, as of one moment. */
+/** The state that scaling decisions depend on, as of the time `now`. */
 export interface ScalingContext {
   readonly cluster: Cluster;
   readonly types: readonly MachineType[];
   readonly now: number;
-  /** By `offerKey`: until when an offer that was refused for lack of capacity is not requested. */
+  /** By `offerKey`: the time until which an offer is not requested again after the cloud lacked capacity for it. */
   readonly capacityBackoffUntil: ReadonlyMap<string, number>;
-  /** Spare capacity to keep for each class of jobs, as a ratio to what it uses. */
+  /** Spare capacity to keep for each class of jobs, as a ratio of the number of its tasks placed. */
   readonly spareRatio: number;
   readonly maxMachines: number;
   readonly machinesByZone: ReadonlyMap<string, number>;
-  /** By `offerKey`. */
+  /** Number of machines that are late in booting, by `offerKey`. */
   readonly lateBootsByOffer: ReadonlyMap<string, number>;
 }
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -1,4 +1,4 @@
-/** Plans how the pool of machines grows, for jobs that wait and ahead of need, and which machines are surplus. */
+/** Plans scale-out, for waiting jobs and for spare capacity, and finds surplus machines to release. */
 import type { Cluster } from "../cluster.js";
 import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -9,31 +9,34 @@
 import { cheapestOffer, offerKey, type ZonePredicate } from "./offers.js";
 import type { ScalingContext } from "./scaling-context.js";
 
-/** Limit of the protocol. */
-const MAXIMUM_MACHINES_PER_REQUEST = 50;
+/** Limit of the cloud protocol. */
+const MAX_MACHINES_PER_REQUEST = 50;
 
-/** A request for machines of one kind. */
+/** A request for machines of one type in one zone, all of them spot machines or none. */
 export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly count: number;
-  /** For the log. */
+  /** Reason, for the log. */
   readonly why: string;
 }
 
-/** The resources of a class of jobs, as of the last job of the class, and how many of its tasks are placed. */
+/** The resource demands of a class of jobs, from the latest job of the class, and the number of its tasks placed. */
 export interface JobShape {
   readonly spec: JobSpec;
   runningTasks: number;
 }
 
-/** Free capacity on booting machines: takes up to so many tasks of a job, and counts them in its zones. */
-type BootingCapacity = (job: ActiveJob, zones: ZoneOccupancy, tasks: number) => number;
+/**
+ * Allocates capacity of booting machines to up to `tasks` tasks of the job and counts them in `zones`. Returns the
+ * number of tasks that got capacity.
+ */
+type BootingCapacityAllocator = (job: ActiveJob, zones: ZoneOccupancy, tasks: number) => number;
 
 const anyZone: ZonePredicate = () => true;
 
-/** How many machines there are in each zone. */
+/** Number of machines by zone. */
 export function countMachinesByZone(cluster: Cluster): Map<string, number> {
   const machinesByZone = new Map<string, number>();
   for (const { zone } of cluster.machines.values()) {
@@ -42,7 +45,7 @@
   return machinesByZone;
 }
 
-/** How many machines boot late, by `offerKey`. */
+/** Number of machines that are late in booting, by `offerKey`. */
 export function countLateBootsByOffer(cluster: Cluster, now: number): Map<string, number> {
   const lateBootsByOffer = new Map<string, number>();
   for (const machine of cluster.machines.values()) {
@@ -53,7 +56,7 @@
   return lateBootsByOffer;
 }
 
-/** Tasks of a job that fit the free capacity of machines that are up, or boot in time. */
+/** Number of tasks of the job that fit the free capacity of machines that are up, or booting and not late. */
 export function freeSlots(cluster: Cluster, spec: JobSpec, now: number): number {
   let slots = 0;
   for (const machine of cluster.machines.values()) {
@@ -64,8 +67,8 @@
 }
 
 /**
- * The next request, for jobs that wait or else for spare capacity. One at a time: the cloud takes few requests, and each
- * answer changes what is missing.
+ * Plans the next request to the cloud, for waiting jobs or otherwise for spare capacity. Requests are planned one at
+ * a time, because the cloud accepts few, and each answer changes the capacity that is still missing.
  */
 export function planScaleOut(
   scaling: ScalingContext,
@@ -76,7 +79,10 @@
   return scaleOutForWaiting(scaling, waitingJobs) ?? scaleOutForSpare(scaling, shapes);
 }
 
-/** Machines, one at the most, that are idle although all classes have more than their spare capacity. */
+/**
+ * Finds machines, one at most, that have been idle for `idleS` seconds and whose release leaves every class of jobs
+ * its spare capacity.
+ */
 export function findSurplusMachines(
   scaling: ScalingContext,
   shapes: readonly JobShape[],
@@ -101,25 +107,26 @@
 }
 
 /**
- * The first job that lacks capacity decides which machines are requested; later ones that the same kind serves best are
- * added. (With one request for each job a minute passed until all was requested that the cloud offered.)
+ * The first job that lacks capacity determines the type, zone and spot or not of the request. Later jobs for which
+ * the same offer is the cheapest add to its count. With a separate request for each job, it took a minute to request
+ * all the capacity that the cloud offered.
  */
 function scaleOutForWaiting(
   scaling: ScalingContext,
   waitingJobs: readonly ActiveJob[],
 ): ScaleOutRequest | null {
   const { cluster, maxMachines } = scaling;
-  const takeBootingCapacity = allocateBootingCapacity(cluster, scaling.now);
+  const takeBootingCapacity = createBootingCapacityAllocator(cluster, scaling.now);
   let combined = null as ScaleOutRequest | null;
   for (const job of waitingJobs) {
     const request = scaleOutForJob(job, takeBootingCapacity, scaling);
     if (request === null) continue;
     if (combined === null) combined = request;
     else if (isSameKind(request, combined)) {
-      const count = Math.min(MAXIMUM_MACHINES_PER_REQUEST, combined.count + request.count);
+      const count = Math.min(MAX_MACHINES_PER_REQUEST, combined.count + request.count);
       combined = { ...combined, count };
     }
-    if (combined.count >= MAXIMUM_MACHINES_PER_REQUEST) break;
+    if (combined.count >= MAX_MACHINES_PER_REQUEST) break;
   }
   if (combined === null) return null;
   return { ...combined, count: Math.min(combined.count, maxMachines - cluster.machines.size) };
@@ -140,10 +147,10 @@
   return null;
 }
 
-/** Capacity for a waiting job, where its other tasks allow it, less what booting machines will provide. */
+/** Requests capacity for a waiting job in the zones that its other tasks allow, less the capacity that is booting. */
 function scaleOutForJob(
   job: ActiveJob,
-  takeBootingCapacity: BootingCapacity,
+  takeBootingCapacity: BootingCapacityAllocator,
   scaling: ScalingContext,
 ): ScaleOutRequest | null {
   const { spec } = job;
@@ -156,9 +163,9 @@
   const why = `${spec.id} waits for capacity`;
   const request = scaleOutFor(spec, missing, why, scaling, (zone) => zones.capacityIn(zone) > 0);
   if (request !== null || !mayRelocate(job, scaling.now)) return request;
-  // Its zone offers nothing more: capacity for all of it in another.
-  const isElsewhere = (zone: string): boolean => zone !== job.zones.mainZone;
-  return scaleOutFor(spec, spec.tasks, why, scaling, isElsewhere);
+  // The cloud offers nothing more in the job's zone, so capacity for the whole job is requested in another one.
+  const isOtherZone = (zone: string): boolean => zone !== job.zones.mainZone;
+  return scaleOutFor(spec, spec.tasks, why, scaling, isOtherZone);
 }
 
 function scaleOutFor(
@@ -173,7 +180,7 @@
   const count = Math.min(
     Math.ceil(missingTasks / offer.tasksPerMachine),
     scaling.maxMachines - scaling.cluster.machines.size,
-    MAXIMUM_MACHINES_PER_REQUEST,
+    MAX_MACHINES_PER_REQUEST,
   );
   if (count <= 0) return null;
   return { type: offer.type.name, zone: offer.zone, spot: offer.spot, count, why };
@@ -185,7 +192,9 @@
 const spareTasks = (shape: JobShape, { spareRatio }: ScalingContext): number =>
   Math.max(1, Math.ceil(spareRatio * shape.runningTasks));
 
-/** Unreachable, drained and late machines offer no capacity, though late ones may still come up. */
+/**
+ * Whether the machine counts as capacity for new tasks. Machines late in booting do not, as they may never come up.
+ */
 function acceptsNewTasks(machine: Machine, now: number): boolean {
   if (machine.drainReason !== null || machine.interruptionAt !== null) return false;
   if (machine.state === "booting") return !isBootLate(machine, now);
@@ -193,10 +202,11 @@
 }
 
 /**
- * Allocates the capacity of booting machines, to each job in turn and each part of it once. (A gang is placed as a whole
- * once all of it fits somewhere, so for a gang it counts in any zone.)
+ * Creates an allocator for the capacity of booting machines. It is called for each job in turn, and allocates each
+ * part of the capacity once. For a gang that is not spread over zones, machines in any zone count, because the gang
+ * is placed as a whole wherever all its tasks fit.
  */
-function allocateBootingCapacity(cluster: Cluster, now: number): BootingCapacity {
+function createBootingCapacityAllocator(cluster: Cluster, now: number): BootingCapacityAllocator {
   const freeByMachine = new Map<Machine, { cpus: number; gpus: number; memoryGb: number }>();
   for (const machine of cluster.machines.values()) {
     if (machine.state !== "booting" || isBootLate(machine, now)) continue;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of arrays and services: as many tasks as capacity, quota and the size of stored values allow. */
+/** Places as many tasks of arrays and services as capacity, quota and the size limit of stored values allow. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import { placeableInShard } from "../state/job-shards.js";
@@ -7,19 +7,19 @@
 import { type Candidate, findCandidates } from "./candidates.js";
 import type { PlanningContext } from "./context.js";
 
-/** Share of a stored value's size limit that placements may fill; the rest is margin. */
+/** Share of a stored value's size limit that placements may fill. The rest is a margin. */
 const VALUE_FILL_RATIO = 0.95;
 
-/** Bytes of a placement's machine in a stored value, beside the machine's name. */
+/** Bytes of a machine's entry in a stored value, in addition to the machine's name. */
 const MACHINE_ENTRY_BYTES = 12;
 
-/** Numbers in a range of tasks; in the worst case each task is a range of its own. */
+/** Numbers stored per range of tasks. In the worst case each task is a range of its own. */
 const NUMBERS_PER_TASK_RANGE = 2;
 
-/** Share of a transaction's operations for shards of one job: others need the rest. */
+/** Share of a transaction's operations that the shards of one job may use. Other jobs need the rest. */
 const SHARD_WRITE_SHARE = 1 / 4;
 
-/** How many tasks may be placed, and on how many of the candidates. */
+/** Maximum number of tasks to place, and of candidates to place them on. */
 interface PlacementLimit {
   readonly tasks: number;
   readonly machines: number;
@@ -29,7 +29,7 @@
 export function placeIndependentTasks(job: ActiveJob, context: PlanningContext): void {
   const quota = context.cluster.quotaSlots(job.spec);
   if (quota <= 0 || job.pendingCount === 0 || job.isOnProbation) return;
-  // Before the pass over all machines, which a long queue of large arrays would cost for nothing.
+  // Checked before the pass over all machines, which would be wasted for each large array in a long queue.
   if (job.shardSize !== null && availableBulkTasks(job, context) < 1) return;
   const candidates = restrictToOneZone(job, findCandidates(job, context));
   if (candidates.length === 0) return;
@@ -37,7 +37,7 @@
     job.shardSize === null
       ? limitByValueSize(job, candidates, quota, context)
       : limitByShardWrites(job, job.shardSize, candidates, context);
-  // One task shows as well as all of them whether a suspect job still fails.
+  // A single task is enough to find out whether a suspect job still fails.
   const maxTasks = Math.min(quota, limit.tasks, job.isSuspect ? 1 : quota);
   const tasks = takeFirst(placeableTasks(job, context), maxTasks);
   if (tasks.length === 0) return;
@@ -46,9 +46,9 @@
 }
 
 /**
- * If all tasks must share a zone: the candidates of the zone that takes most of them, and among equals, of the zone of
- * the best candidate. A service needs slots for all its replicas in the end. (When candidates of all zones were
- * offered, the tasks of one cycle were placed in several.)
+ * For a job whose tasks must share a zone, returns the candidates of the zone that takes the most of them; among
+ * equal zones, that of the best candidate. For a service, slots for all its replicas count, because all must fit
+ * eventually. With the candidates of all zones, tasks placed in one cycle ended up in several zones.
  */
 function restrictToOneZone(job: ActiveJob, candidates: readonly Candidate[]): readonly Candidate[] {
   const { oneZone, kind, tasks } = job.spec;
@@ -63,7 +63,7 @@
   return candidates.filter(({ machine }) => machine.zone === bestZone);
 }
 
-/** The pending tasks, no more of a shard than its value can hold while they are placed. */
+/** The pending tasks, limited per shard to the number of placements that the shard's stored value can hold. */
 function* placeableTasks(job: ActiveJob, context: PlanningContext): Generator<number> {
   const { shardSize } = job;
   const maxPerShard = shardSize === null ? 0 : placeableInShard(shardSize, context.maxValueBytes);
@@ -85,7 +85,7 @@
   counts.set(key, (counts.get(key) ?? 0) + 1);
 }
 
-/** For a job in one value of bounded size: no more tasks than it can hold in the worst case. */
+/** Limit for a job stored in a single value: the tasks that the value can hold in the worst case. */
 function limitByValueSize(
   job: ActiveJob,
   candidates: readonly Candidate[],
@@ -109,10 +109,12 @@
 }
 
 /**
- * For a sharded job, whose values hold any number of tasks. Each shard is a write, so no more are begun than go into
- * one transaction beside those of other jobs; and each task's start, heartbeat and end takes time, so the rate is
- * bounded. (A guest's 25,000 tasks of six seconds were placed at 450 a second: heartbeats of all machines were late, 28
- * machines were taken for lost, and gangs within a guarantee waited for two minutes.)
+ * Limit for a sharded job, whose number of tasks is not limited by the size of one value. Each shard is a separate
+ * write, so the number of shards is limited to those that fit into one transaction beside the writes of other jobs.
+ * Processing each task's start, heartbeats and end takes CPU time, so the rate of placements is limited too. Without
+ * the rate limit, 25,000 tasks of six seconds of a team without a guarantee were placed at 450 a second: the
+ * heartbeats of all machines were late, 28 machines were considered lost, and gangs within a guarantee waited for two
+ * minutes.
  */
 function limitByShardWrites(
   job: ActiveJob,
@@ -128,7 +130,7 @@
   return { tasks: Math.max(0, tasks), machines: candidates.length };
 }
 
-/** How many tasks of a sharded job may be placed now; production is not limited. */
+/** Number of tasks of a sharded job that the rate limit allows now. Production jobs are not limited. */
 function availableBulkTasks(job: ActiveJob, context: PlanningContext): number {
   if (job.spec.priority === "production") return Number.MAX_SAFE_INTEGER;
   return Math.floor(context.bulkBudget.available(context.now));
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -1,4 +1,4 @@
-/** Assigns tasks to the machines that were chosen for them. */
+/** Assigns tasks to the chosen machines. */
 
 import { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -8,8 +8,8 @@
 import type { PlanningContext } from "./context.js";
 
 /**
- * Places `tasks` on the candidates in their order, as many as these take. Returns how many were placed; each of them
- * counts against its team and machine at once, and is to be persisted with the job.
+ * Places as many of `tasks` as fit on the candidates, in their order. Returns the number of tasks placed. A placement
+ * counts against its team's quota and its machine's capacity immediately; it is persisted later, with the job.
  */
 export function assignTasks(
   job: ActiveJob,
@@ -22,12 +22,12 @@
   for (const candidate of candidates) {
     const { machine } = candidate;
     let slots = Math.min(candidate.freeSlots, tasks.length - placed);
-    // Each placement changes what the job's constraints allow in the zones.
+    // Checked again for each task, as every placement changes how many more the constraints allow in a zone.
     for (; slots > 0 && job.zones.capacityIn(machine.zone) > 0; slots--) {
       const placement = versions.createPlacement(tasks[placed]!, machine, context.now);
       placed++;
       context.cluster.addPlacement(placement);
-      noteImagePull(job, machine, context);
+      recordImagePull(job, machine, context);
       logPlacement(placement, candidate, context);
     }
     if (placed >= tasks.length) break;
@@ -35,10 +35,10 @@
   return placed;
 }
 
-/** Attempt numbers and versions of placements that are made together: each shard changes its version once. */
+/** Assigns attempt numbers and versions to placements of one batch. Each shard changes its version once per batch. */
 class AssignmentVersions {
   private readonly commonAttempt: number;
-  /** Versions of the job that contain these placements, by the shard they belong to. */
+  /** The job version that contains the placements of a shard, by shard. */
   private readonly versions = new Map<JobShard, number>();
   private isFirst = true;
 
@@ -66,8 +66,8 @@
   }
 }
 
-/** From now on the machine counts as one that pulls the job's image, unless it holds or pulls it already. */
-function noteImagePull({ spec }: ActiveJob, { images }: Machine, context: PlanningContext): void {
+/** Records that the machine pulls the job's image, unless it holds or pulls it already. */
+function recordImagePull({ spec }: ActiveJob, { images }: Machine, context: PlanningContext): void {
   if (images.has(spec.image)) return;
   images.set(spec.image, { lastUsedAt: context.now, sizeGb: spec.imageGb, isPulled: false });
 }
@@ -89,7 +89,7 @@
   }));
 }
 
-/** The first items, at most `limit`. */
+/** Returns the first items, `limit` at most. */
 export function takeFirst(items: Iterable<number>, limit: number): number[] {
   const taken: number[] = [];
   for (const item of items) {
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -1,4 +1,4 @@
-/** Machines with free capacity for a task of a job, the best first. */
+/** Finds the machines with free capacity for a task of a job and orders them by cost. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -8,39 +8,41 @@
 import { freeSlotsOn, imagePullS, isCapacityOpenTo } from "./eligibility.js";
 import { blocksGpuJob } from "./gpu-reservation.js";
 
-/** Boot times that it costs to block a GPU job: GPUs should stay usable. */
+/** Cost of blocking a GPU job, in boot times of the machine, which keeps GPUs usable for GPU jobs. */
 const GPU_BLOCKING_COST_BOOTS = 2;
 
-/** Cost in seconds of each service replica on the machine: replicas are spread, so that a lost machine ends few. */
+/** Cost in seconds of each service replica on the machine. It spreads replicas, so a machine failure ends few. */
 const REPLICA_SPREAD_COST_S = 0.2;
 
-/** Cost in seconds of a machine with all CPUs free: other tasks are bin packed, and leave these to replicas. */
+/** Cost in seconds of a machine with all CPUs free. It packs tasks other than replicas onto the fuller machines. */
 const BIN_PACKING_COST_S = 0.5;
 
 /**
- * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work to an interruption, and
- * gain for one with checkpoints. (Of the jobs that ended late, half had a task on a machine that was interrupted.)
+ * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work in an interruption; for a
+ * job with checkpoints it is deducted instead. Without this term, half of the jobs that ended late had had a task on
+ * an interrupted machine.
  */
 const SPOT_COST_S = 1;
 
-/** Heartbeat intervals after which a waiting job accepts any machine. */
-const PICKY_HEARTBEAT_INTERVALS = 2;
+/** Heartbeat intervals after which a waiting service is placed even where its replicas block GPU jobs. */
+const ANY_MACHINE_AFTER_HEARTBEAT_INTERVALS = 2;
 
-/** A machine that takes tasks of a job now. */
+/** A machine with free capacity for tasks of a job. */
 export interface Candidate {
   readonly machine: Machine;
-  /** How many tasks of the job fit. */
+  /** Number of tasks of the job that may be placed on it. */
   readonly freeSlots: number;
-  /** Cost of placing a task there: about the seconds until it runs, with penalties; lower is better. */
+  /** Cost of placing a task there: the estimated seconds until it runs, plus penalties. Lower is better. */
   readonly costS: number;
 }
 
-/** Has the job waited so long that any machine will do? */
+/** Whether the job has waited so long that it is also placed on machines where it blocks GPU jobs. */
 export const acceptsAnyMachine = (job: ActiveJob, context: PlanningContext): boolean =>
   job.waitingSince !== null &&
-  context.now - job.waitingSince > PICKY_HEARTBEAT_INTERVALS * context.settings.heartbeatIntervalS;
+  context.now - job.waitingSince >
+    ANY_MACHINE_AFTER_HEARTBEAT_INTERVALS * context.settings.heartbeatIntervalS;
 
-/** The machines with free capacity for the job, sorted by cost and then by name. */
+/** Returns the machines with free capacity for the job, sorted by cost and then by name. */
 export function findCandidates(job: ActiveJob, context: PlanningContext): Candidate[] {
   const { spec } = job;
   const { gpuReservation } = context;
@@ -50,7 +52,7 @@
     if (freeSlots === 0 || !isCapacityOpenTo(machine, job)) continue;
     if (!isMachineAllowed(spec, machine) || job.zones.capacityIn(machine.zone) === 0) continue;
     if (job.failures.avoids(machine.name, context.now)) continue;
-    if (isReplicaTooEarlyForGpus(job, machine, context)) continue;
+    if (mustAvoidBlockingGpuJobs(job, machine, context)) continue;
     const slots = Math.min(freeSlots, slotsBesideGpuJobs(spec, machine, gpuReservation));
     if (slots <= 0) continue;
     const costS = placementCostS(machine, spec, gpuReservation);
@@ -59,8 +61,11 @@
   return candidates.sort((a, b) => a.costS - b.costS || (a.machine.name < b.machine.name ? -1 : 1));
 }
 
-/** A replica stays for long: it blocks a GPU job only after there was time to free capacity elsewhere. */
-function isReplicaTooEarlyForGpus(
+/**
+ * Whether the job is a service that must not block GPU jobs on this machine. Replicas run for long, so a service
+ * blocks GPU jobs only after there has been time to free capacity elsewhere.
+ */
+function mustAvoidBlockingGpuJobs(
   job: ActiveJob,
   machine: Machine,
   context: PlanningContext,
@@ -72,7 +77,10 @@
   );
 }
 
-/** How many tasks fit beside one GPU job of any shape, where the machine is reserved for GPU jobs; else unlimited. */
+/**
+ * Number of tasks that may be placed beside one task of any GPU job that fits on the machine now, if the machine is
+ * reserved for GPU jobs. Infinite on other machines, and for production jobs and GPU jobs.
+ */
 function slotsBesideGpuJobs(spec: JobSpec, machine: Machine, reservation: GpuReservation): number {
   let slots = Infinity;
   if (spec.gpus > 0 || spec.priority === "production") return slots;
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -1,6 +1,6 @@
 /**
- * What one scheduling cycle works on: types only. Nothing is imported here at run time, so that every planning
- * module may depend on it without a circle of imports.
+ * Types of the input of a scheduling cycle. The module imports only types, so every planning module can import it
+ * without an import cycle.
  */
 
 import type { Cluster } from "../cluster.js";
@@ -9,48 +9,48 @@
 import type { ClusterSettings } from "../model/settings.js";
 import type { TokenBucket } from "../overload/token-bucket.js";
 
-/** Input of one scheduling cycle, the same for all of its steps. */
+/** Input of one scheduling cycle, shared by all its steps. */
 export interface PlanningContext {
-  /** The leader's view of machines and jobs; placements of this cycle are added to it. */
+  /** The leader's view of machines and jobs. The cycle adds its placements to it. */
   readonly cluster: Cluster;
   readonly settings: ClusterSettings;
-  /** Steady clock at the beginning of the cycle, in seconds. */
+  /** Steady clock at the start of the cycle, in seconds. */
   readonly now: number;
-  /** Time of day at the beginning of the cycle, in milliseconds since 1970: for deadlines and objectives. */
+  /** Time of day at the start of the cycle, in milliseconds since 1970. Deadlines and objectives refer to it. */
   readonly wallMs: number;
-  /** Bytes that the stored value of a job may grow to while its tasks are still being placed. */
+  /** Size limit in bytes of a job's stored value while tasks of the job are still being placed. */
   readonly maxValueBytes: number;
   readonly snapshot: MachineSnapshot;
-  /** Ids of the jobs within their team's guarantee. */
+  /** Ids of the jobs that fit within the guaranteed capacity of their team. */
   readonly guaranteedJobs: ReadonlySet<string>;
   readonly gpuReservation: GpuReservation;
-  /** Tasks of sharded jobs that may still be placed. */
+  /** Rate limit on placing tasks of sharded jobs; one token for each task. */
   readonly bulkBudget: TokenBucket;
-  /** Logs a line on a single task; the fields are computed only where such lines are written. */
+  /** Logs an event of a single task. `fields` is called only if such events are logged. */
   readonly logTask: (message: string, fields: () => Record<string, unknown>) => void;
 }
 
 /**
- * The machines as the cycle begins. Computed once for all jobs: with many hundred machines and jobs, one pass over
- * the machines for every job costs more than a controller can spend.
+ * Indexes of the machines as of the start of a cycle. They are built once for all jobs, because with many hundred
+ * machines and jobs a pass over all machines for every job exceeds the CPU time of a controller.
  */
 export interface MachineSnapshot {
-  /** Machines that accept new work, by the name of their type. */
+  /** Usable machines, which are those that accept new work, by the name of their type. */
   readonly usableByType: ReadonlyMap<string, readonly Machine[]>;
   /** Usable machines with free CPU and memory. */
   readonly withFreeCapacity: readonly Machine[];
-  /** One machine of each kind, which is its type, its zone and whether it is a spot machine. */
+  /** One machine for each combination of type, zone and spot or not, whether usable or not. */
   readonly oneOfEachKind: readonly Machine[];
-  /** Of `withFreeCapacity`, those that hold an image, by image. */
+  /** The machines of `withFreeCapacity` that hold an image, by the image's name. */
   readonly withImage: ReadonlyMap<string, readonly Machine[]>;
-  /** Number of usable GPU machines, with free capacity or not, that hold an image, by image. */
+  /** Number of usable GPU machines, with or without free capacity, that hold an image, by the image's name. */
   readonly gpuMachinesWithImage: ReadonlyMap<string, number>;
 }
 
-/** The capacity reservation for GPU jobs, as of the beginning of a cycle. */
+/** The capacity reserved for GPU jobs, as of the start of a cycle. */
 export interface GpuReservation {
-  /** One job of each known shape that uses GPUs. */
+  /** The spec of the latest job of each known class that uses GPUs. */
   readonly gpuJobSpecs: readonly JobSpec[];
-  /** Free GPU machines that other work must leave usable. */
+  /** GPU machines on which other jobs must leave enough free capacity for a GPU job. */
   readonly reservedMachines: ReadonlySet<Machine>;
 }
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,17 +1,20 @@
-/** Which machines accept new work, to whom their capacity is open, and how long an image pull takes there. */
+/**
+ * Checks which machines accept new work and which jobs may use their capacity, and estimates how long image pulls
+ * take.
+ */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
 import type { ClusterSettings } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 
-/** Heartbeat intervals without any message from the worker after which a machine accepts no new work. */
-const MAX_SILENT_HEARTBEAT_INTERVALS = 1.5;
+/** Heartbeat intervals without a message from the worker after which a machine accepts no new work. */
+const MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS = 1.5;
 
-/** Share of a lease after which a machine whose own heartbeats do not arrive accepts no new work. */
+/** Share of a lease without a heartbeat sent by the worker itself after which a machine accepts no new work. */
 const MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
-/** Does the machine accept new work now (in seconds), apart from reservations for certain jobs? */
+/** Whether the machine accepts new work at `now` (in seconds), regardless of reservations for particular jobs. */
 export function acceptsNewWork(machine: Machine, settings: ClusterSettings, now: number): boolean {
   return (
     machine.state === "up" &&
@@ -20,16 +23,18 @@
     machine.drainReason === null &&
     machine.interruptionAt === null &&
     machine.unreachableSince === null &&
-    now - machine.lastMessageAt < MAX_SILENT_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
-    // While a new leader settles, heartbeats go to other controllers, but not for so long.
+    now - machine.lastMessageAt <
+      MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
+    // Under a new leader, workers send heartbeats to other controllers at first, but for less time than this.
     now - machine.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
     now >= machine.backoffUntil
   );
 }
 
 /**
- * Is the machine's capacity not reserved for another job? What is being freed for a gang is open to a gang earlier in
- * the queue all the same: otherwise two gangs, each with half of what it needs, block each other.
+ * Whether no reservation for another job keeps this job from using the machine's capacity. Capacity that is being
+ * freed for a gang stays open to gangs that are earlier in the queue: otherwise two gangs can deadlock, each with
+ * half of the capacity that it needs.
  */
 export function isCapacityOpenTo(machine: Machine, job: ActiveJob): boolean {
   const { reservation } = machine;
@@ -42,7 +47,7 @@
   );
 }
 
-/** Seconds until the job's image would be on the machine; a pull under way counts as half done. */
+/** Estimated seconds until the machine holds the job's image. A pull in progress counts as half done. */
 export function imagePullS(machine: Machine, spec: JobSpec): number {
   const { images, type } = machine;
   const image = images.get(spec.image);
@@ -53,15 +58,15 @@
   return image === undefined ? ownPullS + pendingPullsGb / type.fetchGbPerS : ownPullS / 2;
 }
 
-/** How many tasks of this shape the whole machine takes when nothing else runs on it. */
+/** Number of tasks of the job that fit on the machine when nothing else runs there. */
 export const slotsOnEmptyMachine = (spec: JobSpec, { type }: Machine): number =>
   taskSlots(spec, type.cpus, type.gpus, type.memoryGb);
 
-/** How many tasks of this shape fit beside what is placed on the machine. */
+/** Number of tasks of the job that fit into the machine's free capacity. */
 export const freeSlotsOn = (spec: JobSpec, machine: Machine): number =>
   taskSlots(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
 
-/** Usable machines of the types of which an empty machine takes a task of this shape. */
+/** Usable machines of all types on which a task of the job fits when the machine is empty. */
 export function* machinesThatFit(spec: JobSpec, context: PlanningContext): Generator<Machine> {
   for (const machines of context.snapshot.usableByType.values()) {
     if (slotsOnEmptyMachine(spec, machines[0]!) >= 1) yield* machines;
--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -1,4 +1,4 @@
-/** Free capacity that is reserved for a gang of several machines until all its tasks fit. */
+/** Reserves free capacity for gangs of several tasks until all tasks of the gang fit. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -12,29 +12,30 @@
   slotsOnEmptyMachine,
 } from "./eligibility.js";
 
-/** Share of its tasks that a gang's reserved zone counts more than others, so that it rarely changes zones. */
+/** Bonus for the zone reserved in the last cycle, as a share of the gang's tasks, so that the zone rarely changes. */
 const RESERVED_ZONE_BONUS = 1 / 4;
 
-/** Stands for all zones together, for gangs that are not bound to one. */
+/** Key for all zones together, used for gangs that need not be in one zone. */
 const ANY_ZONE = "";
 
-/** Capacity for tasks of a gang in one zone, or in all where any will do. */
+/** Capacity for tasks of a gang in one zone, or in all zones if the gang need not be in one. */
 interface ZoneCapacity {
   freeSlots: number;
-  /** On empty machines. */
+  /** Slots that the zone's machines would have if they were empty. */
   totalSlots: number;
-  /** On machines that are being freed for the gang. */
+  /** Slots on machines that are being freed for the gang by preemption. */
   preemptedSlots: number;
-  /** Machines with free slots, or which are being freed. */
+  /** Machines that have free slots or are being freed for the gang. */
   readonly machines: Machine[];
 }
 
 /**
- * Reserves the free capacity of one zone for a gang that could not be placed, until the next cycle. Smaller jobs would
- * take each machine as it comes free, and a gang of many would never find them free at one moment; jobs that follow in
- * the queue get the rest. In the next cycle a gang that precedes it does not find the capacity reserved. One gang at a
- * time reserves in a zone: two together kept a third of it idle. `reservedZones`: zones with a reservation of this
- * cycle; the gang's zone is added while it lacks capacity there.
+ * Reserves free capacity of one zone, until the next cycle, for a gang that could not be placed. Without a
+ * reservation, smaller jobs take each machine as it becomes free, and a large gang never finds enough of them free at
+ * the same time. Jobs later in the queue get the remaining capacity. The reservation ends with the next cycle, so it
+ * does not block a gang that is ahead in the queue by then. Only one gang at a time reserves in a zone: two
+ * reservations kept a third of the zone idle. `reservedZones`: zones with a reservation of this cycle; the gang's
+ * zone is added if the gang still lacks capacity there.
  */
 export function reserveGangCapacity(
   job: ActiveJob,
@@ -59,7 +60,7 @@
   return context.cluster.quotaSlots(job.spec) >= tasks;
 }
 
-/** Capacity for the gang in each zone without another reservation, or under `ANY_ZONE` if it is not bound to one. */
+/** Capacity for the gang by zone, without reserved zones; under `ANY_ZONE` if the gang need not be in one zone. */
 function capacityByZone(
   job: ActiveJob,
   context: PlanningContext,
@@ -94,27 +95,33 @@
   machines: [],
 });
 
-/** The zone that can take the gang and lacks the least capacity; the previous one, unless another is far better. */
+/**
+ * Chooses, of the zones that can take the whole gang, the one with the most free and preempted slots. The previous
+ * zone is kept unless another has far more.
+ */
 function chooseZone(
   capacities: ReadonlyMap<string, ZoneCapacity>,
   tasks: number,
   previousZone: string | null,
 ): string | null {
   let bestZone: string | null = null;
-  let bestValue = -1;
+  let bestScore = -1;
   for (const [zone, { freeSlots, totalSlots, preemptedSlots }] of capacities) {
     if (totalSlots < tasks) continue;
     const bonus = zone === previousZone ? RESERVED_ZONE_BONUS * tasks : 0;
-    const value = freeSlots + preemptedSlots + bonus;
-    if (value > bestValue) {
-      bestValue = value;
+    const score = freeSlots + preemptedSlots + bonus;
+    if (score > bestScore) {
+      bestScore = score;
       bestZone = zone;
     }
   }
   return bestZone;
 }
 
-/** Reserves as many machines as the gang needs, those with the shortest image pull first. Returns slots missing. */
+/**
+ * Reserves as many machines as the gang needs, in the order of their image pull times. Returns the number of slots
+ * that are still missing.
+ */
 function reserveMachines(job: ActiveJob, machines: Machine[], context: PlanningContext): number {
   const { spec } = job;
   const until = context.now + context.settings.heartbeatIntervalS;
--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -1,28 +1,29 @@
-/** Whether a GPU gang that could start now should rather wait for machines that hold its image already. */
+/** Decides whether a GPU gang that fits now should wait instead for machines that already hold its image. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { START_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { isGuaranteed } from "./precedence.js";
 
-/** Machines per task that hold an image if one of them may come free in time for an objective. */
+/** Minimum number of machines per task that hold the image for a gang to wait in order to meet an objective. */
 const IMAGE_HOLDERS_PER_TASK_FOR_OBJECTIVE = 4;
 
-/** Machines per task that hold an image if waiting for one of them is worth it without an objective. */
+/** Minimum number of machines per task that hold the image for a gang to wait without an objective at stake. */
 const IMAGE_HOLDERS_PER_TASK_FOR_WAIT = 8;
 
-/** Share of the pull time for which a gang of one task waits; one of n tasks waits for an nth of that. */
+/** Share of the pull time that a gang of one task waits; a gang of n tasks waits 1/n of that. */
 const WAIT_SHARE_OF_PULL = 1 / 4;
 
-/** Stands for the later objective, in seconds from the submission, if only one applies. */
+/** Used in place of the later objective, in seconds from the submission, if only one objective is left. */
 const FALLBACK_OBJECTIVE_S = START_BOUND_S / 2;
 
-/** Pull times that must be left until the objective after the next one: the wait must not endanger it. */
-const PULLS_UNTIL_LATER_OBJECTIVE = 1.4;
+/** Pull times that must remain until the objective after the next one, so that the wait does not endanger it. */
+const MIN_PULL_TIMES_BEFORE_LATER_OBJECTIVE = 1.4;
 
 /**
- * Where many machines hold the image of a GPU gang, some come free every few seconds. The gang lets others go first
- * for a small part of the time that the pull would take, the less the more machines it needs. (Five of six GPU tasks
- * pulled images that a third of all GPU machines held.)
+ * Whether the gang should wait for machines that hold its image. If many machines hold it, some become free every few
+ * seconds, so the gang waits for a small part of the pull time, and for less time the more tasks it has. Without the
+ * wait, five of six GPU tasks pulled images that a third of all GPU machines already held. `pullS`: seconds that the
+ * pull takes on the machines that are free now.
  */
 export function shouldWaitForImage(
   job: ActiveJob,
@@ -39,21 +40,23 @@
 }
 
 /**
- * The pull takes longer than what is left until the next objective on the start, and less than until the one after it:
- * only a machine that holds the image can meet the next one. (On days with the guarantee at 30 s, most that missed it
- * had been placed within five, and pulled for 30 and more.)
+ * Whether a pull would miss the next objective on the start but still meet the one after it. Only a machine that
+ * holds the image can then meet the next objective. With the guarantee at 30 s, most gangs that missed it had been
+ * placed within five seconds and then pulled for 30 s or more.
  */
 function pullMissesNextObjective(job: ActiveJob, pullS: number, context: PlanningContext): boolean {
   const ageS = (context.wallMs - job.objectivesCountFromMs) / 1000;
   const hasGuarantee = isGuaranteed(job.precedence);
-  const leftS: number[] = [];
+  const remainingS: number[] = [];
   for (const { kind, class: jobClass, withinS } of context.settings.objectives) {
     if (withinS === null || withinS <= ageS) continue;
     const isOnWait = kind === "wait" && jobClass === job.spec.class;
-    if (isOnWait || (kind === "guarantee" && hasGuarantee)) leftS.push(withinS - ageS);
+    if (isOnWait || (kind === "guarantee" && hasGuarantee)) remainingS.push(withinS - ageS);
   }
-  leftS.sort((a, b) => a - b);
-  const [nextS, laterS = FALLBACK_OBJECTIVE_S - ageS] = leftS;
+  remainingS.sort((a, b) => a - b);
+  const [nextS, laterS = FALLBACK_OBJECTIVE_S - ageS] = remainingS;
   if (nextS === undefined || pullS <= nextS) return false;
-  return laterS > PULLS_UNTIL_LATER_OBJECTIVE * pullS + context.settings.heartbeatIntervalS;
+  return (
+    laterS > MIN_PULL_TIMES_BEFORE_LATER_OBJECTIVE * pullS + context.settings.heartbeatIntervalS
+  );
 }
--- a/src/core/planning/gang-placement.ts
+++ b/src/core/planning/gang-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of gangs: all tasks of an attempt at once, or none. */
+/** Places gangs: all tasks of an attempt at once, or none. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { Machine } from "../machines/machine.js";
 import { assignTasks, takeFirst } from "./assignment.js";
@@ -7,17 +7,17 @@
 import { imagePullS } from "./eligibility.js";
 import { shouldWaitForImage } from "./gang-image-wait.js";
 
-/** What came of an attempt to place a gang. */
+/** Result of an attempt to place a gang. */
 export type GangOutcome = "placed" | "waits for image" | "lacks capacity";
 
-/** Candidates that take a whole gang. */
+/** Candidates on which a whole gang fits. */
 interface GangFit {
   readonly candidates: readonly Candidate[];
-  /** Highest cost among the candidates used: the gang starts when its last task can. */
+  /** Highest cost of the candidates used, as the gang starts only when its last task can. */
   readonly costS: number;
 }
 
-/** Places a gang as a whole, and only when nothing of an earlier attempt is left. */
+/** Places all tasks of a gang, but only once no placement of an earlier attempt is left. */
 export function placeGang(job: ActiveJob, context: PlanningContext): GangOutcome {
   if (job.placementCount > 0) return "lacks capacity";
   if (context.cluster.quotaSlots(job.spec) < job.spec.tasks) return "lacks capacity";
@@ -29,11 +29,14 @@
   const pullS = new Map<Machine, number>();
   for (const { machine } of fit.candidates) pullS.set(machine, imagePullS(machine, job.spec));
   assignTasks(job, tasks, fit.candidates, context);
-  delayShortPulls(job, pullS, context);
+  delayTasksWithShortPulls(job, pullS, context);
   return "placed";
 }
 
-/** Of the zones, if the gang is bound to one, else of all machines together: the cheapest that takes all tasks. */
+/**
+ * Finds the candidates that take all tasks at the lowest cost. If the gang must be in one zone, each zone is tried by
+ * itself; otherwise the candidates of all zones are used together.
+ */
 function findCheapestFit(
   job: ActiveJob,
   candidates: readonly Candidate[],
@@ -59,7 +62,7 @@
   return byZone.values();
 }
 
-/** Highest cost in seconds among the first candidates that take all tasks; null: they do not fit. */
+/** Highest cost in seconds among the first candidates that together take all tasks; null: they cannot. */
 function costOfGang(
   job: ActiveJob,
   candidates: readonly Candidate[],
@@ -79,11 +82,12 @@
 }
 
 /**
- * A gang task whose image is ready waits for its peers no longer than `gang_wait_s`, and then all start anew. Where
- * some machines pull for half of that and more, tasks on the others start when the first of these peers is ready. (A
- * gang of four lost 85 s: one had its image, three pulled for 70 s, 45 are allowed.)
+ * Delays the tasks whose image pull is short. A gang task with its image ready waits for its peers for `gang_wait_s`
+ * at most; after that the whole gang is restarted. If the longest pull takes half of `gang_wait_s` or more, the tasks
+ * that pull for less than half of it start only when the first task with a long pull is ready. Without the delay, a
+ * gang of four lost 85 s: one machine held the image, three pulled for 70 s, and 45 s were allowed.
  */
-function delayShortPulls(
+function delayTasksWithShortPulls(
   job: ActiveJob,
   pullS: ReadonlyMap<Machine, number>,
   context: PlanningContext,
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -1,11 +1,11 @@
 /**
- * Fairness between the sizes of a class of gangs, so that none starves in a backlog.
+ * Fairness between gang sizes within a class, so that no size starves in a backlog.
  *
- * Small gangs go first, as an objective counts them as much as large ones. In a backlog that lasts, this order alone
- * serves few of the largest: in a burst of four times the jobs less than half of the gangs of four started within the
- * users' bound. So recent starts are counted for each class and size. While a smaller share of some size started than
- * `MIN_STARTED_SHARE`, the first jobs in the queue of the size with the smallest share go before the rest of their
- * class.
+ * The queue puts small gangs first, because objectives count each gang once, whatever its size. In a lasting backlog
+ * this order starts few large gangs: in a burst of four times the usual jobs, less than half of the gangs of four
+ * started within the bound `START_BOUND_S`. Therefore recent starts are counted by class and size. While the share
+ * that started is below `MIN_STARTED_SHARE` for some size, the first queued jobs of the size with the smallest share
+ * go before all others of their class.
  */
 
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -14,24 +14,24 @@
 import type { PlanningContext } from "./context.js";
 import { expectedImagePullS, waitedShareOfStartBound } from "./urgency.js";
 
-/** Share of each size that must start; half is the objective, a fifth of that is margin. */
+/** Share of the gangs of each size that should start in time: the objective of one half, plus a margin of a fifth. */
 const MIN_STARTED_SHARE = 0.6;
 
-/** Jobs added to those that started, so that in small numbers a single one decides nothing. */
+/** Added to the number of started jobs, so that a single job decides nothing when the numbers are small. */
 const SMOOTHING = 1;
 
-/** Share of the users' bound on starting after which a waiting job counts as not started. */
+/** Share of `START_BOUND_S` after which a waiting job counts as not started. */
 const COUNTED_AFTER_BOUND_SHARE = 1 / 8;
 
 /** Waiting jobs of one class and size. */
 interface SizeQueue {
-  /** Jobs that can still start within the bound, as their team's limit allows, in the order of the queue. */
+  /** The first jobs in queue order that can still start within the bound and within their team's quota. */
   readonly startable: ActiveJob[];
   /** Number of jobs that have waited long enough to count as not started. */
   notStarted: number;
 }
 
-/** Would a job that is placed now, and pulls its image, start within the users' bound? */
+/** Whether the job, if placed now, would start within `START_BOUND_S` including its image pull. */
 function canStartInTime(job: ActiveJob, context: PlanningContext): boolean {
   const waitedS = (context.wallMs - job.objectivesCountFromMs) / 1000;
   return waitedS + expectedImagePullS(job, context) < START_BOUND_S;
@@ -57,8 +57,8 @@
 }
 
 /**
- * Of each class, the first waiting jobs of the size with the smallest share of starts, if that is too small: one for
- * each zone, as a gang may be bound to one, and capacity is reserved for one gang in a zone at a time.
+ * Returns, by class, the first waiting jobs of the size with the smallest share of starts, if that share is too
+ * small. There are as many jobs as zones, because capacity is reserved for only one gang per zone at a time.
  */
 function underservedJobs(
   queue: readonly ActiveJob[],
@@ -78,7 +78,7 @@
   return jobs;
 }
 
-/** Moves the jobs of sizes with too few starts before all others of their class; the others keep their order. */
+/** Moves jobs of sizes with too few starts ahead of all others in their class. The others keep their order. */
 export function promoteUnderservedSizes(queue: ActiveJob[], context: PlanningContext): ActiveJob[] {
   const promoted = underservedJobs(queue, context);
   if (promoted.size === 0) return queue;
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -1,4 +1,4 @@
-/** GPU machines that are reserved for GPU jobs: other work must leave them usable. */
+/** Reserves GPU machines for GPU jobs. Other jobs must leave enough free capacity there for a GPU job. */
 import type { Cluster } from "../cluster.js";
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
@@ -6,27 +6,27 @@
 import type { GpuReservation } from "./context.js";
 import { freeSlotsOn } from "./eligibility.js";
 
-/** Free GPU machines that are reserved at the least. */
+/** Minimum number of free GPU machines to reserve. */
 const MIN_RESERVED_MACHINES = 2;
 
-/** Free machines to reserve for each machine with GPUs in use. */
+/** Number of free machines to reserve per machine with GPUs in use. */
 const RESERVED_PER_BUSY_MACHINE = 1 / 2;
 
-/** A free GPU machine, and the size of the images on it that GPU jobs use. */
+/** A GPU machine with room for a GPU job, and the total size of the images on it that GPU jobs use. */
 interface FreeGpuMachine {
   readonly machine: Machine;
   readonly usefulImagesGb: number;
 }
 
-/** Could fewer tasks of some GPU job start on the machine now with a task of `spec` on it? */
+/** Whether a task of `spec` on the machine would leave room for fewer tasks of some GPU job. */
 export function blocksGpuJob(
   machine: Machine,
   spec: JobSpec,
   reservation: GpuReservation,
 ): boolean {
   if (machine.type.gpus <= 0 || spec.gpus > 0) return false;
-  // Before any GPU job was seen, its shape is not known: any task may be in its way. (Replicas that came first, at a
-  // cold start, kept a GPU machine from its jobs for a whole day.)
+  // Until a GPU job is known, neither are its demands, so any task may block one. Otherwise replicas that were placed
+  // first, at a cold start, blocked a GPU machine for a whole day.
   if (reservation.gpuJobSpecs.length === 0) return true;
   return reservation.gpuJobSpecs.some((gpuJob) => {
     if (!isMachineAllowed(gpuJob, machine)) return false;
@@ -37,9 +37,10 @@
 }
 
 /**
- * Reserves free GPU machines: half as many as GPU work occupies, two at least, and as many as there are waiting GPU
- * tasks. (Without the last, arrays took each machine as it came free, and gangs waited for minutes beside a quarter of
- * all GPUs.) Those that hold images of GPU jobs come first, because nothing takes longer than pulling these.
+ * Reserves free GPU machines: half as many as have GPUs in use, at least two, and at least as many as there are
+ * waiting GPU tasks. Without the last rule, arrays took each machine as it became free, and gangs waited for minutes
+ * while a quarter of all GPUs was idle. Machines that hold images of GPU jobs come first, because the pulls of these
+ * images are the longest part of a start.
  */
 export function reserveGpuMachines(
   cluster: Cluster,
@@ -51,19 +52,19 @@
   for (const machine of cluster.machines.values()) {
     if (!isUsableGpuMachine(machine)) continue;
     if (machine.gpusUsed > 0) busyMachines++;
-    if (!takesAnyOf(gpuJobSpecs, machine)) continue;
-    free.push({ machine, usefulImagesGb: readyImagesGb(machine, images) });
+    if (!fitsTaskOfAny(gpuJobSpecs, machine)) continue;
+    free.push({ machine, usefulImagesGb: pulledImagesGb(machine, images) });
   }
   free.sort(
     (a, b) => b.usefulImagesGb - a.usefulImagesGb || (a.machine.name < b.machine.name ? -1 : 1),
   );
-  const forBusy = Math.ceil(busyMachines * RESERVED_PER_BUSY_MACHINE);
-  const count = Math.max(MIN_RESERVED_MACHINES, forBusy, waitingTasks);
+  const countForBusyMachines = Math.ceil(busyMachines * RESERVED_PER_BUSY_MACHINE);
+  const count = Math.max(MIN_RESERVED_MACHINES, countForBusyMachines, waitingTasks);
   const reserved = free.slice(0, count).map(({ machine }) => machine);
   return { gpuJobSpecs, reservedMachines: new Set(reserved) };
 }
 
-/** The images of all GPU jobs, and how many tasks of those that may run are waiting. */
+/** The images of the GPU jobs not blocked on dependencies, and the number of waiting tasks of those that may run. */
 function gpuDemand(cluster: Cluster): {
   readonly images: ReadonlySet<string>;
   readonly waitingTasks: number;
@@ -84,10 +85,10 @@
   machine.drainReason === null &&
   machine.interruptionAt === null;
 
-const takesAnyOf = (specs: readonly JobSpec[], machine: Machine): boolean =>
+const fitsTaskOfAny = (specs: readonly JobSpec[], machine: Machine): boolean =>
   specs.some((spec) => isMachineAllowed(spec, machine) && freeSlotsOn(spec, machine) > 0);
 
-function readyImagesGb(machine: Machine, names: ReadonlySet<string>): number {
+function pulledImagesGb(machine: Machine, names: ReadonlySet<string>): number {
   let sumGb = 0;
   for (const [name, image] of machine.images) {
     if (image.isPulled && names.has(name)) sumGb += image.sizeGb;
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -1,4 +1,4 @@
-/** Takes the snapshot of the machines on which a scheduling cycle works. */
+/** Builds the machine indexes that a scheduling cycle uses. */
 
 import type { Cluster } from "../cluster.js";
 import type { Machine } from "../machines/machine.js";
@@ -7,7 +7,7 @@
 import type { MachineSnapshot } from "./context.js";
 import { acceptsNewWork } from "./eligibility.js";
 
-/** One pass over all machines. Also refreshes `weakestPrecedence` of each usable one. `now` in seconds. */
+/** Builds the snapshot in one pass over all machines, and updates `weakestPrecedence` of each usable machine. */
 export function takeMachineSnapshot(
   cluster: Cluster,
   settings: ClusterSettings,
--- a/src/core/planning/planner.ts
+++ b/src/core/planning/planner.ts
@@ -1,6 +1,7 @@
 /**
- * The placement step of a scheduling cycle: which waiting task goes to which machine. It works on the leader's view,
- * which may be stale: a placement counts once it is persisted, and workers refuse tasks that do not fit them.
+ * The placement step of a scheduling cycle, which assigns waiting tasks to machines. The leader's view of the
+ * machines may be stale. A placement takes effect only once it is persisted, and workers reject tasks that do not
+ * fit.
  */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { placeIndependentTasks } from "./array-placement.js";
@@ -13,15 +14,16 @@
 import { waitedShareOfStartBound } from "./urgency.js";
 
 /**
- * Places tasks of the waiting jobs, in the order of the queue. `mayStart` accepts the start of a job for good. Returns
- * the jobs that still lack capacity, in the same order: for these, others are preempted and machines provisioned.
+ * Places tasks of the waiting jobs in queue order. `mayStart` decides whether a job may start; a start that it has
+ * accepted is not taken back. Returns the jobs that still lack capacity, in the same order: the caller preempts tasks
+ * and provisions machines for these.
  */
 export function placeWaitingJobs(
   context: PlanningContext,
   mayStart: (job: ActiveJob) => boolean,
 ): ActiveJob[] {
   const lackingCapacity: ActiveJob[] = [];
-  /** Zones in which a gang has reserved capacity in this cycle, and lacks more. */
+  /** Zones in which a gang has reserved capacity in this cycle and still needs more. */
   const reservedZones = new Set<string>();
   const queue = promoteUnderservedSizes(orderQueue(context), context);
   queue.forEach((job, position) => {
@@ -35,31 +37,34 @@
       continue;
     }
     job.waitingSince ??= context.now;
-    // A job that fails everywhere, or only waits for its image, causes no preemption, reservation or scale-out.
+    // A job that fails on every machine, or waits only for its image, triggers no preemption and no scale-out.
     if (!job.isSuspect && !waitsForImage) lackingCapacity.push(job);
   }
   return lackingCapacity;
 }
 
-/** Places what can be placed of a job. Returns whether it is a gang that has capacity and waits for its image. */
+/**
+ * Places as many tasks of the job as possible. Returns whether the job is a gang that fits the free capacity but
+ * waits for machines that hold its image.
+ */
 function placeJob(job: ActiveJob, context: PlanningContext, reservedZones: Set<string>): boolean {
   const placedBefore = job.placementCount;
   let waitsForImage = false;
   if (job.spec.kind === "gang") {
     const outcome = placeGang(job, context);
     waitsForImage = outcome === "waits for image";
-    // While a gang only waits for its image, free capacity is left to other jobs.
+    // A gang that only waits for its image reserves nothing, so other jobs can use the free capacity.
     if (outcome !== "lacks capacity" || job.waitingSince === null) job.reservedZone = null;
     else reserveGangCapacity(job, context, reservedZones);
   } else {
     placeIndependentTasks(job, context);
   }
-  if (job.placementCount > placedBefore) noteStarted(job, context);
+  if (job.placementCount > placedBefore) recordStart(job, context);
   return waitsForImage;
 }
 
-/** Counts a start for fairness between gang sizes, and starts the cooldown after a starving job. */
-function noteStarted(job: ActiveJob, context: PlanningContext): void {
+/** Counts a timely start for the fairness between gang sizes, and starts the cooldown if the job was starving. */
+function recordStart(job: ActiveJob, context: PlanningContext): void {
   if (waitedShareOfStartBound(job, context) < 1) {
     context.cluster.gangStarts.noteStart(job, context.now);
   }
--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -7,22 +7,25 @@
 import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 import { findPreemption, type PreemptionChoice } from "./preemption.js";
 
-/** Searches in one cycle, for each core. Each search examines all machines: what a cycle omits, the next one does. */
+/**
+ * Searches per cycle and core. Each search examines all machines. Jobs that a cycle has no searches left for are
+ * handled in a later cycle.
+ */
 const PREEMPTION_SEARCHES_PER_CORE = 64;
 
-/** Searches in one cycle at the most, however many cores there are. */
+/** Maximum number of searches per cycle, regardless of the number of cores. */
 const MAX_PREEMPTION_SEARCHES = 16;
 
-/** Searches for one job in one cycle, each of which frees capacity on one machine: one job must not use up all. */
+/** Searches per job and cycle, so that one job does not use up the budget. Each frees capacity on one machine. */
 const MAX_SEARCHES_PER_JOB = 8;
 
-/** Highest rank (0 is the most urgent) at which a job beyond its team's guarantee preempts. */
+/** Highest rank number (0 is the most urgent) at which a job beyond its team's guarantee may preempt. */
 const MAX_RANK_BEYOND_GUARANTEE = 1;
 
-/** Share of a heartbeat interval for which no search is made for a job after one found nothing. */
+/** Share of a heartbeat interval to wait before the next search for a job whose last search found nothing. */
 const RETRY_HEARTBEAT_INTERVALS = 1 / 4;
 
-/** Searches that the cycle may still make. */
+/** Number of searches left in the cycle. */
 interface SearchBudget {
   left: number;
 }
@@ -31,10 +34,10 @@
 export class PreemptionExecutor {
   constructor(private readonly dispatcher: CommandDispatcher) {}
 
-  /** Preempts for these jobs, in their order, as far as the cycle's search budget goes. */
+  /** Preempts tasks for these jobs, in the given order, until the cycle's search budget is used up. */
   preemptForAll(waitingJobs: readonly ActiveJob[], context: PlanningContext): void {
-    const searchesOfShare = Math.ceil(PREEMPTION_SEARCHES_PER_CORE * context.settings.cpuShare);
-    const searches = { left: Math.min(MAX_PREEMPTION_SEARCHES, searchesOfShare) };
+    const searchesForCpuShare = Math.ceil(PREEMPTION_SEARCHES_PER_CORE * context.settings.cpuShare);
+    const searches = { left: Math.min(MAX_PREEMPTION_SEARCHES, searchesForCpuShare) };
     for (const job of waitingJobs) {
       if (searches.left > 0 && mayPreemptNow(job, context)) this.preemptFor(job, context, searches);
     }
@@ -61,7 +64,7 @@
     }
   }
 
-  /** Reserves the machine for the job and stops the victims, each with its whole gang. */
+  /** Reserves the machine for the job and stops the victims; if a victim belongs to a gang, the whole gang. */
   private preempt(
     { machine, victims }: PreemptionChoice,
     job: ActiveJob,
@@ -80,25 +83,25 @@
   }
 }
 
-/** May tasks be preempted for the job now, if any search is left? */
+/** Whether tasks may be preempted for the job now, regardless of the search budget. */
 function mayPreemptNow(job: ActiveJob, context: PlanningContext): boolean {
   const { effectiveRank, spec } = job;
   if (effectiveRank > MAX_RANK_BEYOND_GUARANTEE && !context.guaranteedJobs.has(spec.id)) {
     return false;
   }
   if (context.now < job.nextPreemptionAt) return false;
-  // Preemption loses work: a job that is not urgent waits a moment for capacity to come free by itself.
+  // Preemption loses work, so a less urgent job first waits for capacity to become free by itself.
   const waitedS = context.now - (job.waitingSince ?? context.now);
   if (effectiveRank > 0 && waitedS < context.settings.heartbeatIntervalS * effectiveRank) {
     return false;
   }
   if (spec.kind !== "gang") return true;
   if (job.placementCount > 0) return false;
-  // Capacity freed in several places is of no use to tasks that must start together in one zone.
+  // Tasks that start together need the freed capacity in one place, so a gang preempts only with a reserved zone.
   return spec.tasks <= 1 || job.reservedZone !== null;
 }
 
-/** Reserves in `zones` the slots on machines that are being freed for the job; returns how many they are. */
+/** Counts the slots on machines being freed for the job in `zones`, and returns their number. */
 function reserveSlotsBeingFreed(
   job: ActiveJob,
   zones: ZoneOccupancy,
@@ -107,9 +110,9 @@
   let slots = 0;
   for (const machine of context.cluster.machines.values()) {
     if (machine.reservation?.job !== job) continue;
-    const wholeMachine = slotsOnEmptyMachine(job.spec, machine);
-    // A gang with a reserved zone may have freed capacity in another one before, which does not bind it.
-    slots += job.reservedZone ? wholeMachine : zones.reserveIn(machine.zone, wholeMachine);
+    const slotsOnMachine = slotsOnEmptyMachine(job.spec, machine);
+    // A gang may be freeing machines outside the zone it reserves now. Those must not tie its tasks to their zone.
+    slots += job.reservedZone ? slotsOnMachine : zones.reserveIn(machine.zone, slotsOnMachine);
   }
   return slots;
 }
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -1,4 +1,4 @@
-/** Which running tasks may be preempted for a job, and which of them cost least. */
+/** Finds the running tasks that may be preempted for a job at the lowest cost. */
 
 import type { Placement } from "../dispatch/placement.js";
 import { isMachineAllowed, type ZoneOccupancy } from "../dispatch/placement-constraints.js";
@@ -10,13 +10,13 @@
 import { imagePullS, machinesThatFit } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
 
-/** Share of the users' bound on starting for which a job without GPUs preempts no job that uses GPUs. */
-const SPARES_GPU_JOBS_BOUND_SHARE = 0.25;
+/** Share of `START_BOUND_S` that a job without GPUs must have waited before it preempts jobs that use GPUs. */
+const GPU_JOB_PROTECTION_BOUND_SHARE = 0.25;
 
-/** CPUs at which a smaller task counts in the cost of a preemption: its loss must not count as nothing. */
+/** Minimum number of CPUs counted per task in the cost of a preemption, so that no task costs nothing. */
 const MIN_COUNTED_CPUS = 0.1;
 
-/** Tasks to stop on a machine so that one task of a job fits there. */
+/** The tasks to stop on a machine so that one task of a job fits there. */
 export interface PreemptionChoice {
   readonly machine: Machine;
   readonly victims: readonly Placement[];
@@ -32,8 +32,9 @@
 }
 
 /**
- * The cheapest set of tasks to stop so that one task of the job fits on a machine. `zones`: the zones of its tasks,
- * including those that are to run on machines being freed for it. Null: no preemption is allowed or helps.
+ * Finds the cheapest set of tasks to stop so that one task of the job fits on a machine. `zones`: the zones of the
+ * job's tasks, including tasks that are to run on machines being freed for it. Returns null if no preemption is
+ * allowed or would free enough.
  */
 export function findPreemption(
   job: ActiveJob,
@@ -41,12 +42,13 @@
   context: PlanningContext,
 ): PreemptionChoice | null {
   if (context.cluster.quotaSlots(job.spec) <= 0) return null;
-  const sparesGpus = job.spec.kind === "service" && !acceptsAnyMachine(job, context);
+  const avoidsBlockingGpuJobs = job.spec.kind === "service" && !acceptsAnyMachine(job, context);
   let cheapest: PreemptionChoice | null = null;
   let lowestCost = Infinity;
   for (const machine of machinesThatFit(job.spec, context)) {
-    if (!mayFree(machine, job, zones, context)) continue;
-    if (sparesGpus && replicaBlocksGpuJobs(job, machine, context.gpuReservation)) continue;
+    if (!mayFreeCapacityOn(machine, job, zones, context)) continue;
+    if (avoidsBlockingGpuJobs && replicaBlocksGpuJobs(job, machine, context.gpuReservation))
+      continue;
     const choice = cheapestPreemptionOn(machine, job, context, lowestCost);
     if (choice === null) continue;
     cheapest = choice;
@@ -55,22 +57,24 @@
   return cheapest;
 }
 
-/** May capacity be freed on the machine for the job, by all but the tasks that run there? */
-function mayFree(
+/**
+ * Whether tasks on the machine may be preempted for the job, as far as the machine itself and its zone are concerned.
+ */
+function mayFreeCapacityOn(
   machine: Machine,
   job: ActiveJob,
   zones: ZoneOccupancy,
   context: PlanningContext,
 ): boolean {
   if (machine.weakestPrecedence <= job.precedence) return false;
-  // Reserved: either for another job, or being freed for this one, which the caller has counted.
+  // A reserved machine is reserved for another job, or already being freed for this one and counted by the caller.
   if (machine.reservation !== null || zones.capacityIn(machine.zone) === 0) return false;
-  // (An empty string stands for any zone.)
+  // An empty string stands for any zone.
   if (job.reservedZone && machine.zone !== job.reservedZone) return false;
   return isMachineAllowed(job.spec, machine) && !job.failures.avoids(machine.name, context.now);
 }
 
-/** Would a replica on the machine keep a GPU job out even after preemption of all other tasks? */
+/** Whether a replica of the job on the otherwise empty machine would take up room that a GPU job needs. */
 function replicaBlocksGpuJobs(
   { spec }: ActiveJob,
   machine: Machine,
@@ -86,7 +90,7 @@
   );
 }
 
-/** The cheapest tasks to stop on this machine so that one task of the job fits; null: none below `costLimit`. */
+/** The cheapest tasks to stop on this machine so that one task of the job fits; null: no set below `costLimit`. */
 function cheapestPreemptionOn(
   machine: Machine,
   job: ActiveJob,
@@ -116,23 +120,25 @@
   return cost < costLimit ? { machine, victims, cost } : null;
 }
 
-/** May this placement be preempted for the job? */
+/** Whether this placement may be preempted for the job. */
 function mayPreempt(job: ActiveJob, placement: Placement, context: PlanningContext): boolean {
   const victim = placement.job;
   if (placement.stop !== null || job.precedence >= victim.precedence) return false;
-  // CPUs can be found elsewhere, GPUs cannot. (Low work within its guarantee stopped gangs for two of their CPUs, one
-  // of them eighteen times in half a minute, each time with its image pulled anew.)
+  // CPUs are available on other machines too, GPUs are not. Without this rule, low-priority jobs
+  // within their guarantee stopped GPU gangs to get two of their CPUs. One gang was stopped eighteen times in half a
+  // minute, and its image was pulled again each time.
   const takesGpus = victim.spec.gpus > 0 && job.spec.gpus === 0;
   if (
     takesGpus &&
     job.precedence > 0 &&
-    waitedShareOfStartBound(job, context) < SPARES_GPU_JOBS_BOUND_SHARE
+    waitedShareOfStartBound(job, context) < GPU_JOB_PROTECTION_BOUND_SHARE
   ) {
     return false;
   }
   if (victim.effectiveRank > job.effectiveRank) return true;
-  // For a team's guarantee, tasks of another team beyond its own guarantee may be preempted; but a late gang preempts
-  // none that was placed before it. (Each was placed again and stopped again, fifty times.)
+  // A job within its team's guarantee may preempt tasks of other teams that exceed theirs, regardless of rank. A gang
+  // that can no longer start in time for the guarantee may not, unless it is starving: otherwise tasks were preempted
+  // and placed again fifty times.
   if (!job.guaranteeStillReachable && !job.isStarving) return false;
   const { guaranteedJobs } = context;
   return (
@@ -143,8 +149,8 @@
 }
 
 /**
- * Work lost if the placement is stopped now, in task seconds times CPUs: for a gang, of all its tasks; for a task that
- * is not running yet, the time since its placement.
+ * Work lost if the placement is stopped now, in CPU seconds. For a gang, the work of all its tasks is lost. For a
+ * task that is not running yet, the time since its placement counts.
  */
 function lostWork(placement: Placement, now: number): number {
   const { cpus, saveS, checkpointS, kind, tasks } = placement.job.spec;
@@ -154,7 +160,7 @@
   return (1 + lostS) * Math.max(cpus, MIN_COUNTED_CPUS) * (kind === "gang" ? tasks : 1);
 }
 
-/** What is free on a machine now, or will be once the tasks that are being stopped have ended. */
+/** Free capacity of the machine once the tasks that are being stopped have ended. */
 function capacityAfterPendingStops(machine: Machine): ResourceAmounts {
   const { freeCpus, freeGpus, freeMemoryGb } = machine;
   const capacity = { cpus: freeCpus, gpus: freeGpus, memoryGb: freeMemoryGb };
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -1,17 +1,17 @@
-/** The order in which waiting jobs are offered capacity. */
+/** Orders the waiting jobs. Capacity is assigned in this order. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { PlanningContext } from "./context.js";
 import { isProduction, precedenceBeyondGuarantee } from "./precedence.js";
 import { markStarvingJobs } from "./starvation.js";
 import { estimatedMachineSeconds, type Urgency, urgencyOf } from "./urgency.js";
 
-/** Precedence of suspected jobs: after that of all other jobs. */
-const SUSPECTED_PRECEDENCE = 40;
+/** Precedence of jobs suspected of failing on every machine, after all other jobs. */
+const SUSPECT_PRECEDENCE = 40;
 
-/** Precedence of starving jobs: right after production. */
+/** Precedence of starving jobs, directly after production. */
 const STARVING_PRECEDENCE = 1;
 
-/** The waiting jobs, the most urgent first. Sets `isStarving` and `guaranteeStillReachable` of each. */
+/** Returns the waiting jobs, the most urgent first, and sets `isStarving` and `guaranteeStillReachable` of each. */
 export function orderQueue(context: PlanningContext): ActiveJob[] {
   const waiting = waitingJobs(context);
   const urgencies = new Map<ActiveJob, Urgency>();
@@ -37,7 +37,7 @@
   const waiting: ActiveJob[] = [];
   for (const job of context.cluster.jobs.values()) {
     if (job.isCancelled || job.isComplete || context.now < job.backoffUntil) continue;
-    // A job blocked on dependencies is not queued, and neither reserves capacity nor causes a scale-out.
+    // Jobs blocked on dependencies are not queued, so they neither reserve capacity nor trigger a scale-out.
     if (job.isBlockedOnDependencies) continue;
     if (job.pendingCount > 0) waiting.push(job);
     else job.waitingSince = null;
@@ -45,7 +45,9 @@
   return waiting;
 }
 
-/** For gangs: a start now is still in time for the longest of the objectives on guarantees. */
+/**
+ * Sets for each gang whether a start now still meets the longest of the guarantee objectives; true for other jobs.
+ */
 function markReachableGuarantees(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const guarantees = context.settings.objectives.filter(({ kind }) => kind === "guarantee");
   const longestS = Math.max(...guarantees.map(({ withinS }) => withinS ?? Infinity));
@@ -58,11 +60,11 @@
 }
 
 function queuePrecedence(job: ActiveJob): number {
-  // A job that fails everywhere never goes before one that has not failed.
-  if (job.isSuspect) return SUSPECTED_PRECEDENCE;
+  // A job that fails on every machine never goes ahead of one that does not.
+  if (job.isSuspect) return SUSPECT_PRECEDENCE;
   if (job.isStarving) return Math.min(STARVING_PRECEDENCE, job.precedence);
-  // Gangs within a guarantee go first while the guarantee can still be met. (In a burst, those that were late already
-  // went on before all others, in order of arrival, and everybody was late.)
+  // Gangs within a guarantee go first only while the guarantee can still be met. In a burst, gangs that were late
+  // already otherwise stayed ahead of all others, in order of arrival, and made every job late.
   return job.guaranteeStillReachable || isProduction(job.precedence)
     ? job.precedence
     : precedenceBeyondGuarantee(job.effectiveRank);
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -1,4 +1,7 @@
-/** A scheduling cycle over all waiting jobs: places tasks first, then preempts others for the jobs still waiting. */
+/**
+ * The scheduling cycle: places tasks of all waiting jobs, then preempts running tasks for the jobs that still lack
+ * capacity.
+ */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -15,39 +18,39 @@
 import { PreemptionExecutor } from "./preemption-executor.js";
 import { ZoneRelocation } from "./zone-relocation.js";
 
-/** Cycles in a heartbeat interval at the most, so that a burst of changes costs a bounded part of a core. */
+/** Maximum number of cycles in a heartbeat interval, which bounds the CPU time that a burst of changes costs. */
 const MAX_CYCLES_PER_INTERVAL = 40;
 
-/** The same while a new leader has not met most of its workers: a cycle finds little capacity then. */
+/** Maximum while a new leader has not heard from most workers yet, when a cycle finds little usable capacity. */
 const MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING = MAX_CYCLES_PER_INTERVAL / 8;
 
-/** Cycles in a heartbeat interval while nothing is known to have changed: time alone may make work due. */
+/** Cycles in a heartbeat interval when no change was reported. Backoffs and time limits still expire meanwhile. */
 const IDLE_CYCLES_PER_INTERVAL = 3;
 
 /**
- * Tasks of sharded jobs placed per second, for each core. Their starts, heartbeats and ends cost time that would delay
- * other jobs.
+ * Tasks of sharded jobs placed per second and core. Processing their starts, heartbeats and ends takes CPU time,
+ * which delays other jobs.
  */
 const BULK_TASKS_PER_CORE_SECOND = 400;
 
 /**
- * Tasks of sharded jobs placed for each write that the state service takes, if that is more: it is on a small share of
- * a core. (At 7.6% of a core 30 a second were placed, and 8 when overloaded, while a leader used seven tenths of its
- * share.)
+ * Tasks of sharded jobs placed per write that the state service accepts. Used instead of the rate per core if it is
+ * higher, as it is with a small CPU share: at 7.6% of a core, the rate per core allowed only 30 tasks a second, and 8
+ * when overloaded, although the leader used only seven tenths of its share.
  */
 const BULK_TASKS_PER_STATE_WRITE = 2;
 
-/** Factor on the rate while the controller is overloaded. */
+/** Factor applied to the rate while the controller is overloaded. */
 const OVERLOADED_BULK_FACTOR = 1 / 4;
 
-/** Seconds of the rate that may be placed at once. */
+/** Burst size, in seconds of the rate. */
 const BULK_BURST_S = 4;
 
 /** Runs scheduling cycles on the leader, at a bounded rate. */
 export class SchedulingCycle {
   /** When the last cycle began, in seconds of the steady clock. */
   private lastCycleAt = Number.NEGATIVE_INFINITY;
-  /** Limits the placement of tasks of sharded jobs, whose cost must not delay other jobs. */
+  /** Limits the rate at which tasks of sharded jobs are placed, so that processing them does not delay other jobs. */
   private readonly bulkBudget = new TokenBucket(0, 0);
   private readonly zoneRelocation: ZoneRelocation;
   private readonly preemption: PreemptionExecutor;
@@ -62,7 +65,7 @@
     this.preemption = new PreemptionExecutor(dispatcher);
   }
 
-  /** Runs a cycle if one is due. `now`: seconds of the steady clock; `wallMs`: time of day. */
+  /** Runs a cycle if one is due. `now`: seconds of the steady clock; `wallMs`: time of day in milliseconds. */
   runIfDue(now: number, wallMs: number): void {
     const maxCycles = this.monitor.isSettling(now)
       ? MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING
@@ -85,11 +88,11 @@
     for (const job of waitingJobs) {
       this.zoneRelocation.relocateIfNeeded(job, planning.snapshot, now);
     }
-    // While most capacity is not known yet, nothing is preempted for waiting jobs.
+    // Nothing is preempted while most capacity is still unknown: free capacity may be found without losing work.
     if (!this.monitor.isSettling(now)) this.preemption.preemptForAll(waitingJobs, planning);
   }
 
-  /** Drops gang reservations of the last cycle, and others that ran out or whose job needs them no longer. */
+  /** Drops the gang reservations of the last cycle, expired reservations, and those whose job has no pending task. */
   private clearExpiredReservations(now: number): void {
     const { jobs, machines } = this.context.cluster;
     for (const machine of machines.values()) {
@@ -141,7 +144,10 @@
     this.bulkBudget.setRate(rate, BULK_BURST_S * rate);
   }
 
-  /** The algebra decides whether the start is accepted; the write that contains it makes it final. */
+  /**
+   * Accepts the start of the job if the event algebra allows it under the job's dependencies. The start becomes final
+   * with the write that contains it.
+   */
   private acceptStart(job: ActiveJob): boolean {
     if (job.isStartAccepted) return true;
     const start = eventName("start", job.spec.id);
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -1,4 +1,4 @@
-/** Jobs that have waited too long go first, so that no size of a class starves. */
+/** Puts jobs that have waited too long first, so that no job size in a class starves. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -7,21 +7,22 @@
 import { machinesThatFit, slotsOnEmptyMachine } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
 
-/** Share of the users' bound on starting after which a waiting job may be starving. */
+/** Share of `START_BOUND_S` after which a waiting job may count as starving. */
 const STARVING_AFTER_BOUND_SHARE = 0.5;
 
-/** The cooldown in multiples of the machine time of the starving job, so that it gets two thirds of the capacity. */
+/** Cooldown as a multiple of the machine time that a starving job uses: such jobs get two thirds of the capacity. */
 const COOLDOWN_FACTOR = 1.5;
 
-/** A cooldown's limit: a wrong estimate of the run time must not block the next starving job for long. */
+/** Maximum cooldown, so that a wrong run time estimate does not block the next starving job for long. */
 const MAX_COOLDOWN_S = START_BOUND_S / 4;
 
 /**
- * Sets `isStarving` of every waiting job. Starving is, of each class outside its cooldown, the largest job that has
- * waited for half of the users' bound and has not started. It goes before all but production, one of a class at a
- * time; after each, the others go first for as long as leaves it two thirds of the capacity. (Without that, every job
- * went largest first once a burst had lasted for two minutes; with half, the middle one of the largest began after
- * 289 s.)
+ * Sets `isStarving` of every waiting job. In each class that is not in a cooldown, the largest job that has waited
+ * for half of `START_BOUND_S` without a start counts as starving. It goes ahead of all but production jobs, one job
+ * per class at a time. When it has started, a cooldown lets other jobs go first, long enough that starving jobs get
+ * two thirds of the capacity. Without the cooldown, all jobs were started in the order of their size, the largest
+ * first, once a burst had lasted for two minutes. With half of the capacity, the median job of the largest size
+ * started after 289 s.
  */
 export function markStarvingJobs(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const byClass = new Map<string, ActiveJob[]>();
@@ -32,7 +33,7 @@
     if (sameClass === undefined) byClass.set(job.spec.class, [job]);
     else sameClass.push(job);
   }
-  // A job past the bound comes after those that can still start within it.
+  // A job past the bound comes after jobs that can still start within it.
   const pastBound = (job: ActiveJob): number =>
     waitedShareOfStartBound(job, context) >= 1 ? 1 : 0;
   for (const jobs of byClass.values()) {
@@ -52,7 +53,7 @@
   return context.now >= (context.cluster.classCooldownUntil.get(job.spec.class) ?? 0);
 }
 
-/** To be called when tasks of a job were placed: if it was starving, a third of its class's capacity is for others. */
+/** Starts the cooldown of the job's class if the job was starving. Called after tasks of the job were placed. */
 export function startStarvationCooldown(job: ActiveJob, context: PlanningContext): void {
   if (!job.isStarving) return;
   job.isStarving = false;
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -1,4 +1,4 @@
-/** How urgent a waiting job is, by the service-level objectives that the settings state for it. */
+/** Computes how urgent a waiting job is, from its deadline and the service-level objectives in the settings. */
 
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -8,31 +8,34 @@
 import type { PlanningContext } from "./context.js";
 import { freeSlotsOn, slotsOnEmptyMachine } from "./eligibility.js";
 
-/** Share of the users' bound on starting that a job has waited; above 1 it is past the bound. */
+/** The time that the job has waited, as a share of `START_BOUND_S`. Above 1 the job is past the bound. */
 export const waitedShareOfStartBound = (job: ActiveJob, context: PlanningContext): number =>
   (context.wallMs - job.objectivesCountFromMs) / (1000 * START_BOUND_S);
 
-/** Machines times estimated run time of a gang; 0 for others. An objective counts small and large gangs alike. */
+/**
+ * Number of tasks times estimated run time, for a gang; 0 for other jobs. Gangs with less go first, because
+ * objectives count each gang once, whatever its size.
+ */
 export const estimatedMachineSeconds = ({ spec }: ActiveJob): number =>
   spec.kind === "gang" ? spec.tasks * Math.max(1, spec.estimateS) : 0;
 
 /** How urgent a waiting job is. */
 export interface Urgency {
-  /** The latest time of day (ms) at which a start still meets some objective; infinite if none can be met. */
+  /** Time of day (ms) by which the job must start for the most urgent objective it can still meet; else infinite. */
   readonly latestStartAtMs: number;
-  /** 0: in time; 1: a gang, in time only for an objective on its end; 2: too late for all, or none applies. */
+  /** 0: in time; 1: a gang that can only meet an objective on its end; 2: too late for all, or none applies. */
   readonly lateness: 0 | 1 | 2;
 }
 
 /**
- * The urgency by those objectives that a start now still meets. A job that can meet none any more comes last: an
- * hour's backlog served in order of arrival makes everybody late, while jobs that are late already lose little by
- * waiting on.
+ * Computes the urgency from the objectives that a start now still meets. A job that can meet none any more comes
+ * last: serving an hour's backlog in order of arrival makes every job late, while jobs that are late already lose
+ * little by waiting longer.
  */
 export function urgencyOf(job: ActiveJob, context: PlanningContext): Urgency {
   const { spec, objectivesCountFromMs } = job;
   const imageS = expectedImagePullS(job, context);
-  // Objectives on the start are decided once any task was placed.
+  // Objectives on the start no longer apply once a task has been placed.
   const hasStarted = job.doneTasks.size > 0 || job.placements.size > 0;
   let latestStartAtMs = Infinity;
   let hasStartObjective = false;
@@ -52,7 +55,7 @@
   return { latestStartAtMs, lateness: spec.kind === "gang" && !hasStartObjective ? 1 : 0 };
 }
 
-/** Seconds within which the job must run to meet the objective; null: the objective does not apply to it. */
+/** Seconds within which the job must start running to meet the objective; null: the objective does not apply. */
 function startWithinS(
   { kind, class: jobClass, withinS }: Objective,
   spec: JobSpec,
@@ -68,7 +71,9 @@
   return applies ? withinS : null;
 }
 
-/** Seconds that pulling the job's image takes on the fastest machine it may use; 0 if a free machine holds it. */
+/**
+ * Seconds that the image pull takes on the fastest machine type allowed; 0 if a machine with room holds the image.
+ */
 export function expectedImagePullS({ spec }: ActiveJob, context: PlanningContext): number {
   let fastestGbPerS = 0;
   for (const machine of context.snapshot.oneOfEachKind) {
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -1,8 +1,9 @@
 /**
- * Jobs whose tasks must share a zone, and wait for capacity that this zone does not have.
+ * Moves jobs whose tasks must share a zone, if they cannot continue in the zone or zones that they are in.
  *
- * Tasks in several zones are consolidated into one: an earlier version placed them so, and nothing more may start while
- * they are apart. A service whose zone has lost its machines is relocated as a whole to one that has capacity for it.
+ * Tasks in several zones, as an earlier version of the scheduler placed them, are consolidated into one zone, because
+ * no further task of the job may start before that. A service whose zone has no capacity left is relocated as a whole
+ * to a zone that has enough.
  */
 import type { Cluster } from "../cluster.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -13,24 +14,28 @@
 import type { MachineSnapshot } from "./context.js";
 import { isCapacityOpenTo } from "./eligibility.js";
 
-/** Part of the bound on starting for which a service waits for capacity in the zone that it is in. */
-const ZONE_WAIT_SHARE = 1 / 4;
+/** Share of `START_BOUND_S` that a service waits for capacity in its current zone before it may be relocated. */
+const RELOCATE_AFTER_BOUND_SHARE = 1 / 4;
 
-/** Whether a service that must be in one zone has waited long enough for capacity for the rest of it there. */
+/** Whether the job is a service bound to one zone that has waited long enough there for its missing replicas. */
 export function mayRelocate(job: ActiveJob, now: number): boolean {
   const { kind, oneZone } = job.spec;
   if (kind !== "service" || !oneZone || job.placementCount === 0) return false;
-  return job.waitingSince !== null && now - job.waitingSince > ZONE_WAIT_SHARE * START_BOUND_S;
+  return (
+    job.waitingSince !== null && now - job.waitingSince > RELOCATE_AFTER_BOUND_SHARE * START_BOUND_S
+  );
 }
 
-/** Stops tasks that must be placed anew in another zone. */
+/** Stops tasks that must be placed again in another zone. */
 export class ZoneRelocation {
   constructor(
     private readonly cluster: Cluster,
     private readonly dispatcher: CommandDispatcher,
   ) {}
 
-  /** For a job that still has pending tasks after a scheduling cycle. */
+  /**
+   * Consolidates or relocates the job if needed. Called for jobs that still lack capacity after the placement step.
+   */
   relocateIfNeeded(job: ActiveJob, snapshot: MachineSnapshot, now: number): void {
     if (!job.spec.oneZone || job.spec.kind === "gang") return;
     if (job.zones.isSplit) {
@@ -40,9 +45,11 @@
     }
   }
 
-  /** Whether it waits for nothing but capacity, its zone has none, and another has enough for all of it. */
+  /**
+   * Whether only capacity keeps the job waiting, its zone has none, and another zone has enough for the whole job.
+   */
   private lacksCapacityInZone(job: ActiveJob, snapshot: MachineSnapshot, now: number): boolean {
-    // At its team's limit it could be placed nowhere.
+    // If the team's quota is used up, the job cannot be placed in any zone.
     if (this.cluster.quotaSlots(job.spec) <= 0) return false;
     const freeSlots = freeSlotsByZone(job, snapshot, now);
     const slotsHere = freeSlots.get(job.zones.mainZone ?? UNKNOWN_ZONE) ?? 0;
@@ -64,7 +71,7 @@
   }
 }
 
-/** How many tasks of the job fit free machines, by zone. */
+/** Number of tasks of the job that fit the free capacity, by zone. */
 function freeSlotsByZone(
   job: ActiveJob,
   snapshot: MachineSnapshot,
