--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -1,6 +1,7 @@
 /**
- * Event algebra for dependencies between jobs, after the paper by Singh, Meredith, Tomlinson and Attie. Equations,
- * sections and examples cited here are those of the paper.
+ * Event algebra for dependencies between jobs, after the paper "An Event Algebra for Specifying and Scheduling
+ * Workflows" by Singh, Meredith, Tomlinson and Attie. Equations, sections and examples cited here are those of the
+ * paper.
  *
  * An atom is an event name or its complement, written `~name`. A term is a sequence of atoms that must occur in that
  * order. An expression is a sum of terms, that is, a disjunction. Zero is the empty sum; top is the sum that contains
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -9,7 +9,9 @@
 export interface MachineReleaser {
   /** Names of machines that are confirmed to be terminated. */
   readonly terminated: ReadonlySet<string>;
-  /** Requests the release of a machine. It stays known until the cloud has confirmed its termination. */
+  /**
+   * Requests the release of a machine. It counts as part of the pool until the cloud has confirmed its termination.
+   */
   requestRelease(machine: Machine, why: string): void;
 }
 
@@ -44,7 +46,8 @@
   }
 
   /**
-   * Whether the list is not older than the lists before: in an older one, some machine has a lower age than known.
+   * Whether no newer list has arrived before. Lists may arrive out of order. In an older list, some machine has a
+   * lower age than is already known.
    */
   private isNewest(listed: readonly ListedMachine[]): boolean {
     for (const { name, ageS } of listed) {
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -104,7 +104,9 @@
     }
   }
 
-  /** Requests the release of a machine. It stays known until the cloud has confirmed its termination. */
+  /**
+   * Requests the release of a machine. It counts as part of the pool until the cloud has confirmed its termination.
+   */
   requestRelease(machine: Machine, why: string): void {
     if (this.pendingReleases.has(machine.name) || machine.state === "terminated") return;
     this.pendingReleases.set(machine.name, why);
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -1,4 +1,4 @@
-/** Finds the machine type, zone and spot or not that serves a job at the lowest cost. */
+/** Chooses the machine type, the zone, and spot or on-demand machines so that a job is served at the lowest cost. */
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -107,9 +107,9 @@
 }
 
 /**
- * The first job that lacks capacity determines the type, zone and spot or not of the request. Later jobs for which
- * the same offer is the cheapest add to its count. With a separate request for each job, it took a minute to request
- * all the capacity that the cloud offered.
+ * The first job that lacks capacity determines the machine type, the zone and whether spot machines are requested.
+ * Later jobs for which the same offer is the cheapest add to its count. With a separate request for each job, it took
+ * a minute to request all the capacity that the cloud offered.
  */
 function scaleOutForWaiting(
   scaling: ScalingContext,
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -30,7 +30,7 @@
   const quota = context.cluster.quotaSlots(job.spec);
   if (quota <= 0 || job.pendingCount === 0 || job.isOnProbation) return;
   // Checked before the pass over all machines, which would be wasted for each large array in a long queue.
-  if (job.shardSize !== null && availableBulkTasks(job, context) < 1) return;
+  if (job.shardSize !== null && availableShardedTasks(job, context) < 1) return;
   const candidates = restrictToOneZone(job, findCandidates(job, context));
   if (candidates.length === 0) return;
   const limit =
@@ -42,7 +42,7 @@
   const tasks = takeFirst(placeableTasks(job, context), maxTasks);
   if (tasks.length === 0) return;
   const placed = assignTasks(job, tasks, candidates.slice(0, limit.machines), context);
-  if (job.shardSize !== null) context.bulkBudget.takeOnCredit(placed, context.now);
+  if (job.shardSize !== null) context.shardedTaskBudget.takeOnCredit(placed, context.now);
 }
 
 /**
@@ -126,12 +126,12 @@
   for (const shard of job.unpersistedShards) if (shard.hasUnpersistedPlacement) shards--;
   let freeSlots = 0;
   for (const candidate of candidates) freeSlots += candidate.freeSlots;
-  const tasks = Math.min(freeSlots, availableBulkTasks(job, context), shards * shardSize);
+  const tasks = Math.min(freeSlots, availableShardedTasks(job, context), shards * shardSize);
   return { tasks: Math.max(0, tasks), machines: candidates.length };
 }
 
 /** Number of tasks of a sharded job that the rate limit allows now. Production jobs are not limited. */
-function availableBulkTasks(job: ActiveJob, context: PlanningContext): number {
+function availableShardedTasks(job: ActiveJob, context: PlanningContext): number {
   if (job.spec.priority === "production") return Number.MAX_SAFE_INTEGER;
-  return Math.floor(context.bulkBudget.available(context.now));
+  return Math.floor(context.shardedTaskBudget.available(context.now));
 }
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -17,7 +17,7 @@
   candidates: readonly Candidate[],
   context: PlanningContext,
 ): number {
-  const versions = new AssignmentVersions(job);
+  const versions = new PlacementVersions(job);
   let placed = 0;
   for (const candidate of candidates) {
     const { machine } = candidate;
@@ -36,7 +36,7 @@
 }
 
 /** Assigns attempt numbers and versions to placements of one batch. Each shard changes its version once per batch. */
-class AssignmentVersions {
+class PlacementVersions {
   private readonly commonAttempt: number;
   /** The job version that contains the placements of a shard, by shard. */
   private readonly versions = new Map<JobShard, number>();
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -8,7 +8,7 @@
 import { freeSlotsOn, imagePullS, isCapacityOpenTo } from "./eligibility.js";
 import { blocksGpuJob } from "./gpu-reservation.js";
 
-/** Cost of blocking a GPU job, in boot times of the machine, which keeps GPUs usable for GPU jobs. */
+/** Cost of blocking a GPU job, in boot times of the machine. It keeps GPUs usable for GPU jobs. */
 const GPU_BLOCKING_COST_BOOTS = 2;
 
 /** Cost in seconds of each service replica on the machine. It spreads replicas, so a machine failure ends few. */
@@ -19,8 +19,8 @@
 
 /**
  * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work in an interruption; for a
- * job with checkpoints it is deducted instead. Without this term, half of the jobs that ended late had had a task on
- * an interrupted machine.
+ * job with checkpoints it is deducted instead. Half of the jobs that ended late had a task on a spot machine that was
+ * interrupted.
  */
 const SPOT_COST_S = 1;
 
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -25,7 +25,7 @@
   readonly guaranteedJobs: ReadonlySet<string>;
   readonly gpuReservation: GpuReservation;
   /** Rate limit on placing tasks of sharded jobs; one token for each task. */
-  readonly bulkBudget: TokenBucket;
+  readonly shardedTaskBudget: TokenBucket;
   /** Logs an event of a single task. `fields` is called only if such events are logged. */
   readonly logTask: (message: string, fields: () => Record<string, unknown>) => void;
 }
@@ -39,7 +39,7 @@
   readonly usableByType: ReadonlyMap<string, readonly Machine[]>;
   /** Usable machines with free CPU and memory. */
   readonly withFreeCapacity: readonly Machine[];
-  /** One machine for each combination of type, zone and spot or not, whether usable or not. */
+  /** One machine, usable or not, for each combination of type, zone and spot attribute. */
   readonly oneOfEachKind: readonly Machine[];
   /** The machines of `withFreeCapacity` that hold an image, by the image's name. */
   readonly withImage: ReadonlyMap<string, readonly Machine[]>;
--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -97,7 +97,7 @@
 
 /**
  * Chooses, of the zones that can take the whole gang, the one with the most free and preempted slots. The previous
- * zone is kept unless another has far more.
+ * zone is kept unless another zone exceeds it by more than `RESERVED_ZONE_BONUS` of the gang's tasks.
  */
 function chooseZone(
   capacities: ReadonlyMap<string, ZoneCapacity>,
--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -17,13 +17,13 @@
 const FALLBACK_OBJECTIVE_S = START_BOUND_S / 2;
 
 /** Pull times that must remain until the objective after the next one, so that the wait does not endanger it. */
-const MIN_PULL_TIMES_BEFORE_LATER_OBJECTIVE = 1.4;
+const MIN_PULLS_BEFORE_LATER_OBJECTIVE = 1.4;
 
 /**
  * Whether the gang should wait for machines that hold its image. If many machines hold it, some become free every few
- * seconds, so the gang waits for a small part of the pull time, and for less time the more tasks it has. Without the
- * wait, five of six GPU tasks pulled images that a third of all GPU machines already held. `pullS`: seconds that the
- * pull takes on the machines that are free now.
+ * seconds, so the gang waits for a small part of the pull time, and for less time the more tasks it has. Five of six
+ * GPU tasks had pulled images that a third of all GPU machines already held. `pullS`: seconds that the pull takes on
+ * the machines that are free now.
  */
 export function shouldWaitForImage(
   job: ActiveJob,
@@ -56,7 +56,5 @@
   remainingS.sort((a, b) => a - b);
   const [nextS, laterS = FALLBACK_OBJECTIVE_S - ageS] = remainingS;
   if (nextS === undefined || pullS <= nextS) return false;
-  return (
-    laterS > MIN_PULL_TIMES_BEFORE_LATER_OBJECTIVE * pullS + context.settings.heartbeatIntervalS
-  );
+  return laterS > MIN_PULLS_BEFORE_LATER_OBJECTIVE * pullS + context.settings.heartbeatIntervalS;
 }
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -14,7 +14,10 @@
 import type { PlanningContext } from "./context.js";
 import { expectedImagePullS, waitedShareOfStartBound } from "./urgency.js";
 
-/** Share of the gangs of each size that should start in time: the objective of one half, plus a margin of a fifth. */
+/**
+ * Share of the gangs of each size that should start in time: the objective of one half, plus a fifth of that as a
+ * margin.
+ */
 const MIN_STARTED_SHARE = 0.6;
 
 /** Added to the number of started jobs, so that a single job decides nothing when the numbers are small. */
@@ -58,7 +61,8 @@
 
 /**
  * Returns, by class, the first waiting jobs of the size with the smallest share of starts, if that share is too
- * small. There are as many jobs as zones, because capacity is reserved for only one gang per zone at a time.
+ * small. At most one job per zone is returned, because a gang may have to be in one zone, and capacity is reserved
+ * for only one gang per zone at a time.
  */
 function underservedJobs(
   queue: readonly ActiveJob[],
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -7,7 +7,10 @@
 import type { MachineSnapshot } from "./context.js";
 import { acceptsNewWork } from "./eligibility.js";
 
-/** Builds the snapshot in one pass over all machines, and updates `weakestPrecedence` of each usable machine. */
+/**
+ * Builds the snapshot in one pass over all machines, and updates `weakestPrecedence` of each usable machine. `now`:
+ * seconds of the steady clock.
+ */
 export function takeMachineSnapshot(
   cluster: Cluster,
   settings: ClusterSettings,
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -74,7 +74,7 @@
   return isMachineAllowed(job.spec, machine) && !job.failures.avoids(machine.name, context.now);
 }
 
-/** Whether a replica of the job on the otherwise empty machine would take up room that a GPU job needs. */
+/** Whether a replica of the job alone on the machine would leave room for fewer tasks of some GPU job. */
 function replicaBlocksGpuJobs(
   { spec }: ActiveJob,
   machine: Machine,
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -31,27 +31,27 @@
  * Tasks of sharded jobs placed per second and core. Processing their starts, heartbeats and ends takes CPU time,
  * which delays other jobs.
  */
-const BULK_TASKS_PER_CORE_SECOND = 400;
+const SHARDED_TASKS_PER_CORE_SECOND = 400;
 
 /**
  * Tasks of sharded jobs placed per write that the state service accepts. Used instead of the rate per core if it is
  * higher, as it is with a small CPU share: at 7.6% of a core, the rate per core allowed only 30 tasks a second, and 8
  * when overloaded, although the leader used only seven tenths of its share.
  */
-const BULK_TASKS_PER_STATE_WRITE = 2;
+const SHARDED_TASKS_PER_STATE_WRITE = 2;
 
 /** Factor applied to the rate while the controller is overloaded. */
-const OVERLOADED_BULK_FACTOR = 1 / 4;
+const OVERLOADED_RATE_FACTOR = 1 / 4;
 
 /** Burst size, in seconds of the rate. */
-const BULK_BURST_S = 4;
+const SHARDED_TASK_BURST_S = 4;
 
 /** Runs scheduling cycles on the leader, at a bounded rate. */
 export class SchedulingCycle {
   /** When the last cycle began, in seconds of the steady clock. */
   private lastCycleAt = Number.NEGATIVE_INFINITY;
   /** Limits the rate at which tasks of sharded jobs are placed, so that processing them does not delay other jobs. */
-  private readonly bulkBudget = new TokenBucket(0, 0);
+  private readonly shardedTaskBudget = new TokenBucket(0, 0);
   private readonly zoneRelocation: ZoneRelocation;
   private readonly preemption: PreemptionExecutor;
 
@@ -119,14 +119,14 @@
     const shapes = [...this.machinePool.shapes.values()];
     const gpuJobSpecs = shapes.map((shape) => shape.spec).filter((spec) => spec.gpus > 0);
     const gpuReservation = reserveGpuMachines(cluster, gpuJobSpecs);
-    this.updateBulkBudget();
+    this.updateShardedTaskBudget();
     return {
       cluster,
       settings,
       now,
       wallMs,
       maxValueBytes: valueSizeLimit.plannedBytes,
-      bulkBudget: this.bulkBudget,
+      shardedTaskBudget: this.shardedTaskBudget,
       guaranteedJobs,
       gpuReservation,
       snapshot: takeMachineSnapshot(cluster, settings, now),
@@ -134,14 +134,14 @@
     };
   }
 
-  private updateBulkBudget(): void {
+  private updateShardedTaskBudget(): void {
     const { cpuShare, stateWriteRps } = this.context.settings;
     const fullRate = Math.max(
-      BULK_TASKS_PER_CORE_SECOND * cpuShare,
-      BULK_TASKS_PER_STATE_WRITE * stateWriteRps,
+      SHARDED_TASKS_PER_CORE_SECOND * cpuShare,
+      SHARDED_TASKS_PER_STATE_WRITE * stateWriteRps,
     );
-    const rate = this.dispatcher.isOverloaded ? OVERLOADED_BULK_FACTOR * fullRate : fullRate;
-    this.bulkBudget.setRate(rate, BULK_BURST_S * rate);
+    const rate = this.dispatcher.isOverloaded ? OVERLOADED_RATE_FACTOR * fullRate : fullRate;
+    this.shardedTaskBudget.setRate(rate, SHARDED_TASK_BURST_S * rate);
   }
 
   /**
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -21,7 +21,10 @@
 
 /** How urgent a waiting job is. */
 export interface Urgency {
-  /** Time of day (ms) by which the job must start for the most urgent objective it can still meet; else infinite. */
+  /**
+   * Time of day (ms) by which the job must start for the most urgent objective it can still meet; infinite if it can
+   * meet none.
+   */
   readonly latestStartAtMs: number;
   /** 0: in time; 1: a gang that can only meet an objective on its end; 2: too late for all, or none applies. */
   readonly lateness: 0 | 1 | 2;
