--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -116,10 +116,10 @@
   waitingJobs: readonly ActiveJob[],
 ): ScaleOutRequest | null {
   const { cluster, maxMachines } = scaling;
-  const takeBootingCapacity = createBootingCapacityAllocator(cluster, scaling.now);
+  const allocateBootingCapacity = createBootingCapacityAllocator(cluster, scaling.now);
   let combined = null as ScaleOutRequest | null;
   for (const job of waitingJobs) {
-    const request = scaleOutForJob(job, takeBootingCapacity, scaling);
+    const request = scaleOutForJob(job, allocateBootingCapacity, scaling);
     if (request === null) continue;
     if (combined === null) combined = request;
     else if (isSameKind(request, combined)) {
@@ -150,7 +150,7 @@
 /** Requests capacity for a waiting job in the zones that its other tasks allow, less the capacity that is booting. */
 function scaleOutForJob(
   job: ActiveJob,
-  takeBootingCapacity: BootingCapacityAllocator,
+  allocateBootingCapacity: BootingCapacityAllocator,
   scaling: ScalingContext,
 ): ScaleOutRequest | null {
   const { spec } = job;
@@ -158,7 +158,7 @@
   const needed = Math.min(job.pendingCount, limit);
   if (needed <= 0) return null;
   const zones = job.zones.copy();
-  const missing = needed - takeBootingCapacity(job, zones, needed);
+  const missing = needed - allocateBootingCapacity(job, zones, needed);
   if (missing <= 0) return null;
   const why = `${spec.id} waits for capacity`;
   const request = scaleOutFor(spec, missing, why, scaling, (zone) => zones.capacityIn(zone) > 0);
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -24,7 +24,7 @@
 const SMOOTHING = 1;
 
 /** Share of `START_BOUND_S` after which a waiting job counts as not started. */
-const COUNTED_AFTER_BOUND_SHARE = 1 / 8;
+const NOT_STARTED_AFTER_BOUND_SHARE = 1 / 8;
 
 /** Waiting jobs of one class and size. */
 interface SizeQueue {
@@ -51,7 +51,7 @@
       size = { startable: [], notStarted: 0 };
       sizes.set(key, size);
     }
-    if (waitedShareOfStartBound(job, context) >= COUNTED_AFTER_BOUND_SHARE) size.notStarted++;
+    if (waitedShareOfStartBound(job, context) >= NOT_STARTED_AFTER_BOUND_SHARE) size.notStarted++;
     if (size.startable.length >= maxStartable) continue;
     if (context.cluster.quotaSlots(job.spec) < job.spec.tasks) continue;
     if (canStartInTime(job, context)) size.startable.push(job);
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -15,15 +15,13 @@
 import { isCapacityOpenTo } from "./eligibility.js";
 
 /** Share of `START_BOUND_S` that a service waits for capacity in its current zone before it may be relocated. */
-const RELOCATION_WAIT_SHARE = 1 / 4;
+const ZONE_WAIT_SHARE = 1 / 4;
 
 /** Whether the job is a service bound to one zone that has waited long enough there for its missing replicas. */
 export function mayRelocate(job: ActiveJob, now: number): boolean {
   const { kind, oneZone } = job.spec;
   if (kind !== "service" || !oneZone || job.placementCount === 0) return false;
-  return (
-    job.waitingSince !== null && now - job.waitingSince > RELOCATION_WAIT_SHARE * START_BOUND_S
-  );
+  return job.waitingSince !== null && now - job.waitingSince > ZONE_WAIT_SHARE * START_BOUND_S;
 }
 
 /** Stops tasks that must be placed again in another zone. */
