--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -22,8 +22,8 @@
 /**
  * Whether the gang should wait for machines that hold its image. If many machines hold it, some become free every few
  * seconds, so the gang waits for a small part of the pull time, and for less time the more tasks it has. Five of six
- * GPU tasks had pulled images that a third of all GPU machines already held. `pullS`: seconds that the pull takes on
- * the machines that are free now.
+ * GPU tasks had pulled images that a third of all GPU machines already held. `pullS`: highest placement cost of
+ * the machines that are free now, mainly the seconds of the image pull.
  */
 export function shouldWaitForImage(
   job: ActiveJob,
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -124,9 +124,9 @@
 function mayPreempt(job: ActiveJob, placement: Placement, context: PlanningContext): boolean {
   const victim = placement.job;
   if (placement.stop !== null || job.precedence >= victim.precedence) return false;
-  // CPUs are available on other machines too, GPUs are not. Without this rule, low-priority jobs within their guarantee
-  // stopped GPU gangs to get two of their CPUs. One gang was stopped eighteen times in half a minute, and its image was
-  // pulled again each time.
+  // CPUs are available on other machines too, GPUs are not. Without this rule, low-priority jobs within their
+  // guarantee stopped GPU gangs to get two of their CPUs. One gang was stopped eighteen times in half a minute, and
+  // its image was pulled again each time.
   const takesGpus = victim.spec.gpus > 0 && job.spec.gpus === 0;
   if (
     takesGpus &&
