--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -1,20 +1,20 @@
 /**
- * Advancing the fencing token during a term: starts without an answer may still arrive, and a worker that has seen a
- * higher token drops them.
+ * Advances the fencing token during a term. A start command that got no answer may still reach its worker later; a
+ * worker that has seen a higher token rejects it.
  */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { LeaderContext } from "../leader-context.js";
 import type { Machine } from "../machines/machine.js";
 
-/** The epoch, which is also the fencing token, as it is stored after an advance. */
+/** The stored epoch after an advance. The epoch is also the fencing token. */
 export interface AdvancedEpoch {
   readonly epoch: number;
-  /** Mod revision of its key. */
+  /** Mod revision of the epoch's key. */
   readonly modRevision: number;
 }
 
-/** Asks for a higher fencing token where unanswered starts need one, and takes over the new one. */
+/** Requests a higher fencing token when unanswered starts have to be fenced off, and applies the new token. */
 export class FencingTokenAdvance {
   private inFlight = false;
   private endedAt: number;
@@ -26,12 +26,12 @@
     this.endedAt = context.startedAt;
   }
 
-  /** It was asked for, and its end is not known: nothing may be written meanwhile. */
+  /** Whether an advance was requested and its result is still unknown. No transaction may be sent in that time. */
   get isInFlight(): boolean {
     return this.inFlight;
   }
 
-  /** Asks for one if an unanswered start matters, at most once in half a lease. */
+  /** Requests an advance if some unanswered start has to be fenced off, at most once per half a worker lease. */
   requestIfNeeded(now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
     if (this.inFlight || now - this.endedAt < leaseS / 2) return;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** It ended; null: the token is the same as before. */
+  /** Handles the end of an advance. `stored` is null if the token did not change. */
   finish(stored: AdvancedEpoch | null, now: number): void {
     this.inFlight = false;
     this.endedAt = now;
@@ -61,7 +61,10 @@
   }
 }
 
-/** An unanswered start of a task that is cancelled, or that has ended and must not be forgotten. */
+/**
+ * Whether the machine has an unanswered start whose task is being stopped, or has exited. As long as the start may
+ * still arrive, the worker must not forget the exited task, since it would run the task again.
+ */
 function hasStartToFence(machine: Machine): boolean {
   for (const key of machine.unansweredStarts.keys()) {
     const placement = machine.placements.get(key);
--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -1,38 +1,42 @@
 /**
  * Extension of worker leases during a network partition.
  *
- * A controller that is partitioned with the workers of its own zone may extend their leases, without commands, for a
- * bounded time: what runs there continues, and users notice nothing of the partition.
+ * A controller that can reach the workers of its own zone but not the key-value store may extend their leases for a
+ * bounded time, without sending commands. Their tasks keep running, and users do not notice the partition.
  *
- * Whoever declares the lease of an unreachable machine expired must allow for that time (`MachineMonitor.leaseExpiryBound`). To
- * keep it bounded, a controller extends leases only after it was in contact with the key-value store for longer than
- * one lease: otherwise one that loses and regains contact in turn could keep a worker running for ever.
+ * A leader adds that time before it declares the lease of an unreachable machine expired
+ * (`MachineMonitor.leaseExpiryBound`). To keep the total bounded, a controller extends leases only if, before the
+ * partition, it was in contact with the key-value store for longer than one lease. Otherwise a controller whose
+ * contact is lost and regained repeatedly could extend a worker's lease without end.
  */
 import { CLOCK_DRIFT } from "../model/constants.js";
 
-/** Slack on the time in contact that earns an extension, in seconds. */
+/** Margin, in seconds, on the time in contact that is required before leases may be extended. */
 const CONTACT_MARGIN_S = 1;
 
-/** Decides whether a partitioned node may extend worker leases. */
+/** Decides whether a partitioned controller may extend worker leases. Times are steady seconds. */
 export class LeaseExtension {
   private contactSince = Number.POSITIVE_INFINITY;
   private lastContactAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly leaseS: number,
-    /** Longest time between two answers of the key-value store that counts as contact. */
+    /** Longest time between two answers of the key-value store that still counts as continuous contact. */
     private readonly maximumContactGapS: number,
     private readonly extensionS: number,
   ) {}
 
-  /** The key-value store answered, at this steady time in seconds. */
+  /** Records that the key-value store answered at `now`. */
   noteContact(now: number): void {
     if (now <= this.lastContactAt) return;
     if (now - this.lastContactAt > this.maximumContactGapS) this.contactSince = now;
     this.lastContactAt = now;
   }
 
-  /** The controller is partitioned, was in contact for long enough before, and the extension is not used up. */
+  /**
+   * Whether the controller is partitioned, was in contact for long enough before that, and the time for extensions is
+   * not over.
+   */
   mayExtendLeases(now: number): boolean {
     return (
       this.isPartitioned(now) &&
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -1,10 +1,11 @@
 /**
- * Which worker heartbeats a node answers although it does not lead.
+ * Decides which worker heartbeats a node answers although it is not the leader.
  *
- * No such answer carries a command; each extends a worker's lease, so each case is bounded by what a leader allows for
- * before it declares a lease expired (`MachineMonitor.leaseExpiryBound`). None rests on knowing every cancellation: one is
- * confirmed only when nothing of the job is left (`StateReplica.view`). The lease of a machine that runs what is known to
- * be cancelled is not extended all the same, so that it ends sooner.
+ * Such an answer carries no command, but it extends the worker's lease. Each case is therefore bounded by the time
+ * that a leader waits before it declares a lease expired (`MachineMonitor.leaseExpiryBound`). No case requires that
+ * the node knows of every cancellation, because a cancellation is confirmed only when none of the job's tasks is left
+ * (`StateReplica.view`). The lease of a machine that runs tasks known to be cancelled is still not extended, so that
+ * these tasks end sooner.
  */
 import { hasExtendableLease } from "../leader-context.js";
 import type { ClusterSettings } from "../model/settings.js";
@@ -13,12 +14,12 @@
 import type { StateReplica } from "../state/state-replica.js";
 import type { LeaseExtension } from "./lease-extension.js";
 
-/** Share of the grace period, and of a lease, for which a new leader counts as settling. */
+/** Share of the grace period, or of a worker lease if that is shorter, for which a new leader counts as settling. */
 const SETTLING_SHARE = 2 / 3;
-/** Part of a lease for which heartbeats are answered while nobody leads: the lease divided by this. */
+/** After the last leader was seen, heartbeats are answered for at most the worker lease divided by this. */
 const LEADERLESS_LEASE_DIVISOR = 3;
 
-/** Whom the node is in contact with. */
+/** Which other parts of the cluster the node can reach. */
 export interface NodeConnectivity {
   readonly replicaLoaded: boolean;
   readonly reachesState: boolean;
@@ -26,21 +27,21 @@
   readonly leaderHeartbeatRecent: boolean;
 }
 
-/** What a standby needs to know to decide which heartbeats it answers. */
+/** Dependencies and settings of a `StandbyResponder`. */
 export interface StandbyResponderOptions {
   readonly settings: ClusterSettings;
   readonly member: string;
   readonly zone: string;
   readonly replica: StateReplica;
   readonly leaseExtension: LeaseExtension;
-  /** Workers that this node may redirect to a settling leader in a second. */
+  /** Limits how many workers per second this node redirects to a settling leader. */
   readonly redirectBudget: TokenBucket;
   readonly gracePeriodS: number;
 }
 
 /** Decides which worker heartbeats a node that does not lead answers itself. */
 export class StandbyResponder {
-  /** Steady time at which a leader was last recorded, or the replica was first loaded. */
+  /** Steady time at which a leader was last seen in the replica, or the replica was first loaded. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: StandbyResponderOptions) {}
@@ -49,7 +50,7 @@
     this.leaderSeenAt = now;
   }
 
-  /** `now`: steady time in seconds; `wallMs`: time of day in milliseconds. */
+  /** `now` is steady time in seconds, `wallMs` the time of day in milliseconds. */
   mayAnswer(
     heartbeat: WorkerHeartbeat,
     connectivity: NodeConnectivity,
@@ -63,7 +64,7 @@
     );
   }
 
-  /** Leadership was acquired a moment ago, by the time of day that is stored with it. */
+  /** Whether the leader acquired leadership only recently, by the time of day stored in the leader record. */
   isLeaderSettling(wallMs: number): boolean {
     const { replica, gracePeriodS, settings } = this.options;
     const settlingS = SETTLING_SHARE * Math.min(gracePeriodS, settings.leaseS);
@@ -71,8 +72,8 @@
   }
 
   /**
-   * The machine runs service or gang tasks, by its worker's own status, and nothing that was cancelled, which must end
-   * soon.
+   * Whether the machine runs service or gang tasks, according to its worker's heartbeat, and no task of a cancelled
+   * job. Cancelled tasks must end soon, so their leases are not extended.
    */
   runsExtendableTasks(heartbeat: WorkerHeartbeat): boolean {
     if (this.runsCancelledTasks(heartbeat)) return false;
@@ -88,10 +89,11 @@
   }
 
   /**
-   * While a new leader settles, only so many workers a second are redirected to it; the others are answered here,
-   * without commands, with its fencing token, and try again with their next heartbeat. (Two thousand came at once; each
-   * had left by the time its turn came, and came again, until its lease was over.) The leader counts every lease from
-   * its grace period after its start in any case, and this ends before then.
+   * While a new leader settles, only a limited number of workers per second is redirected to it. This node answers
+   * the others without commands, with the leader's fencing token, and they try again with their next heartbeat.
+   * Without this limit, 2000 workers connected to the leader at once; each had disconnected before it was served, and
+   * reconnected, until its lease expired. Extending these leases is safe: the leader assumes that every lease was
+   * renewed as late as its own start plus the grace period, and the settling time ends before then.
    */
   private mayAnswerForSettlingLeader(
     heartbeat: WorkerHeartbeat,
@@ -112,10 +114,10 @@
   }
 
   /**
-   * Nobody leads. Workers that are turned away then come back every second, each over a new connection, and leave no node
-   * the time to acquire leadership (a thousand did, for 20 s). So for part of a lease any node in contact answers them
-   * without commands, with the last fencing token; they find the next leader with their next heartbeat. That leader adds
-   * its grace period before it declares a lease expired.
+   * While there is no leader, workers whose heartbeats are rejected retry every second, each over a new connection.
+   * With 1000 workers this load kept every node from acquiring leadership for 20 s. So for part of a lease, any node
+   * that reaches the key-value store answers them without commands, with the last fencing token; they find the next
+   * leader with a later heartbeat. That leader adds its grace period before it declares a lease expired.
    */
   private mayAnswerBetweenLeaders(
     heartbeat: WorkerHeartbeat,
@@ -134,7 +136,11 @@
     );
   }
 
-  /** Partitioned from everybody but the workers of this zone, which would lose what they run. */
+  /**
+   * The node is partitioned: neither it nor any peer it reaches has contact with the key-value store, and no leader
+   * was heard from recently. Without an answer, the workers of its zone would lose their tasks when their leases
+   * expire.
+   */
   private mayAnswerWhilePartitioned(
     heartbeat: WorkerHeartbeat,
     connectivity: NodeConnectivity,
--- a/src/core/leadership/takeover.ts
+++ b/src/core/leadership/takeover.ts
@@ -1,4 +1,7 @@
-/** What a new leader makes of the stored state before it acts: machines, placements, and what its predecessor left. */
+/**
+ * Loads the stored state into a new leader before it acts: machines, jobs and placements. It also completes work that
+ * the former leader left unfinished.
+ */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -7,13 +10,16 @@
 import { runsServiceTasks } from "../machines/machine-predicates.js";
 import type { StateReplica } from "../state/state-replica.js";
 
-/** Workers with replicas are told the new fencing token after a heartbeat interval divided by this. */
-const REPLICA_REQUEST_DIVISOR = 4;
-/** The others have so many heartbeat intervals to come by themselves, or a lease divided by this, if that is longer. */
-const OVERDUE_HEARTBEATS = 1.5;
+/** Workers with service tasks are sent the new fencing token after the heartbeat interval divided by this. */
+const SERVICE_REQUEST_DIVISOR = 4;
+/**
+ * Any other worker is sent the token once its own heartbeat is overdue: after this many heartbeat intervals, or after
+ * the worker lease divided by `OVERDUE_LEASE_DIVISOR`, whichever is longer.
+ */
+const OVERDUE_HEARTBEAT_INTERVALS = 1.5;
 const OVERDUE_LEASE_DIVISOR = 3;
 
-/** Parts of the leader that a takeover fills. */
+/** Parts of the leader that a takeover initializes. */
 export interface TakeoverTargets {
   readonly context: LeaderContext;
   readonly dispatcher: CommandDispatcher;
@@ -21,7 +27,7 @@
   readonly jobLifecycle: JobLifecycle;
 }
 
-/** Loads everything stored, as of the moment at which leadership was acquired (`now`, in seconds). */
+/** Initializes the leader from the replica. `now` is the time in seconds at which leadership was acquired. */
 export function takeOver(targets: TakeoverTargets, replica: StateReplica, now: number): void {
   loadMachines(targets, replica, now);
   loadJobs(targets, replica, now);
@@ -54,7 +60,7 @@
   now: number,
 ): void {
   for (const id of replica.activeJobs.keys()) jobLifecycle.handleJobChange(replica, id, now);
-  // Urgency flows from dependents, which may have been loaded after the job itself.
+  // A job inherits urgency from its dependents, which may have been loaded after the job itself.
   for (const job of context.cluster.jobs.values()) {
     jobLifecycle.inheritUrgency(replica, job.spec.after ?? []);
     if (job.placementCount > 0) context.cluster.gangStarts.noteStart(job, now);
@@ -62,22 +68,23 @@
 }
 
 /**
- * Placements of an earlier incarnation may be stored beside those of a later one, if the former leader ended before
- * it had stored that they were lost. The later incarnation proves that they are. (Nine jobs of a day waited to its end
- * for such tasks: no heartbeat mentions them.)
+ * Releases placements of earlier worker incarnations. They are still stored beside placements of a later incarnation
+ * if the former leader ended before it had stored their loss; the later incarnation proves that they are lost. No
+ * heartbeat mentions such tasks, so without this step their jobs do not end (9 jobs of one day waited until its end).
  */
 function releaseEarlierIncarnations({ context, dispatcher }: TakeoverTargets, now: number): void {
   for (const machine of context.cluster.machines.values()) {
     for (const placement of [...machine.placements.values()]) {
       if (placement.incarnation >= machine.incarnation) continue;
-      dispatcher.handleTaskLost(placement, "earlier incarnation", now);
+      dispatcher.handleTaskLost(placement, "placed on an earlier worker incarnation", now);
     }
   }
 }
 
 /**
- * A former leader had stored that a gang lost tasks, and ended before it had stopped the others, which is not
- * stored. Those cannot complete, and nothing is placed for the gang while they are there.
+ * Restarts gangs that had lost tasks before this term. A former leader may have stored the loss and ended before it
+ * had stopped the remaining tasks, and such stops are not stored. The remaining tasks cannot complete, and no task of
+ * the gang is placed while they run.
  */
 function restartIncompleteGangs({ context, dispatcher }: TakeoverTargets): void {
   for (const job of context.cluster.jobs.values()) {
@@ -87,18 +94,19 @@
 }
 
 /**
- * Most workers send a heartbeat by themselves within an interval, and a direct request costs more than a heartbeat.
- * Workers with replicas are told the new fencing token soon, the others when they are overdue.
+ * Schedules the first direct request to each worker. Most workers send a heartbeat within one interval anyway, and a
+ * direct request costs more than a heartbeat. Workers with service tasks are therefore sent the new fencing token
+ * soon, the others only when their heartbeat is overdue.
  */
 function scheduleFirstRequests({ context, dispatcher }: TakeoverTargets, now: number): void {
   const { heartbeatIntervalS, leaseS } = context.settings;
-  const replicaDelayS = heartbeatIntervalS / REPLICA_REQUEST_DIVISOR;
-  const overdueS = Math.max(
-    OVERDUE_HEARTBEATS * heartbeatIntervalS,
+  const serviceDelayS = heartbeatIntervalS / SERVICE_REQUEST_DIVISOR;
+  const overdueDelayS = Math.max(
+    OVERDUE_HEARTBEAT_INTERVALS * heartbeatIntervalS,
     leaseS / OVERDUE_LEASE_DIVISOR,
   );
   for (const machine of context.cluster.machines.values()) {
-    machine.nextRequestAt = now + (runsServiceTasks(machine) ? replicaDelayS : overdueS);
+    machine.nextRequestAt = now + (runsServiceTasks(machine) ? serviceDelayS : overdueDelayS);
     dispatcher.dueMachines.add(machine);
   }
 }
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -1,34 +1,38 @@
 /**
- * A leadership term: one controller at a time is the leader and makes all accepting writes
- * (docs/design.md, exception 1).
+ * A leadership term: at any time at most one controller is the leader, and only the leader makes writes that accept
+ * events (docs/design.md, exception 1).
  *
- * A term rests on a leased key and a permanent counter (the epoch). This module holds the arithmetic of when the
- * leader may act: from the moment a renewal was sent, by its own clock, less the clock drift and a margin, so that
- * it has stopped before its lease can have expired. Times are steady seconds unless the name says otherwise.
+ * A term depends on a key with a lease, and is numbered by a counter that is never reset (the epoch). This module
+ * computes until when the leader may act: for the length of the lease, counted from when the last renewal was sent,
+ * less the clock drift and a margin. The leader therefore stops acting before its lease can expire. Times are steady
+ * seconds unless the name says otherwise.
  */
 import { CLOCK_DRIFT } from "../model/constants.js";
 
 /**
- * Processor time for which a leader may be held up, in seconds: the longest scheduling cycle after a failover, with the
- * heartbeats received meanwhile, and as much again.
+ * Longest time for which the leader may not reach its lease renewal, in seconds of processor time: twice the longest
+ * scheduling cycle after a failover, including the heartbeats received during it.
  */
-const MAXIMUM_STALL_S = 0.3;
+const MAXIMUM_STALL_CPU_S = 0.3;
 const MINIMUM_LEASE_S = 0.5;
-/** The lease divided by this is left unused, beside the clock drift. */
+/**
+ * The leader stops acting this part of its lease (the lease divided by this) early, in addition to the clock drift.
+ */
 const SAFETY_MARGIN_DIVISOR = 10;
 
 /**
- * Length of the leader's lease in seconds, in whole milliseconds. On a small share of a core a healthy leader answers
- * late as well, so its lease is longer. (At 7.6% of a core a cycle of 0.14 s took 1.9 s, longer than the lease: leadership
- * changed 17 times in the first 165 s of a day, and each change began with a first contact to all workers.)
+ * Length of the leader's lease in seconds, rounded up to whole milliseconds. With a small share of a core even a
+ * healthy leader renews late, so its lease is longer. (At 7.6% of a core, a scheduling cycle of 0.14 s of processor
+ * time took 1.9 s, longer than the lease. Leadership changed 17 times in the first 165 s of a day, and each new
+ * leader first had to contact all workers.)
  */
 export function termLeaseS(configuredS: number, cpuShare: number): number {
-  const leaseS = Math.max(MINIMUM_LEASE_S, configuredS, MAXIMUM_STALL_S / cpuShare);
-  // The key-value store accepts whole milliseconds, and refuses any other length.
+  const leaseS = Math.max(MINIMUM_LEASE_S, configuredS, MAXIMUM_STALL_CPU_S / cpuShare);
+  // The key-value store rejects lease lengths that are not whole milliseconds.
   return Math.ceil(1000 * leaseS) / 1000;
 }
 
-/** A term as it was acquired. */
+/** A leadership term at the time of its acquisition. */
 export interface LeadershipTermOptions {
   readonly epoch: number;
   /** Mod revision of the stored epoch. */
@@ -41,7 +45,7 @@
   readonly acquiredAtMs: number;
 }
 
-/** The term of the leader in this process. */
+/** The current term of the leader in this process. */
 export class LeadershipTerm {
   readonly leaseId: number;
   readonly acquiredAtMs: number;
@@ -59,7 +63,7 @@
     this.validUntil = this.validUntilFor(options.grantSentAt);
   }
 
-  /** The stored count of terms, which is the workers' fencing token as well. */
+  /** The stored epoch, which is also the workers' fencing token. */
   get epoch(): number {
     return this.currentEpoch;
   }
@@ -68,13 +72,16 @@
     return this.currentEpochModRevision;
   }
 
-  /** The epoch was advanced within this term, which fences off commands still in flight. */
+  /** Applies an epoch that was advanced within this term to fence off commands still in flight. */
   advanceEpoch(epoch: number, modRevision: number): void {
     this.currentEpoch = epoch;
     this.currentEpochModRevision = modRevision;
   }
 
-  /** The lease was renewed by a request sent at this time; a late answer to an older request shortens nothing. */
+  /**
+   * Extends the term after a renewal request that was sent at this time has succeeded. A late answer to an older
+   * request does not shorten it.
+   */
   extendFrom(sentAt: number): void {
     this.validUntil = Math.max(this.validUntil, this.validUntilFor(sentAt));
   }
@@ -84,9 +91,9 @@
   }
 
   /**
-   * For a while after it may no longer act, the leader goes on answering heartbeats, without commands: the key-value
-   * store may be down for everybody, and workers would lose all their tasks. The next leader allows for this time
-   * (`gracePeriodS` of the scheduler).
+   * Whether the leader may still answer heartbeats without commands, for the grace period after it may no longer act.
+   * If the key-value store is down for all nodes, workers would otherwise lose all their tasks. The next leader waits
+   * for this time too (`gracePeriodS` of the scheduler).
    */
   isWithinGracePeriod(now: number, gracePeriodS: number): boolean {
     return now < this.validUntil + gracePeriodS;
--- a/src/core/state/dependency-index.ts
+++ b/src/core/state/dependency-index.ts
@@ -1,7 +1,7 @@
 /**
- * Which active jobs depend on which, and which of them can never start.
+ * Index of the dependencies between active jobs, and of the jobs that can never start because of them.
  *
- * Both follow from the stored records, so every node says the same of one revision.
+ * Both are derived from the stored records alone, so all nodes agree on them for a given revision.
  */
 import {
   eventName,
@@ -13,13 +13,13 @@
 
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 
-/** Which active jobs depend on which, and which of them can never start. */
+/** Tracks the dependents of each job, and the active jobs that can never start. */
 export class DependencyIndex {
-  /** Active jobs that depend on a job, by its name. */
+  /** Active jobs that depend on a job, by the name of that job. */
   private readonly dependents = new Map<string, Set<string>>();
   /**
-   * Active jobs that can never start, since one that they need was cancelled, directly or through others, however many
-   * there are; their own ends are stored by and by.
+   * Active jobs that can never start, because a job that they depend on, directly or through other jobs, was
+   * cancelled. Their final records are stored later.
    */
   private readonly excludedJobs = new Set<string>();
 
@@ -41,14 +41,14 @@
     return this.excludedJobs.has(id);
   }
 
-  /** The outcome of a job, as an event for its dependents; null: it has none, as far as is stored. */
+  /** The outcome of a job, as an event for its dependents, or null if none is stored yet. */
   outcomeOf(id: string): "done" | "failed" | null {
     const final = this.finalRecords.get(id);
     if (final !== undefined) return final.outcome === "done" ? "done" : "failed";
     return this.excludedJobs.has(id) ? "failed" : null;
   }
 
-  /** The job is in `activeJobs` now. */
+  /** Adds a job that was just put into `activeJobs`. */
   add(id: string, job: JobRecord): void {
     const needed = job.spec.after ?? [];
     for (const name of needed) {
@@ -58,11 +58,11 @@
     }
     if (needed.length > 0 && this.isExcluded(id, job)) {
       this.excludedJobs.add(id);
-      this.failDependents(id);
+      this.propagateFailure(id);
     }
   }
 
-  /** `job`: its last record, if it was active. */
+  /** Removes a job. `job` is its last record, if it was active. */
   remove(id: string, job: JobRecord | undefined): void {
     for (const name of job?.spec.after ?? []) {
       const dependents = this.dependents.get(name);
@@ -72,8 +72,11 @@
     this.excludedJobs.delete(id);
   }
 
-  /** The failed event of one job residuates its dependents: downward, each job once, whatever the depth. */
-  failDependents(failed: string): void {
+  /**
+   * Applies the `failed` event of a job to its dependents: each active job that can no longer start is marked as
+   * excluded, and its own dependents are checked in turn. Iterative, so the depth of a pipeline is not limited.
+   */
+  propagateFailure(failed: string): void {
     const pending = [failed];
     for (let id = pending.pop(); id !== undefined; id = pending.pop()) {
       for (const dependent of this.dependentsOf(id)) {
@@ -86,7 +89,9 @@
     }
   }
 
-  /** By its dependencies, residuated by the known outcomes of the jobs that it needs. */
+  /**
+   * Whether the job's dependencies, residuated by the known outcomes of the jobs it depends on, exclude its start.
+   */
   private isExcluded(id: string, job: JobRecord): boolean {
     let dependencies = parseResiduals(job.residuals);
     for (const name of job.spec.after ?? []) {
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -1,4 +1,4 @@
-/** The changes of one job that go into a transaction of the leader. */
+/** Composes the changes of one job for a transaction of the leader. */
 
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { JobShard } from "./job-shards.js";
@@ -6,42 +6,44 @@
 import type { Change, Precondition } from "./key-value.js";
 import { encodeFinalRecord, KEY } from "./stored-values.js";
 
-/** Bytes of a change around its key and value. */
+/** Bytes of an encoded change besides its key and value. */
 const CHANGE_OVERHEAD_BYTES = 60;
 
-/** Capacity of the transaction for one job's changes. */
+/** Limits on the changes of a job that may be written now. */
 export interface JobChangeLimits {
-  /** Leave progress, and the removal of what has ended, for when there is plenty of write budget. */
+  /**
+   * Only urgent changes are written; progress, and the removal of ended jobs' shards, wait for spare write budget.
+   */
   readonly urgentOnly: boolean;
-  /** May a value of so many bytes be sent, or were smaller ones refused lately? */
+  /** Whether a value of this size may be sent; false if one no larger was refused recently. */
   readonly maySendValue: (bytes: number) => boolean;
 }
 
-/** What is to be written of a job. */
+/** The changes of one job in a transaction. */
 export interface JobChanges {
   readonly kind: "changes";
-  /** What they take in the transaction, about. */
+  /** Approximate size of the changes in the transaction. */
   readonly bytes: number;
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
-  /** Shards whose values are in it; the main shard stands for the job's own value. */
+  /** Shards whose values are written. The main shard represents the job's own value. */
   readonly shards: readonly JobShard[];
-  /** Terminal shards, whose values are deleted if they are stored. */
+  /** Terminal shards. Their keys are deleted if they are stored. */
   readonly closedShards: readonly JobShard[];
 }
 
-/** How composing a job's changes ended. */
+/** Result of composing a job's changes. */
 export type JobChangeResult =
   | JobChanges
-  /** More changes would be needed than are left. */
+  /** The changes exceed the number that the transaction can still take. */
   | { readonly kind: "does not fit" }
-  /** Nothing may be written now. */
+  /** The job has no changes that may be written now. */
   | { readonly kind: "nothing" };
 
 const DOES_NOT_FIT: JobChangeResult = { kind: "does not fit" };
 const NOTHING: JobChangeResult = { kind: "nothing" };
 
-/** Changes of a job while they are collected. */
+/** Changes of a job while they are being composed. */
 interface Draft {
   readonly job: ActiveJob;
   remainingChanges: number;
@@ -52,21 +54,21 @@
   readonly closedShards: JobShard[];
 }
 
-/** Nothing of the job is on any machine, nor will be. */
+/** Whether the job is cancelled or complete, and none of its tasks is placed on a machine. */
 export const isTerminal = (job: ActiveJob): boolean =>
   job.placementCount === 0 && (job.isCancelled || job.isComplete);
 
-/** Length of a value as JSON, the form in which the store counts. */
+/** Length of a value as JSON, which is how the key-value store measures its size. */
 export const jsonBytes = (value: unknown): number => JSON.stringify(value).length;
 
 const storedShards = (job: ActiveJob): JobShard[] =>
   [...job.shards.values()].filter((shard) => shard.modRevision > 0);
 
-/** Changes that the final record of a job takes. */
+/** Number of changes that storing the final record of a job takes. */
 export const finalChangeCount = (job: ActiveJob): number =>
   (job.cancelledByUser ? 3 : 2) + storedShards(job).length;
 
-/** The final record replaces all that is stored of the job. */
+/** Composes the final record of a job, which replaces all other stored values of the job. */
 export function composeFinalRecord(job: ActiveJob): JobChanges {
   const { id, tasks } = job.spec;
   const value = encodeFinalRecord({ outcome: job.isCancelled ? "cancelled" : "done", tasks });
@@ -74,8 +76,8 @@
     { key: KEY.activeJob(id), modRevision: job.mainShard.modRevision },
     { key: KEY.finalRecord(id), modRevision: 0 },
   ];
-  // Done and cancelled exclude each other: whichever is stored first rejects the other.
-  // (A job that is cancelled through another has no cancellation of its own.)
+  // A job is either done or cancelled: whichever is stored first makes the precondition of the other fail.
+  // (A job that is cancelled because of a dependency has no cancellation record.)
   if (!job.cancelledByUser) preconditions.push({ key: KEY.cancellation(id), modRevision: 0 });
   const changes: Change[] = [
     { op: "put", key: KEY.finalRecord(id), value },
@@ -89,20 +91,20 @@
   return { kind: "changes", bytes, preconditions, changes, shards: [], closedShards: [] };
 }
 
-/** What changed of a job: its own value, and as many of its shards as the limits allow. */
+/** Composes the changes of an active job: its own value, and as many of its shards as the limits allow. */
 export function composeJobChanges(
   job: ActiveJob,
   maxChanges: number,
   limits: JobChangeLimits,
 ): JobChangeResult {
-  // Resharded just now: all of its shards are written with its own value, or none.
+  // After resharding, all new shards must be written in one transaction with the job's own value.
   const { resharded } = job;
   if (resharded !== null && 1 + resharded.size > maxChanges) return DOES_NOT_FIT;
   const draft = newDraft(job, maxChanges);
   const openShards = closeTerminalShards(draft, limits);
   if (job.mainShard.isUnpersisted) {
     if (draft.remainingChanges < 1) return DOES_NOT_FIT;
-    if (!putOwnValue(draft, limits)) return NOTHING;
+    if (!putMainShard(draft, limits)) return NOTHING;
   }
   if (resharded !== null) {
     openShards.sort((a, b) => Number(resharded.has(b)) - Number(resharded.has(a)));
@@ -120,7 +122,8 @@
     job,
     remainingChanges: maxChanges,
     valueBytes: 0,
-    // Whenever a shard is deleted, this mod revision changes: a late copy of an older transaction cannot restore it.
+    // The mod revision of the job's own value changes whenever a shard is deleted. A delayed copy of an older
+    // transaction therefore cannot restore a deleted shard.
     preconditions: [{ key: KEY.activeJob(job.spec.id), modRevision }],
     changes: [],
     shards: [],
@@ -128,7 +131,7 @@
   };
 }
 
-/** Deletes terminal shards; returns those that are to be written. */
+/** Closes terminal shards, deleting their keys, and returns the open shards that are to be written. */
 function closeTerminalShards(draft: Draft, { urgentOnly }: JobChangeLimits): JobShard[] {
   const { job } = draft;
   const { resharded } = job;
@@ -155,8 +158,8 @@
   draft.changes.push({ op: "delete", key });
 }
 
-/** False: its value may not be sent now. */
-function putOwnValue(draft: Draft, { maySendValue }: JobChangeLimits): boolean {
+/** Adds the job's own value to the draft. Returns false if a value of its size may not be sent now. */
+function putMainShard(draft: Draft, { maySendValue }: JobChangeLimits): boolean {
   const { job } = draft;
   const value = encodeJob(job);
   const bytes = jsonBytes(value);
@@ -168,7 +171,7 @@
   return true;
 }
 
-/** False: a shard that must be written with the others may not be sent now. */
+/** Adds open shards to the draft. Returns false if one that was just resharded may not be sent now. */
 function putShards(
   draft: Draft,
   openShards: readonly JobShard[],
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -1,66 +1,73 @@
 /**
- * A job of very many tasks is stored in several values: one for the job itself, and one for each shard of
- * consecutive tasks of which some are active. A shard whose tasks are all done becomes a range in the
- * job's own value, and its key is deleted in the same transaction.
+ * Sharding of large jobs. A job with too many tasks for one value is stored in several: one for the job itself, and
+ * one for each shard, which is a range of consecutive tasks of which some are active. When all tasks of a shard are
+ * done, it is recorded as a range in the job's own value, and its key is deleted in the same transaction.
  *
- * Each value is written by itself. So that no late copy of a write can bring a deleted shard back, all of them
- * are conditional on the mod revision of the job's own value, which changes whenever a shard is deleted.
+ * The values can be written independently of each other. Each write is conditional on the mod revision of the job's
+ * own value, which changes whenever a shard is deleted, so a delayed copy of a write cannot restore a deleted shard.
  */
 
 import type { JobSpec } from "../model/jobs.js";
 
-/** Most bytes of one active task: its machine, its number, and what separates them. */
+/** Largest size in bytes of one active task in a value: its machine, its number and the separators. */
 const TASK_BYTES = 24;
-/** Share of a value that its tasks may take; the rest is for attempts and incarnations. */
+/** Share of a value that its tasks may take. The rest is reserved for attempts and incarnations. */
 const FILL_RATIO = 0.9;
-/** The same for the single value of an unsharded array. */
+/** Share of the single value of an unsharded array that its fixed part and its tasks may take. */
 const UNSHARDED_FILL_RATIO = 0.95;
-/** Bytes of an array's task on a machine with one or two others: its number twice, and its share of the name. */
+/**
+ * Bytes of an array's task on a machine with one or two other tasks of the array: its number twice, and its share of
+ * the machine's name.
+ */
 const PACKED_TASK_BYTES = 16;
-/** Bytes of an unsharded job's value besides its spec and its tasks. */
+/** Bytes of an unsharded job's value in addition to its spec and its tasks. */
 const JOB_OVERHEAD_BYTES = 400;
 /** An array that would need fewer shards than this stays unsharded. */
 const MINIMUM_SHARDS = 2;
 /**
- * All tasks of a gang or service are placed at one time, so its shards cannot be kept smaller by placing fewer.
- * They are smaller from the start, in case the state service accepts smaller values than is known.
+ * Size of a gang's or service's shards as a share of the usual size. All tasks of such a job are placed at the same
+ * time, so the values cannot be made smaller later by placing fewer tasks. The shards are smaller from the start in
+ * case the key-value store accepts only smaller values than the settings say.
  */
 const ALL_AT_ONCE_SHARD_RATIO = 1 / 4;
 
-/** Tasks in a shard so that, however they end, it fits one value. */
+/** Number of tasks in a shard such that it fits one value in whichever order the tasks end. */
 export function shardSizeFor(valueBytes: number): number {
   return Math.max(1, Math.floor((FILL_RATIO * valueBytes) / TASK_BYTES));
 }
 
-/** Bytes of a job's value without what it says of its tasks. */
+/** Size in bytes of a job's value without its tasks. */
 export function fixedJobBytes(spec: JobSpec): number {
   return JOB_OVERHEAD_BYTES + JSON.stringify(spec).length;
 }
 
 /**
- * Whether a job must be stored in shards. Smaller jobs stand in one value: that is one write for each change
- * instead of several, and an array that may place only as many tasks as one value holds still goes on. The tasks
- * of gangs and services must all run at one time. (A gang of more tasks than fit one value made a write that was
- * refused for ever, with all others in the same transaction.)
+ * Whether a job must be stored in shards. Smaller jobs are stored in one value, which takes one write per change
+ * instead of several. An array can still make progress if only as many of its tasks are placed at a time as one value
+ * holds, but the tasks of a gang or service must all run at the same time. (Before gangs were sharded, the write of a
+ * gang with more tasks than fit one value was rejected again and again, together with all other changes in its
+ * transaction.)
  */
 export function needsShards(spec: JobSpec, valueBytes: number): boolean {
   const size = shardSizeFor(valueBytes);
   if (spec.kind !== "array") return spec.tasks > size / 2;
-  // With values of 2 KiB an array of sixty was placed thirty at a time: its spec alone is half of such a value.
-  const activeAtOnce =
+  // The spec counts too: with a limit of 2 KiB it took half of the value, and an array of 60 tasks was placed 30 at a
+  // time.
+  const maxActiveTasks =
     (UNSHARDED_FILL_RATIO * valueBytes - fixedJobBytes(spec)) / PACKED_TASK_BYTES;
-  return spec.tasks > Math.min(MINIMUM_SHARDS * size, Math.max(1, activeAtOnce));
+  return spec.tasks > Math.min(MINIMUM_SHARDS * size, Math.max(1, maxActiveTasks));
 }
 
-/** Tasks in a shard of a new job. */
+/** Number of tasks in each shard of a new job. */
 export function initialShardSize(spec: JobSpec, valueBytes: number): number {
   const size = shardSizeFor(valueBytes);
   return spec.kind === "array" ? size : Math.max(1, Math.floor(ALL_AT_ONCE_SHARD_RATIO * size));
 }
 
 /**
- * Tasks that may be active in a shard of an array at one time, if values are to be no larger than `valueBytes`:
- * the rest is for the tasks that are done, at the worst every other one.
+ * Number of tasks that may be active at the same time in an array's shard of `size` tasks, so that its value does not
+ * exceed `valueBytes`. The rest of the value is reserved for the done tasks; in the worst case every other task is
+ * done.
  */
 export function placeableInShard(size: number, valueBytes: number): number {
   if (size <= shardSizeFor(valueBytes)) return size;
@@ -68,29 +75,29 @@
   return Math.max(1, Math.floor((FILL_RATIO * valueBytes - doneBytes) / TASK_BYTES));
 }
 
-/** Tasks in a shard of a job that is resharded while active: all its shards go into one transaction. */
+/** Number of tasks in each shard of an active job that is resharded. All its shards must fit one transaction. */
 export function reshardingSize(spec: JobSpec, valueBytes: number, txnOps: number): number {
   const maxShards = Math.max(1, txnOps - 1);
   return Math.max(initialShardSize(spec, valueBytes), Math.ceil(spec.tasks / maxShards));
 }
 
-/** The leader's record of one stored value of a job: what of it changed and what is persisted. */
+/** The leader's state for one stored value of a job: which versions of it have changed and which are persisted. */
 export class JobShard {
   /** Versions of the job at which the shard last changed, last got a placement, and was last persisted. */
   changedVersion = 0;
   placedVersion = 0;
   persistedVersion = 0;
-  /** Of its stored value; 0 if there is none. */
+  /** Mod revision of the stored value; 0 if none is stored. */
   modRevision = 0;
-  /** Number of the next attempt; in a shard of a large job, of the newest. */
+  /** In the main shard the number of the next attempt; in any other shard the number of the newest attempt. */
   attempt = 1;
   private readonly lastAttempts = new Map<number, number>();
 
   constructor(
-    /** -1: the job's own value. */
+    /** Index of the shard; -1 for the main shard, which is the job's own value. */
     readonly index: number,
     readonly firstTask: number,
-    /** The task after the shard's last one. */
+    /** Exclusive end: the number of the task after the shard's last one. */
     readonly endTask: number,
   ) {}
 
@@ -98,24 +105,27 @@
     return this.changedVersion > this.persistedVersion;
   }
 
-  /** A placement in it is not persisted yet: the task must not start. */
+  /** Whether a placement in the shard is not persisted yet. Its task must not start before it is. */
   get hasUnpersistedPlacement(): boolean {
     return this.placedVersion > this.persistedVersion;
   }
 
-  /** Everything that held of the shard at this version of the job is persisted. */
+  /** Whether the shard's content as of this version of the job is persisted. */
   isPersisted(version: number): boolean {
     return this.persistedVersion >= version || !this.isUnpersisted;
   }
 
-  /** Attempt number for a task: a new one only if the task had an attempt before, so that few are stored. */
+  /**
+   * Attempt number for the next attempt of a task. A new number is taken only if the task already had the current
+   * one, so that few distinct numbers are stored.
+   */
   nextAttempt(task: number): number {
     if ((this.lastAttempts.get(task) ?? 0) >= this.attempt) this.attempt++;
     this.lastAttempts.set(task, this.attempt);
     return this.attempt;
   }
 
-  /** All tasks of a gang have the same attempt number. */
+  /** Uses the attempt number that all tasks of a gang share, and returns it. */
   shareAttempt(attempt: number): number {
     this.attempt = Math.max(this.attempt, attempt);
     return attempt;
--- a/src/core/state/job-values.ts
+++ b/src/core/state/job-values.ts
@@ -1,4 +1,6 @@
-/** Encoding of an active job and its shards into stored values, and the most bytes that a job's value may take. */
+/**
+ * Encodes an active job and its shards as stored values, and computes the largest size that a job's value may reach.
+ */
 
 import type { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -7,12 +9,12 @@
 import { encodePlacements } from "./stored-placements.js";
 import { encodeJobRecord, encodeJobShardRecord } from "./stored-values.js";
 
-/** Separators around a machine's name in a value, in bytes. */
+/** Bytes of the separators around a machine's name in a value. */
 const MACHINE_NAME_OVERHEAD_BYTES = 6;
-/** What a value says of each attempt and incarnation, in bytes. */
+/** Bytes that a value takes for each distinct pair of attempt and incarnation. */
 const ATTEMPT_BYTES = 24;
 
-/** The job's own value. */
+/** Encodes the job's own value. */
 export function encodeJob(job: ActiveJob): ReturnType<typeof encodeJobRecord> {
   const isSharded = job.shardSize !== null;
   return encodeJobRecord({
@@ -28,7 +30,7 @@
   });
 }
 
-/** Tasks of terminal shards, as ranges: those of neighbouring shards are one range. */
+/** Task ranges of the closed shards. Consecutive closed shards are merged into one range. */
 function tasksOfClosedShards(job: ActiveJob): string {
   const size = job.shardSize!;
   const shards = Math.ceil(job.spec.tasks / size);
@@ -47,7 +49,7 @@
   return ranges.join(",");
 }
 
-/** The value of one shard of a job. */
+/** Encodes the value of one shard of a job. */
 export function encodeJobShard(
   job: ActiveJob,
   shard: JobShard,
@@ -67,12 +69,12 @@
   });
 }
 
-/** The most bytes that a task number of this job takes in a value, with its separator. */
+/** Largest size in bytes of a task number of this job in a value, including its separator. */
 export function taskNumberBytes(job: ActiveJob): number {
   return String(job.spec.tasks).length + 1;
 }
 
-/** Bytes of a job's value without its tasks, counted once for each of its residuals. */
+/** Size in bytes of a job's value without its tasks. Recomputed only when the job's residuals change. */
 const fixedSizeCache = new WeakMap<ActiveJob, { residuals: readonly string[]; bytes: number }>();
 
 function fixedValueBytes(job: ActiveJob): number {
@@ -84,8 +86,8 @@
 }
 
 /**
- * The most bytes that the job's value may take as its tasks end in any order: at the worst each task under way is a
- * range of its own, among those placed and between those done.
+ * Largest size in bytes that the job's value may reach, in whichever order its tasks end. In the worst case each
+ * running task is a range of its own, both in the placements and between the done tasks.
  */
 export function maxValueBytes(job: ActiveJob): number {
   const machineAttempts = new Set<string>();
--- a/src/core/state/key-value.ts
+++ b/src/core/state/key-value.ts
@@ -1,38 +1,38 @@
 /**
- * The terms of the consensus-backed key-value store that holds the state: what the core and every adapter speak. The codec
- * to the names on the wire is `wire/key-value.ts`.
+ * Data types of the consensus-backed key-value store (the state service) that holds the cluster's state, as the core
+ * and all adapters use them. `wire/key-value.ts` converts them to the field names on the wire.
  */
 
-/** A value as it is stored; whoever reads a key knows its shape. */
+/** A stored value. The reader of a key knows the type of its value. */
 export type StoredValue = unknown;
 
-/** What a transaction (a compare-and-swap) requires of a key. */
+/** Condition on one key under which a transaction (a compare-and-swap) is committed. */
 export interface Precondition {
   readonly key: string;
-  /** The key's mod revision must be this one; 0: the key must not exist. */
+  /** Required mod revision of the key; 0 requires that the key does not exist. */
   readonly modRevision: number;
 }
 
-/** One change that a transaction makes. */
+/** One change in a transaction. */
 export type Change =
   | {
       readonly op: "put";
       readonly key: string;
       readonly value: StoredValue;
-      /** The key is removed when this lease expires. */
+      /** Id of the lease with which the key expires. */
       readonly lease?: number;
     }
   | { readonly op: "delete"; readonly key: string };
 
-/** A key as it is stored. */
+/** A stored key with its value. */
 export interface KeyValueItem {
   readonly key: string;
   readonly value: StoredValue;
-  /** The store's revision at which the key was last changed. */
+  /** Revision of the store at which the key was last changed. */
   readonly modRevision: number;
 }
 
-/** A change seen by watching. */
+/** A change of one key, as reported by a watch. */
 export interface ChangeEvent {
   readonly key: string;
   /** Null if the key was removed. */
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -1,10 +1,10 @@
 /**
- * Machine records are stored in shards, many machines to a value: when hundreds of machines come up at
- * once, one key each would use up the state service's changes of half a minute, and no work may be
- * placed on a machine before its record is stored.
+ * Machine records are stored in shards, each of which holds many machines in one value. No task may be placed on a
+ * machine before its record is stored; with one key per machine, hundreds of machines that start at the same time
+ * would use up all changes that the key-value store accepts in half a minute.
  *
- * Each write of a shard is conditional on the mod revision that the shard had, so that a late copy of an
- * older write cannot remove machines from it again.
+ * Each write of a shard is conditional on the shard's mod revision, so a delayed copy of an older write cannot remove
+ * machines that were added since.
  */
 import type { Machine } from "../machines/machine.js";
 import type { StateReplica } from "./state-replica.js";
@@ -19,7 +19,7 @@
 const EMPTY_SHARD_BYTES = 2;
 /** Bytes of an entry besides its name and value: two quotes, colon and comma. */
 const ENTRY_OVERHEAD_BYTES = 4;
-/** A shard may outgrow its planned size by this factor before it is split. */
+/** A shard may exceed the maximum size by this factor before it is split. */
 const SPLIT_FACTOR = 1.5;
 
 const entryBytes = (name: string, record: StoredMachine): number =>
@@ -32,20 +32,22 @@
   machine.spot,
 ];
 
-/** The machine records that stand in one stored value. */
+/** The machine records in one stored value. */
 export class MachineRecordShard {
   readonly entries = new Map<string, StoredMachine>();
-  /** Size of the value as it would be stored. */
+  /** Size in bytes of the value to be stored. */
   bytes = EMPTY_SHARD_BYTES;
-  /** Counts the changes of the shard; `persistedVersion` is the one last stored. */
+  /** Counts the changes of the shard. `persistedVersion` is the version that was last stored. */
   version = 0;
   persistedVersion = 0;
-  /** Machines in the shard of which no record is stored yet. */
-  unpersistedMachines = 0;
-  /** Shards that took machines of this one: they are stored before it is written without them. */
-  readonly successors: MachineRecordShard[] = [];
+  /** Number of machines in the shard whose records are not stored yet. */
+  unpersistedMachineCount = 0;
+  /**
+   * Shards to which a split moved machines of this one. They are stored before this shard is written without them.
+   */
+  readonly splitTargets: MachineRecordShard[] = [];
 
-  /** `modRevision`: of its stored value; 0 if there is none. */
+  /** `modRevision` is that of the stored value; 0 if none is stored. */
   constructor(
     readonly index: number,
     public modRevision: number,
@@ -56,7 +58,7 @@
     this.bytes += entryBytes(name, record);
   }
 
-  /** The record keeps its place among the entries. */
+  /** Replaces a machine's record without changing the order of the entries. */
   replace(name: string, record: StoredMachine): void {
     this.bytes -= entryBytes(name, this.entries.get(name)!);
     this.add(name, record);
@@ -77,19 +79,19 @@
   }
 }
 
-/** All machine records, and the shard in which each stands. */
+/** All machine records, and the shard that holds each of them. */
 export class MachineRecordShards {
   private readonly shards: MachineRecordShard[] = [];
   private readonly shardOfMachine = new Map<string, MachineRecordShard>();
 
-  /** `maxBytes`: a shard of this size takes no further machines. */
+  /** No machines are added to a shard of `maxBytes` or more. */
   constructor(private maxBytes: number) {}
 
   get hasUnpersistedMachines(): boolean {
-    return this.shards.some((shard) => shard.unpersistedMachines > 0);
+    return this.shards.some((shard) => shard.unpersistedMachineCount > 0);
   }
 
-  /** Takes over the stored shards; those that are too large now are split. */
+  /** Loads the stored shards, and splits those that are larger than now permitted. */
   load(stored: ReadonlyMap<number, Versioned<StoredMachineShard>>): void {
     const oversized: MachineRecordShard[] = [];
     for (const [index, { value, modRevision }] of stored) {
@@ -101,7 +103,7 @@
     for (const shard of oversized) this.split(shard);
   }
 
-  /** The state service accepts smaller values only: shards that may not fit are split at their next write. */
+  /** Lowers the maximum size after the key-value store refused a value. Shards that may not fit are split. */
   setMaxBytes(maxBytes: number): void {
     this.maxBytes = maxBytes;
     for (const shard of [...this.shards]) {
@@ -120,11 +122,11 @@
     const target = shard ?? this.addShard();
     target.add(machine.name, recordOf(machine));
     target.version++;
-    target.unpersistedMachines++;
+    target.unpersistedMachineCount++;
     this.shardOfMachine.set(machine.name, target);
   }
 
-  /** The machine is of another type, zone or address than its record says. */
+  /** Updates the record of a machine whose type, zone, address or spot flag differs from it. */
   correct(machine: Machine): void {
     machine.isRecordOutdated = false;
     const shard = this.shardOfMachine.get(machine.name);
@@ -133,30 +135,30 @@
     shard.version++;
   }
 
-  /** `isStored`: a record of the machine is stored. */
+  /** Removes a machine. `isStored` tells whether a record of it is stored. */
   remove(name: string, isStored: boolean): void {
     const shard = this.shardOfMachine.get(name);
     if (shard === undefined) return;
     shard.remove(name);
-    if (!isStored) shard.unpersistedMachines--;
+    if (!isStored) shard.unpersistedMachineCount--;
     shard.version++;
     this.shardOfMachine.delete(name);
   }
 
-  /** Shards to write: those with new machines first, as work waits for them. */
-  unpersisted(): MachineRecordShard[] {
+  /** Shards to write. Those with the most new machines come first, because tasks wait for these machines. */
+  shardsToWrite(): MachineRecordShard[] {
     const unpersisted = this.shards.filter(
       (shard) =>
         shard.version > shard.persistedVersion &&
-        shard.successors.every((successor) => successor.persistedVersion > 0),
+        shard.splitTargets.every((successor) => successor.persistedVersion > 0),
     );
-    return unpersisted.sort((a, b) => b.unpersistedMachines - a.unpersistedMachines);
+    return unpersisted.sort((a, b) => b.unpersistedMachineCount - a.unpersistedMachineCount);
   }
 
-  /** A write of unknown outcome was settled by a linearizable read: the stored mod revisions hold. */
-  refreshModRevisions(records: StateReplica): void {
+  /** Sets the mod revisions from the replica, after a linearizable read has resolved a write of unknown outcome. */
+  refreshModRevisions(replica: StateReplica): void {
     for (const shard of this.shards) {
-      shard.modRevision = records.machineShards.get(shard.index)?.modRevision ?? 0;
+      shard.modRevision = replica.machineShards.get(shard.index)?.modRevision ?? 0;
     }
   }
 
@@ -166,7 +168,8 @@
 
   private loadEntries(shard: MachineRecordShard, stored: StoredMachineShard): void {
     for (const [name, record] of Object.entries(stored)) {
-      // After an unfinished split a machine stands in two shards: the first one keeps it.
+      // After an incomplete split a machine is in two stored shards. The one that is loaded first keeps it; the other
+      // one is written again without it.
       if (this.shardOfMachine.has(name)) {
         shard.version++;
       } else {
@@ -177,8 +180,8 @@
   }
 
   /**
-   * Moves the machines that are too many for the shard to new shards. Those are stored before it, so that
-   * each machine stands in some stored shard at any moment.
+   * Moves the machines that exceed the maximum size of a shard to new shards. These are stored before the split shard
+   * is, so that each machine is in some stored shard at any time.
    */
   private split(shard: MachineRecordShard): void {
     const entries = [...shard.entries];
@@ -188,7 +191,7 @@
       if (target.bytes >= this.maxBytes) {
         target = this.addShard();
         target.version++;
-        shard.successors.push(target);
+        shard.splitTargets.push(target);
       }
       target.add(name, record);
       this.shardOfMachine.set(name, target);
--- a/src/core/state/oversized-values.ts
+++ b/src/core/state/oversized-values.ts
@@ -1,4 +1,4 @@
-/** Handles a value that the state service refuses although it keeps to the known limits. */
+/** Handles values that the key-value store refuses for their size although they are within the known limits. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -7,10 +7,10 @@
 import { maxValueBytes } from "./job-values.js";
 import { type LeaderTransaction, largestValueBytes } from "./write-composer.js";
 
-/** Share of the planned size that the value of an unsharded job may come to; beyond it the job is sharded. */
-const MAX_FILL_RATIO = 0.95;
+/** Share of the planned size that the value of an unsharded job may reach before the job is sharded. */
+const MAX_UNSHARDED_FILL_RATIO = 0.95;
 
-/** Shrinks what is stored when the store refuses a value for its size. */
+/** Makes stored values smaller after the key-value store refused one for its size. */
 export class OversizedValueHandler {
   constructor(
     private readonly context: LeaderContext,
@@ -18,9 +18,9 @@
   ) {}
 
   /**
-   * A transaction of a single value was refused. From now on values are planned smaller. The value's unpersisted
-   * placements were never sent to a worker: they are released, so that the value shrinks until it is accepted.
-   * Persisted placements keep running, and other values are written meanwhile.
+   * Handles the refusal of a transaction with a single value. From then on, values are planned to be smaller. The
+   * unpersisted placements in the refused value were never sent to a worker; they are released, so that the value
+   * becomes smaller until it is accepted. Persisted placements keep running, and other values are still written.
    */
   handleRefusedValue(transaction: LeaderTransaction, now: number): void {
     const bytes = largestValueBytes(transaction);
@@ -41,12 +41,12 @@
     }
   }
 
-  /** An unsharded job whose value may outgrow the planned size is stored in shards from its next write on. */
+  /** Reshards an unsharded job whose value may exceed the planned size. Its next write stores the shards. */
   private reshardIfTooLarge(job: ActiveJob): void {
     const bytes = this.context.valueSizeLimit.plannedBytes;
     if (job.shardSize !== null || job.spec.tasks < 2) return;
     const mayStayUnsharded = job.spec.kind === "array" || !needsShards(job.spec, bytes);
-    if (mayStayUnsharded && maxValueBytes(job) <= MAX_FILL_RATIO * bytes) return;
+    if (mayStayUnsharded && maxValueBytes(job) <= MAX_UNSHARDED_FILL_RATIO * bytes) return;
     job.reshard(reshardingSize(job.spec, bytes, this.context.settings.txnOps));
   }
 }
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -1,7 +1,7 @@
 /**
- * This node's replica of the stored state: decoded records, kept up to date by the changes that the watcher reads.
+ * This node's replica of the stored state: decoded records, updated with the changes that the watcher reads.
  *
- * Every node has one, and derives from it what users are told of a job.
+ * Every node has a replica, and answers users' queries about jobs from it.
  */
 
 import { assertNever } from "../assert-never.js";
@@ -30,13 +30,13 @@
   type Versioned,
 } from "./stored-values.js";
 
-/** What a batch of changes touched, so that the leader need not visit every job. */
+/** Summary of a batch of applied changes, so that the leader need not visit every job. */
 export interface ReplicaChange {
-  /** Names of the jobs of which any key changed. */
+  /** Names of the jobs with any changed key. */
   readonly jobs: Set<string>;
-  /** The leader or the epoch changed. */
+  /** Whether the leader or the epoch changed. */
   leadership: boolean;
-  /** Submissions and cancellations among the changes. */
+  /** Number of submissions and cancellations among the changes. */
   userRequests: number;
 }
 
@@ -52,22 +52,22 @@
 export class StateReplica {
   readonly activeJobs = new Map<string, Versioned<JobRecord>>();
   readonly finalRecords = new Map<string, FinalRecord>();
-  /** Cancellations of jobs whose end is not stored yet. */
+  /** Cancellations of jobs whose final record is not stored yet. */
   readonly cancellations = new Map<string, CancellationRecord>();
   readonly machineShards = new Map<number, Versioned<StoredMachineShard>>();
   leader: Versioned<LeaderRecord> | null = null;
   epoch = NO_EPOCH;
   machineTypes: readonly MachineType[] | null = null;
   machineTypesModRevision = 0;
-  /** Revision of the store up to which every change is applied. */
+  /** Revision of the store up to which all changes are applied. */
   revision = -1;
 
   private readonly shards = new Map<string, Map<number, Versioned<JobShardRecord>>>();
-  /** Tasks done and placed, counted once for each stored value: users ask far more often than it changes. */
+  /** Task counts cached per stored value, because values are queried far more often than they change. */
   private readonly taskCounts = new WeakMap<object, TaskCounts>();
   private readonly dependencies = new DependencyIndex(this.activeJobs, this.finalRecords);
 
-  /** Starts afresh from a full read. `revision`: that of the store before the first page. */
+  /** Replaces the content with a full read. `revision` is that of the store before the first page was read. */
   reset(items: readonly KeyValueItem[], revision: number): void {
     this.activeJobs.clear();
     this.finalRecords.clear();
@@ -84,7 +84,7 @@
     this.revision = revision;
   }
 
-  /** Applies watched changes; those that are applied already are skipped. */
+  /** Applies watched changes, and skips those that are already applied. */
   apply(events: readonly ChangeEvent[], revision: number): ReplicaChange {
     const change: ReplicaChange = { jobs: new Set(), leadership: false, userRequests: 0 };
     for (const event of events) {
@@ -93,7 +93,7 @@
       if (key === null) continue;
       if (event.removed) this.remove(key);
       else this.put(key, event.value, event.modRevision);
-      this.noteChange(change, key, event.removed);
+      this.recordChange(change, key, event.removed);
     }
     if (revision > this.revision) this.revision = revision;
     return change;
@@ -104,7 +104,7 @@
     return this.dependencies.dependentsOf(id);
   }
 
-  /** The outcome of a job, as an event for its dependents; null: it has none, as far as is stored. */
+  /** The outcome of a job, as an event for its dependents, or null if none is stored yet. */
   outcomeOf(id: string): "done" | "failed" | null {
     return this.dependencies.outcomeOf(id);
   }
@@ -115,13 +115,14 @@
   }
 
   /**
-   * What a user is told of a job, or null if no such job was ever accepted.
+   * The state of a job as reported to users, or null if no such job was ever accepted.
    *
-   * The one place that decides when a cancellation is confirmed, whichever node is asked and however (cancellation,
-   * query, repeated submission): with the stored end, and the leader stores that when no task can be on a machine or
-   * start any more. So a node that answers a worker heartbeat need not know of a confirmed cancellation, however stale
-   * its replica is: there is nothing left to keep alive. (Confirmed earlier, it bound a leader that the key-value store
-   * refused, which could not know of it, and whose answers kept the tasks for longer than `cancel_s`.)
+   * Only this method decides when a cancellation is confirmed to a user, for every node and every kind of request
+   * (cancellation, query, repeated submission). It is confirmed once the final record is stored, and the leader
+   * stores that only when no task of the job can be on a machine or start any more. A node that answers worker
+   * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When cancellations
+   * were confirmed earlier, a leader that the key-value store refused could not know of them, and its answers to
+   * heartbeats kept the cancelled tasks running for longer than `cancel_s`.)
    */
   view(id: string): JobView | null {
     const final = this.finalRecords.get(id);
@@ -204,7 +205,7 @@
     }
   }
 
-  private noteChange(change: ReplicaChange, key: StoredKey, removed: boolean): void {
+  private recordChange(change: ReplicaChange, key: StoredKey, removed: boolean): void {
     switch (key.kind) {
       case "activeJob":
         change.jobs.add(key.id);
@@ -260,7 +261,7 @@
 
   private putFinalRecord(id: string, final: FinalRecord): void {
     this.finalRecords.set(id, final);
-    if (final.outcome === "cancelled") this.dependencies.failDependents(id);
+    if (final.outcome === "cancelled") this.dependencies.propagateFailure(id);
   }
 
   private countTasks(stored: Versioned<JobRecord | JobShardRecord>): TaskCounts {
--- a/src/core/state/stored-placements.ts
+++ b/src/core/state/stored-placements.ts
@@ -1,18 +1,18 @@
-/** Codec of a job's placements: see `StoredPlacements`. */
+/** Codec of a job's placements. `StoredPlacements` describes the format. */
 import type { Placement } from "../dispatch/placement.js";
 import { TaskRanges } from "../jobs/task-ranges.js";
 import type { StoredPlacements } from "./stored-values.js";
 
-/** Tasks of one attempt on one machine. */
+/** The tasks of one attempt on one machine. */
 export interface PlacementRanges {
   readonly machine: string;
   readonly incarnation: number;
   readonly attempt: number;
-  /** Ranges of task numbers, relative to the first task of the value. */
+  /** Ranges of task numbers, relative to the first task of the stored value. */
   readonly tasks: string;
 }
 
-/** Each machine in stored placements, with the ranges of tasks on it. */
+/** Iterates over the machines in stored placements, with the ranges of the tasks on each. */
 export function* storedPlacementRanges(
   stored: readonly StoredPlacements[],
 ): Generator<PlacementRanges> {
@@ -31,7 +31,10 @@
   readonly tasksByMachine: Map<string, number[]>;
 }
 
-/** Attempt and incarnation are stored once for all machines; tasks by their number less `firstTask`. */
+/**
+ * Encodes placements, grouped by attempt and incarnation so that these are stored once for many machines. Task
+ * numbers are relative to `firstTask`.
+ */
 export function encodePlacements(
   placements: Iterable<Placement>,
   firstTask: number,
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -1,24 +1,24 @@
 /**
- * The forms in which the cluster's state is stored: keys, values, and the codec of each value.
+ * The stored format of the cluster's state: keys, values, and the codec of each value.
  *
  * | key           | value                | content                                                                |
  * | ------------- | -------------------- | ---------------------------------------------------------------------- |
  * | `p/<id>`      | `StoredJob`          | an active job                                                          |
- * | `q/<id>/<n>`  | `StoredShard`        | shard n of a large active job: its tasks under way                     |
- * | `d/<id>`      | `StoredFinal`        | how a job ended; never deleted                                         |
- * | `x/<id>`      | `StoredCancellation` | a user's cancellation of a job whose end is not stored yet             |
+ * | `q/<id>/<n>`  | `StoredShard`        | shard n of a large active job: its placements and done tasks           |
+ * | `d/<id>`      | `StoredFinal`        | the final record of a job; never deleted                               |
+ * | `x/<id>`      | `StoredCancellation` | a user's cancellation of a job whose final record is not stored yet    |
  * | `g/<n>`       | `StoredMachineShard` | machines that may run tasks, many in one value                         |
  * | `lead`        | `StoredLeader`       | the leader; attached to its lease                                      |
- * | `epoch`       | `StoredEpoch`        | the count of terms, which is the workers' fencing token as well        |
- * | `types`       | `MachineType[]`      | the machine types, for a start while the cloud API is down             |
+ * | `epoch`       | `StoredEpoch`        | the epoch, raised with each term; also the workers' fencing token      |
+ * | `types`       | `MachineType[]`      | the machine types, for a controller start while the cloud API is down  |
  *
- * Stored field names are short because a value is limited to few KiB, and fixed because other versions read them. They
- * are read and written in this module alone; the rest of the code sees the records with named fields. (Keys below `a/`
- * belong to admission.)
+ * Stored field names are short because the size of a value is limited to a few KiB, and must not change because other
+ * versions of the software read them. Only this module reads and writes them; all other modules use the records with
+ * descriptive field names. (Keys that start with `a/` belong to admission.)
  */
 import type { JobSpec } from "../model/jobs.js";
 
-/** Keys of the cluster's state; the table above tells what they hold. */
+/** Keys of the cluster's state. The table above describes their values. */
 export const KEY = {
   activeJob: (id: string) => `p/${id}`,
   jobShard: (id: string, index: number) => `q/${id}/${index}`,
@@ -30,7 +30,7 @@
   machineTypes: "types",
 } as const;
 
-/** A key of the cluster's state, parsed. */
+/** A parsed key of the cluster's state. */
 export type StoredKey =
   | { readonly kind: "activeJob"; readonly id: string }
   | { readonly kind: "jobShard"; readonly id: string; readonly index: number }
@@ -45,7 +45,10 @@
 const EPOCH_KEY: StoredKey = { kind: "epoch" };
 const MACHINE_TYPES_KEY: StoredKey = { kind: "machineTypes" };
 
-/** Null: the key belongs to another part of the software. Every node parses each changed key, so this is kept cheap. */
+/**
+ * Parses a key; null if it belongs to another part of the software, such as admission. Every node parses each changed
+ * key, so this must be cheap.
+ */
 export function parseKey(key: string): StoredKey | null {
   if (key[1] !== "/") return parseSingletonKey(key);
   const name = key.slice(2);
@@ -90,8 +93,9 @@
 }
 
 /**
- * Placements that may exist: for each attempt and incarnation, machine names alternating with the ranges of the tasks
- * on them (`0-5,7`). Many machines share one attempt, and a value holds few KiB.
+ * Placements whose tasks may be on a machine: for each attempt and incarnation, a list that alternates machine names
+ * and the ranges of the tasks on them (`0-5,7`). Many machines share one attempt, so grouping by attempt saves space
+ * in a value, which is limited to a few KiB.
  */
 export type StoredPlacements = readonly [
   attempt: number,
@@ -119,22 +123,22 @@
   readonly submittedAtMs: number;
   /** Residuals of the job's dependencies. */
   readonly residuals: readonly string[];
-  /** Counts the changes of this job. */
+  /** Number of changes of this job so far. */
   readonly version: number;
   readonly nextAttempt: number;
-  /** Epoch of the leader that owns the job; 0 before its start is accepted. */
+  /** Epoch of the leader that accepted the job's start; 0 before that. */
   readonly ownerEpoch: number;
-  /** Ranges of the tasks that are done; of a sharded job those of terminal shards. */
+  /** Ranges of the done tasks. For a sharded job, only the tasks of terminal shards. */
   readonly doneTasks: string;
   readonly placements: readonly StoredPlacements[];
-  /** Tasks in each shard of a job that is too large for one value; null: it is stored in one value. */
+  /** Number of tasks in each shard of a sharded job; null if the job is stored in one value. */
   readonly shardSize: number | null;
 }
 
-/** Version of a job as its submission stores it. */
+/** Version of a job in the value that its submission stores. */
 export const SUBMITTED_VERSION = 1;
 
-/** Bytes count against the store's limit on a value, so the field that most jobs lack is left out. */
+/** Encodes a job record. The shard size, which most jobs lack, is omitted to save bytes of the limited value. */
 export function encodeJobRecord(job: JobRecord): StoredJob {
   const value: StoredJob = {
     j: job.spec,
@@ -149,7 +153,7 @@
   return job.shardSize === null ? value : { ...value, c: job.shardSize };
 }
 
-/** A stored job, read with named fields. */
+/** Decodes a stored job. */
 export function decodeJobRecord(value: unknown): JobRecord {
   const stored = value as StoredJob;
   return {
@@ -165,7 +169,7 @@
   };
 }
 
-/** The job that a value of its key submits; null: it is a later change of the job. */
+/** The job spec if the value is that of a submission; null if it is a later change of the job. */
 export function decodeSubmission(value: unknown): JobSpec | null {
   const stored = value as StoredJob;
   return stored.v === SUBMITTED_VERSION ? stored.j : null;
@@ -178,16 +182,16 @@
   readonly pl: readonly StoredPlacements[];
 }
 
-/** Some tasks of a large job; task numbers are relative to the shard's first. */
+/** One shard of a large job. Task numbers are relative to the shard's first task. */
 export interface JobShardRecord {
-  /** The job's version as of this value. */
+  /** Version of the job when this value was written. */
   readonly version: number;
   readonly nextAttempt: number;
   readonly doneTasks: string;
   readonly placements: readonly StoredPlacements[];
 }
 
-/** A shard of a job, as it is stored. */
+/** Encodes a shard of a job. */
 export function encodeJobShardRecord(shard: JobShardRecord): StoredShard {
   return {
     v: shard.version,
@@ -197,7 +201,7 @@
   };
 }
 
-/** A stored shard of a job, read with named fields. */
+/** Decodes a stored shard of a job. */
 export function decodeJobShardRecord(value: unknown): JobShardRecord {
   const stored = value as StoredShard;
   return {
@@ -213,18 +217,18 @@
   readonly n: number;
 }
 
-/** The end of a job. */
+/** The final outcome of a job. */
 export interface FinalRecord {
   readonly outcome: "done" | "cancelled";
   readonly tasks: number;
 }
 
-/** A final record, as it is stored. */
+/** Encodes a final record. */
 export function encodeFinalRecord({ outcome, tasks }: FinalRecord): StoredFinal {
   return { s: outcome, n: tasks };
 }
 
-/** A stored final record, read with named fields. */
+/** Decodes a stored final record. */
 export function decodeFinalRecord(value: unknown): FinalRecord {
   const stored = value as StoredFinal;
   return { outcome: stored.s, tasks: stored.n };
@@ -238,23 +242,24 @@
 /** A user's cancellation, as stored. */
 export interface CancellationRecord {
   /**
-   * Users may be told at once. False in all that is written now: a cancellation is confirmed when the end is stored,
-   * which is when every task has provably ended. Earlier versions wrote true.
+   * Whether the cancellation counts as confirmed before the final record is stored. Always false in newly written
+   * records: a cancellation is confirmed once the final record is stored, after every task has provably ended.
+   * Earlier versions of the software wrote true.
    */
   readonly confirmedAtOnce: boolean;
 }
 
-/** `requestedAtMs`: time of day of the user's request. */
+/** Encodes a cancellation. `requestedAtMs` is the time of day of the user's request. */
 export function encodeCancellation(requestedAtMs: number): StoredCancellation {
   return { at: requestedAtMs, told: false };
 }
 
-/** A stored cancellation, read with named fields. */
+/** Decodes a stored cancellation. */
 export function decodeCancellation(value: unknown): CancellationRecord {
   return { confirmedAtOnce: (value as StoredCancellation).told !== false };
 }
 
-/** A machine, as stored in a machine-record shard. */
+/** A machine as stored in a machine-record shard. */
 export type StoredMachine = readonly [address: string, type: string, zone: string, spot: boolean];
 
 /** Machine records by machine name. */
@@ -267,22 +272,25 @@
   readonly at: number;
 }
 
-/** Who leads, as stored. */
+/** The current leader, as stored. */
 export interface LeaderRecord {
   readonly member: string;
   readonly epoch: number;
   readonly leaseId: number;
-  /** Time of day at which leadership was acquired, in milliseconds; clocks agree within a known bound. */
+  /**
+   * Time of day at which leadership was acquired, in milliseconds. Other nodes may compare it with their own time of
+   * day, since their clocks agree within a known bound.
+   */
   readonly acquiredAtMs: number;
 }
 
-/** The leader, as it is stored. */
+/** Encodes the leader record. */
 export function encodeLeader(leader: LeaderRecord): StoredLeader {
   const { member, epoch, leaseId, acquiredAtMs } = leader;
   return { member, epoch, lease: leaseId, at: acquiredAtMs };
 }
 
-/** The stored leader, read with named fields. */
+/** Decodes the stored leader record. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const { member, epoch, lease, at } = value as StoredLeader;
   return { member, epoch, leaseId: lease, acquiredAtMs: at };
@@ -292,12 +300,12 @@
   readonly n: number;
 }
 
-/** The epoch, as it is stored. */
+/** Encodes the epoch. */
 export function encodeEpoch(epoch: number): StoredEpoch {
   return { n: epoch };
 }
 
-/** The stored epoch. */
+/** Decodes the stored epoch. */
 export function decodeEpoch(value: unknown): number {
   return (value as StoredEpoch).n;
 }
--- a/src/core/state/transaction-results.ts
+++ b/src/core/state/transaction-results.ts
@@ -1,4 +1,4 @@
-/** What the end of a transaction says about what is stored. */
+/** Applies the outcome of the leader's transactions to the leader's in-memory state. */
 
 import { assertNever } from "../assert-never.js";
 import type { MachinePool } from "../capacity/machine-pool.js";
@@ -11,7 +11,7 @@
 import type { StateReplica } from "./state-replica.js";
 import { type LeaderTransaction, largestValueBytes } from "./write-composer.js";
 
-/** Parts of the leader that the end of a transaction concerns. */
+/** Parts of the leader that the outcome of a transaction affects. */
 export interface TransactionResultTargets {
   readonly context: LeaderContext;
   readonly dispatcher: CommandDispatcher;
@@ -19,7 +19,7 @@
   readonly jobLifecycle: JobLifecycle;
 }
 
-/** Applies the results of the leader's transactions to its view. */
+/** Updates the leader's in-memory state when a transaction has ended. */
 export class TransactionResults {
   private readonly context: LeaderContext;
   private readonly dispatcher: CommandDispatcher;
@@ -33,7 +33,7 @@
     this.jobLifecycle = targets.jobLifecycle;
   }
 
-  /** A transaction ended; see `Scheduler.transactionEnded`. */
+  /** Applies the outcome of a transaction. `Scheduler.transactionEnded` states what its caller must do before. */
   apply(
     transaction: LeaderTransaction,
     outcome: TransactionOutcome,
@@ -67,7 +67,9 @@
     }
   }
 
-  /** Whatever became of the transaction, the replica, which was read after it, tells what is stored. */
+  /**
+   * Adopts the stored state from the replica, which was read after the transaction and so shows its actual outcome.
+   */
   private reconcile(transaction: LeaderTransaction, replica: StateReplica, now: number): void {
     this.machinePool.recordShards.refreshModRevisions(replica);
     for (const { job } of transaction.jobWrites) {
@@ -96,11 +98,11 @@
     const machine = this.context.cluster.machines.get(name);
     if (machine === undefined || machine.isPersisted) return;
     machine.isPersisted = true;
-    shard.unpersistedMachines--;
+    shard.unpersistedMachineCount--;
     this.context.cycleRequested = true;
   }
 
-  /** Starts that waited for this transaction go out. */
+  /** Sends the starts that waited for this transaction. */
   private sendPersistedStarts(transaction: LeaderTransaction, now: number): void {
     const machines = new Set<Machine>();
     for (const { job } of transaction.jobWrites) {
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -1,33 +1,34 @@
 /**
- * The largest value that the state service accepts, as far as its answers tell.
+ * Tracks the size of the largest value that the key-value store accepts.
  *
- * The settings give the limits now in force and those to come. If a single value is refused although it keeps
- * to them, values are planned smaller from then on, and none as large is sent again for a while.
+ * The settings give the limits that are in force now, and future ones. If a single value is refused although it is
+ * within them, values are planned to be smaller from then on, and no value of that size or more is sent until a retry
+ * interval has passed.
  */
 
-/** Values are planned to be no larger than this share of the smallest one that was refused. */
+/** Planned size of values, as a share of the smallest value that was refused. */
 const PLANNED_SHARE_OF_REFUSED = 0.7;
 
-/** Learns from refusals which values may be sent, and how large they are planned to be. */
+/** Determines from refusals which values may be sent, and how large values are planned to be. */
 export class ValueSizeLimit {
   private refusedBytes = Number.POSITIVE_INFINITY;
   private retryAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * `knownBytes`: the smaller of the limits that the settings give.
-   * `retryS`: seconds after which a value as large as a refused one is tried again.
+   * `knownBytes` is the smaller of the present and the future limit in the settings. `retryS` is the time in seconds
+   * after which a value as large as a refused one is tried again.
    */
   constructor(
     private readonly knownBytes: number,
     private readonly retryS: number,
   ) {}
 
-  /** Size in bytes that planned values must fit, however the tasks in them end. */
+  /** Size in bytes that planned values must not exceed, in whichever order their tasks end. */
   get plannedBytes(): number {
     return Math.min(this.knownBytes, PLANNED_SHARE_OF_REFUSED * this.refusedBytes);
   }
 
-  /** A value that kept to the known limits was refused. */
+  /** Whether a value within the known limits was refused, and none of that size was accepted since. */
   get isReduced(): boolean {
     return this.refusedBytes < Number.POSITIVE_INFINITY;
   }
@@ -37,13 +38,13 @@
     return bytes < this.refusedBytes || now >= this.retryAt;
   }
 
-  /** A value of this size was refused, alone in its transaction. */
+  /** Records that a value of this size was refused as the only value of its transaction. */
   recordRefused(bytes: number, now: number): void {
     this.refusedBytes = Math.min(this.refusedBytes, bytes);
     this.retryAt = now + this.retryS;
   }
 
-  /** `bytes`: the largest value of a transaction that was committed. */
+  /** Records a committed transaction. `bytes` is the size of its largest value. */
   recordAccepted(bytes: number): void {
     if (bytes >= this.refusedBytes) this.refusedBytes = Number.POSITIVE_INFINITY;
   }
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -1,45 +1,51 @@
 /**
- * How many changes a second the leader may write: most of what the other controllers leave, as seen from
- * what they store for users, and two fifths of the limit at the least. After the state service refused a
- * write for its rate, the leader keeps to two thirds for a while. (With two thirds always, the placements of
- * a new leader and thousands of tiny jobs waited for writes beside an idle state service; and where many
- * submissions came at once, these were refused for the leader's sake.)
+ * Limits how many changes per second the leader writes. It may use most of the capacity that the other controllers
+ * leave, estimated from the submissions and cancellations that they store, and always at least 2/5 of the limit. For
+ * a while after the key-value store refused a write because of its rate, the leader uses at most 2/3 of the limit.
+ *
+ * A fixed share of 2/3 failed in two ways: the placements of a new leader, or of thousands of tiny jobs, waited
+ * although the store was idle; and when many submissions arrived at the same time, they were refused because of the
+ * leader's writes.
  */
 
-/** The leader's largest share of the limit after a refusal. */
+/** Largest share of the limit that the leader uses after a refusal. */
 export const LEADER_SHARE_AFTER_REFUSAL = 2 / 3;
 const MIN_LEADER_SHARE = 0.4;
-/** The rest covers changes of others that are not seen yet, as a submission must not wait. */
+/** The rest is reserved for changes of other nodes that are not seen yet, since submissions must not wait. */
 const MAX_LEADER_SHARE = 0.85;
-/** The others' changes may grow by half before that is seen. */
+/** Allows for growth of the other nodes' changes by half before the leader sees it. */
 const OTHERS_HEADROOM_FACTOR = 1.5;
-/** Seconds over which the others' changes are averaged; the limit's burst covers as many seconds. */
+/**
+ * Time over which the other nodes' changes are averaged. The rate limit's burst covers the same number of seconds.
+ */
 const AVERAGING_WINDOW_S = 2;
 const REFUSAL_COOLDOWN_S = 5;
 
-/** The leader's rate of changes, by what the other nodes are seen to write. */
+/** Computes the leader's rate of changes from the observed changes of the other nodes. */
 export class WriteBudget {
   private othersChangesPerS = 0;
-  private unaveragedChanges = 0;
+  private changesSinceAverage = 0;
   private averagedAt = Number.NEGATIVE_INFINITY;
   private refusedAt = Number.NEGATIVE_INFINITY;
 
-  /** `limitPerS`: changes a second that the state service accepts from all controllers together. */
+  /**
+   * `limitPerS` is the number of changes per second that the key-value store accepts from all controllers together.
+   */
   constructor(private readonly limitPerS: number) {}
 
-  /** So many submissions and cancellations were stored, by whichever controller. */
+  /** Records the number of submissions and cancellations that were stored, by any controller. */
   recordRequestChanges(changes: number): void {
-    this.unaveragedChanges += changes;
+    this.changesSinceAverage += changes;
   }
 
-  /** The state service refused a write for its rate. */
+  /** Records that the key-value store refused a write because of its rate. */
   recordRefusal(now: number): void {
     this.refusedAt = now;
   }
 
-  /** Changes a second that the leader may write now. */
+  /** Number of changes per second that the leader may write now. */
   leaderChangesPerS(now: number): number {
-    this.averageOthersChanges(now);
+    this.updateOthersAverage(now);
     const wasRefusedLately = now - this.refusedAt < REFUSAL_COOLDOWN_S;
     const maxShare = wasRefusedLately ? LEADER_SHARE_AFTER_REFUSAL : MAX_LEADER_SHARE;
     const leftPerS =
@@ -48,13 +54,13 @@
     return Math.max(MIN_LEADER_SHARE * this.limitPerS, allowedPerS);
   }
 
-  private averageOthersChanges(now: number): void {
+  private updateOthersAverage(now: number): void {
     const elapsedS = Math.min(AVERAGING_WINDOW_S, now - this.averagedAt);
     if (elapsedS <= 0) return;
     const weight = elapsedS / AVERAGING_WINDOW_S;
     this.othersChangesPerS =
-      (1 - weight) * this.othersChangesPerS + weight * (this.unaveragedChanges / elapsedS);
-    this.unaveragedChanges = 0;
+      (1 - weight) * this.othersChangesPerS + weight * (this.changesSinceAverage / elapsedS);
+    this.changesSinceAverage = 0;
     this.averagedAt = now;
   }
 }
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -1,4 +1,4 @@
-/** What goes into the next transaction of the leader, and in which order. */
+/** Composes the leader's next transaction: which changes it contains, and in which order. */
 
 import { assertNever } from "../assert-never.js";
 import type { Cluster } from "../cluster.js";
@@ -18,38 +18,38 @@
 import type { MachineRecordShard, MachineRecordShards } from "./machine-record-shards.js";
 import { KEY } from "./stored-values.js";
 
-/** Bytes of a transaction beside its changes, and of each job and each machine-record shard beside its values. */
+/** Bytes of a transaction in addition to its changes, and of each job and machine-record shard besides its values. */
 const TRANSACTION_OVERHEAD_BYTES = 200;
 const JOB_OVERHEAD_BYTES = 400;
 const MACHINE_SHARD_OVERHEAD_BYTES = 300;
 
-/** By how many priorities work within a guarantee goes before other work. */
+/** Number of priority steps by which jobs within their team's guarantee are written before other jobs. */
 const GUARANTEE_PRIORITY_STEPS = 2;
 
-/** What a transaction writes of a job. */
+/** The part of a transaction that writes one job. */
 export interface JobWrite {
   readonly job: ActiveJob;
-  /** Version of the job that is stored with it; null: the job's final record is. */
+  /** Version of the job that the transaction stores; null if it stores the job's final record. */
   readonly version: number | null;
   readonly shards: readonly JobShard[];
-  /** Terminal shards, whose values are deleted. */
+  /** Terminal shards, whose keys are deleted. */
   readonly closedShards: readonly JobShard[];
 }
 
-/** A machine-record shard in a transaction, with the version that becomes the stored one. */
+/** A machine-record shard in a transaction, with the version that is stored if the transaction is committed. */
 export interface MachineShardWrite {
   readonly shard: MachineRecordShard;
   readonly version: number;
   readonly names: readonly string[];
 }
 
-/** A transaction of the leader: what is sent, and what its commit makes persisted. */
+/** A transaction of the leader: the content to send, and the writes that a commit makes persistent. */
 export interface LeaderTransaction {
   readonly preconditions: Precondition[];
   readonly changes: Change[];
   readonly jobWrites: JobWrite[];
   readonly machineShardWrites: MachineShardWrite[];
-  /** Changes by their purpose. */
+  /** Number of changes by purpose. */
   readonly counts: { machines: number; placements: number; ends: number; progress: number };
 }
 
@@ -57,17 +57,20 @@
 export interface TransactionLimits extends JobChangeLimits {
   readonly maxChanges: number;
   readonly maxBytes: number;
-  /** Seconds by which a placement of one priority goes before one of the next. */
+  /** Seconds of waiting time that outweigh one step of priority between two placements. */
   readonly priorityStepS: number;
 }
 
-/** A transaction while it is composed, with its size so far. */
+/** A transaction that is being composed, with its size so far. */
 interface Draft {
   readonly transaction: LeaderTransaction;
   bytes: number;
 }
 
-/** The next transaction of the leader with this stored epoch; null: there is nothing to write. */
+/**
+ * Composes the leader's next transaction, which requires this mod revision of the epoch's key. Returns null if there
+ * is nothing to write.
+ */
 export function composeTransaction(
   cluster: Cluster,
   machineShards: MachineRecordShards,
@@ -87,17 +90,17 @@
   return transaction.changes.length === 0 ? null : transaction;
 }
 
-/** Machine records take half of the transaction at the most. */
+/** Adds machine-record shards, which may take at most half of the transaction's bytes. */
 function addMachineShards(
   draft: Draft,
   machineShards: MachineRecordShards,
   limits: TransactionLimits,
 ): void {
   const { preconditions, changes, machineShardWrites, counts } = draft.transaction;
-  for (const shard of machineShards.unpersisted()) {
+  for (const shard of machineShards.shardsToWrite()) {
     if (!limits.maySendValue(shard.bytes)) continue;
     if (changes.length + 1 > limits.maxChanges) return;
-    if (limits.urgentOnly && shard.unpersistedMachines === 0) return;
+    if (limits.urgentOnly && shard.unpersistedMachineCount === 0) return;
     const bytes = draft.bytes + shard.bytes + MACHINE_SHARD_OVERHEAD_BYTES;
     if (bytes > limits.maxBytes / 2) return;
     draft.bytes = bytes;
@@ -121,7 +124,7 @@
       case "nothing":
         break;
       case "does not fit":
-        // A resharded job may need more changes than are left: the others need not wait for it.
+        // A resharded job may need more changes than are left. It is skipped, so that other jobs do not wait for it.
         if (job.resharded === null) return;
         break;
       case "changes":
@@ -133,7 +136,10 @@
   }
 }
 
-/** False: they exceed the bytes of a transaction. The first change always fits. */
+/**
+ * Adds a job's changes to the draft. Returns false if they exceed the bytes of a transaction. The first changes are
+ * always added.
+ */
 function addJobChanges(
   draft: Draft,
   job: ActiveJob,
@@ -171,7 +177,8 @@
   return largest;
 }
 
-const WRITE_LEVEL = {
+/** Classes of writes. A lower class is written first. */
+const WRITE_CLASS = {
   resharding: -1,
   productionPlacement: 0,
   end: 1,
@@ -179,23 +186,25 @@
   progress: 3,
 } as const;
 
-function writeLevel(job: ActiveJob): number {
-  if (job.resharded !== null) return WRITE_LEVEL.resharding;
-  if (isTerminal(job)) return WRITE_LEVEL.end;
-  if (!job.hasUnpersistedPlacement) return WRITE_LEVEL.progress;
-  if (job.spec.priority === "production") return WRITE_LEVEL.productionPlacement;
-  return WRITE_LEVEL.placement;
+function writeClass(job: ActiveJob): number {
+  if (job.resharded !== null) return WRITE_CLASS.resharding;
+  if (isTerminal(job)) return WRITE_CLASS.end;
+  if (!job.hasUnpersistedPlacement) return WRITE_CLASS.progress;
+  if (job.spec.priority === "production") return WRITE_CLASS.productionPlacement;
+  return WRITE_CLASS.placement;
 }
 
 /**
- * Jobs that are being resharded first; then production placements, then ends, since users wait for them and they are few; then other placements, of which a
- * busy day has more than can be written; then progress. (With ends after all placements, on a rough day 299 jobs were
- * done and 25 users told.)
+ * Jobs with changes, in the order in which they are written: first jobs that are being resharded; then production
+ * placements; then ends, because users wait for them and they are few; then other placements, of which there can be
+ * more than can be written under high load; then progress. (With ends after all placements, on a day with many faults
+ * 299 jobs were done, and 25 users had been told.)
  *
- * Among the other placements a higher priority goes before what has waited a little longer, and not before all: in a
- * backlog of urgent gangs, placements of the first steps of pipelines were stored after 30 to 153 s. What is within its
- * team's guarantee is that much ahead again. (By priority alone, in such a backlog 0.66 of the work within a guarantee
- * started in time, and 0.78 with the strict order.)
+ * Within a class, jobs are ordered by waiting time, and each step of priority counts as `priorityStepS` seconds of
+ * it. Priority is not absolute, because in a backlog of urgent gangs the placements of the first steps of pipelines
+ * were then stored only after 30 to 153 s. A job within its team's guarantee is ahead by `GUARANTEE_PRIORITY_STEPS`
+ * more steps. (Without these steps, 0.66 of the work within a guarantee started in time in such a backlog; when
+ * priority was absolute, 0.78 did.)
  */
 function writeOrder(cluster: Cluster, priorityStepS: number): ActiveJob[] {
   const dueAt = (job: ActiveJob): number => {
@@ -204,7 +213,7 @@
   };
   const pending: { job: ActiveJob; level: number }[] = [];
   for (const job of cluster.jobs.values()) {
-    if (hasChanges(job)) pending.push({ job, level: writeLevel(job) });
+    if (hasChanges(job)) pending.push({ job, level: writeClass(job) });
   }
   pending.sort((a, b) => a.level - b.level || dueAt(a.job) - dueAt(b.job));
   return pending.map(({ job }) => job);
@@ -212,7 +221,7 @@
 
 const hasChanges = (job: ActiveJob): boolean => job.isUnpersisted || isTerminal(job);
 
-/** Changes that must go into one transaction, at the least. */
+/** Smallest number of changes that a transaction must be able to take, so that every resharded job fits one. */
 export function minimumTransactionChanges(cluster: Cluster): number {
   let minimum = 1;
   for (const job of cluster.jobs.values()) {
@@ -221,7 +230,7 @@
   return minimum;
 }
 
-/** There may be something for a transaction, whether or not it is urgent. */
+/** Whether there may be something to write, urgent or not. */
 export function hasPendingWrite(cluster: Cluster, machineShards: MachineRecordShards): boolean {
   for (const job of cluster.jobs.values()) {
     if (hasChanges(job)) return true;
