--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -211,11 +211,11 @@
     const steps = job.effectiveRank + (isGuaranteed(job.precedence) ? 0 : GUARANTEE_PRIORITY_STEPS);
     return (job.unpersistedSince ?? 0) + steps * priorityStepS;
   };
-  const pending: { job: ActiveJob; level: number }[] = [];
+  const pending: { job: ActiveJob; writeClass: number }[] = [];
   for (const job of cluster.jobs.values()) {
-    if (hasChanges(job)) pending.push({ job, level: writeClass(job) });
+    if (hasChanges(job)) pending.push({ job, writeClass: writeClass(job) });
   }
-  pending.sort((a, b) => a.level - b.level || dueAt(a.job) - dueAt(b.job));
+  pending.sort((a, b) => a.writeClass - b.writeClass || dueAt(a.job) - dueAt(b.job));
   return pending.map(({ job }) => job);
 }
 
