--- a/src/core/assert-never.ts
+++ b/src/core/assert-never.ts
@@ -1,6 +1,6 @@
 /** Exhaustiveness check for discriminated unions. */
 
-/** Thrown when a value reaches a branch that the type system holds impossible. */
+/** Thrown when a value reaches a branch that is unreachable according to its type. */
 export class UnreachableCaseError extends Error {
   readonly code = "ERR_UNREACHABLE_CASE";
 
@@ -10,7 +10,7 @@
   }
 }
 
-/** The default branch of an exhaustive switch: does not compile while a case is missing. */
+/** For the default branch of an exhaustive switch: a missing case is a compile error. */
 export function assertNever(value: never): never {
   throw new UnreachableCaseError(value);
 }
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -1,4 +1,4 @@
-/** The leader's view of all machines and jobs, and what each team uses. Bookkeeping only. */
+/** The leader's in-memory view of all machines and jobs, with each team's usage. Contains no scheduling decisions. */
 
 import type { Placement } from "./dispatch/placement.js";
 import type { ActiveJob } from "./jobs/active-job.js";
@@ -9,23 +9,26 @@
 import type { MachineType } from "./model/machines.js";
 import type { Team } from "./model/settings.js";
 
-/** CPUs and GPUs that a team's tasks take; those whose end is not proven count. */
+/** CPUs and GPUs in use by a team's tasks, including tasks whose termination is not proven yet. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 
-/** The leader's view of all machines and active jobs, with the usage of each team. */
+/** All machines and active jobs known to the leader, with the usage of each team. */
 export class Cluster {
   /** Active jobs, by id. */
   readonly jobs = new Map<string, ActiveJob>();
-  /** By name. */
+  /** Machines, by name. */
   readonly machines = new Map<string, Machine>();
-  /** By team. */
+  /** Usage, by team name. */
   readonly usage = new Map<string, TeamUsage>();
-  /** By name. */
+  /** Teams, by name. */
   readonly teams = new Map<string, Team>();
-  /** By class of jobs: a starving job of it has just gone first, and until then other classes do. */
+  /**
+   * By job class: time until which its jobs cannot count as starving, because a starving job of the class was placed
+   * recently. Until then other jobs have a share of the capacity.
+   */
   readonly classCooldownUntil = new Map<string, number>();
   readonly gangStarts = new GangStarts();
 
@@ -42,7 +45,7 @@
     return usage;
   }
 
-  /** How many more tasks of this job the team's quota allows. */
+  /** Number of further tasks of the job that the team's quota allows. */
   quotaSlots(spec: JobSpec): number {
     const team = this.teams.get(spec.team);
     if (team === undefined) return 0;
@@ -54,7 +57,7 @@
     return Math.max(0, slots);
   }
 
-  /** What is placed keeps the team's quota, as far as is known now. */
+  /** Whether all known placements of the team's tasks are within its quota. */
   isWithinLimit(teamName: string): boolean {
     const team = this.teams.get(teamName);
     if (team === undefined) return true;
@@ -65,7 +68,7 @@
     );
   }
 
-  /** The machine proved to be of another kind: what is placed on it counts where it is. */
+  /** Corrects the machine's type, zone and spot flag. Its placements count in the new zone from then on. */
   correctMachine(machine: Machine, type: MachineType, zone: string, spot: boolean): void {
     for (const { job } of machine.placements.values()) {
       job.zones.remove(machine.zone);
@@ -77,8 +80,8 @@
   }
 
   /**
-   * Books a placement on its machine and against its team's quota, where it counts until released. `unrecorded`: a
-   * worker reports an attempt that is not in the stored state.
+   * Adds a placement to its job and machine and counts it against its team's quota until it is released.
+   * `unrecorded`: a worker reports the attempt, but it is not in the stored state.
    */
   addPlacement(placement: Placement, unrecorded = false): void {
     const { job, machine, task, version } = placement;
@@ -99,7 +102,7 @@
     usage.gpus += gpus;
   }
 
-  /** The attempt is proven gone. */
+  /** Removes a placement and releases its resources. To be called once its attempt is proven to be terminated. */
   releasePlacement(placement: Placement, now: number): void {
     const { job, machine, task } = placement;
     if (!machine.placements.delete(placement.key)) return;
@@ -118,9 +121,9 @@
   }
 
   /**
-   * Ids of the jobs within their team's guarantee: those that fit it together with the team's earlier unfinished
-   * jobs. A guarantee of 0 promises nothing of that resource, and so cannot be exceeded in it, as long as the team is
-   * guaranteed anything at all.
+   * Ids of the jobs within their team's guarantee: those that fit it together with the team's unfinished jobs that
+   * were submitted earlier. A guarantee of 0 for one resource promises none of it, so it cannot be exceeded. If it is
+   * 0 for both CPUs and GPUs, none of the team's jobs are within the guarantee.
    */
   jobsWithinGuarantee(): Set<string> {
     const within = new Set<string>();
@@ -143,7 +146,7 @@
   }
 }
 
-/** How many more tasks that each take `amount` keep a limit; a limit of 0 is none. */
+/** Number of further tasks, each using `amount`, that fit within a limit. A limit of 0 means unlimited. */
 function slotsWithin(limit: number, used: number, amount: number): number {
   if (limit <= 0 || amount <= 0) return Number.MAX_SAFE_INTEGER;
   return Math.floor((limit - used + AMOUNT_TOLERANCE) / amount);
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,23 +1,23 @@
-/** What the leader's state machine asks for, and the results that it is given in return. */
+/** Effects that the leader's state machine requests, and the results that are passed back to it. */
 import type { WorkerCommand, WorkerHeartbeat } from "./model/workers.js";
 
-/** Something to be sent, asked of the cloud, done by the node, or logged. */
+/** A request to send something to a worker, call the cloud API, have the node act, or write a log line. */
 export type Effect =
-  /** A direct request with commands, or, without any, one that carries only the fencing token. */
+  /** A direct request with commands. With no commands, it only carries the fencing token. */
   | {
       readonly kind: "send";
       readonly machine: string;
       /** Address of the worker, host:port. */
       readonly address: string;
-      /** The worker's incarnation that the commands are for. */
+      /** Worker incarnation for which the commands are intended. */
       readonly incarnation: number;
       readonly commands: readonly WorkerCommand[];
     }
-  /** A direct request that only asks for the worker's heartbeat. */
+  /** A direct request that only asks the worker for a heartbeat. */
   | { readonly kind: "probe"; readonly machine: string; readonly address: string }
   | {
       readonly kind: "scale out";
-      /** Name of the request, which makes it idempotent; never used again. */
+      /** Name of the request, which makes it idempotent. Names are never reused. */
       readonly name: string;
       /** Name of the machine type. */
       readonly type: string;
@@ -27,7 +27,7 @@
     }
   | { readonly kind: "release machines"; readonly machines: readonly string[] }
   | { readonly kind: "list machines" }
-  /** A job's first task runs, as far as this leader knows. `submittedAt`: time of day, in milliseconds. */
+  /** The first task of a job runs, as far as this leader knows. `submittedAt`: time of day, in milliseconds. */
   | { readonly kind: "first start"; readonly job: string; readonly submittedAt: number }
   | { readonly kind: "advance fencing token" }
   | { readonly kind: "step down"; readonly why: string }
@@ -38,53 +38,56 @@
       readonly fields: Record<string, unknown>;
     };
 
-/** What a scale-out asks for. */
+/** Type, zone, spot flag and number of the machines that a scale-out requests. */
 export type RequestedMachines = Pick<
   Extract<Effect, { kind: "scale out" }>,
   "type" | "zone" | "spot" | "count"
 >;
 
-/** How a direct request to a worker ended. */
+/** Outcome of a direct request to a worker. */
 export type CommandOutcome =
   /** `executed`: false if the worker dropped the commands. */
   | { readonly kind: "answered"; readonly executed: boolean; readonly heartbeat: WorkerHeartbeat }
-  /** No answer came. `mayArrive`: the commands may have been executed, or may be later. */
+  /** No answer arrived. `mayArrive`: the commands may have been executed, or may still be executed later. */
   | { readonly kind: "lost"; readonly mayArrive: boolean };
 
-/** How a request for machines ended. */
+/** Outcome of a scale-out request. */
 export type ScaleOutResult =
-  /** Names of the machines, at most as many as were asked for. */
+  /** `machines`: names of the new machines, at most as many as were requested. */
   | { readonly kind: "provisioned"; readonly machines: readonly string[] }
-  /** The cloud has none of this kind now. */
+  /** The cloud currently has no capacity for this type, zone and spot flag. */
   | { readonly kind: "no capacity" }
-  /** The cloud did not answer, or not in a way that says anything. */
+  /** The cloud did not answer, or its answer does not show the outcome. */
   | { readonly kind: "failed" };
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 export type TransactionOutcome =
-  /** `revision`: of the store, at which its changes are stored. */
+  /** `revision`: store revision of the transaction's changes. */
   | { readonly kind: "committed"; readonly revision: number }
-  /** A precondition failed; nothing was changed. */
+  /** A precondition failed. Nothing was changed. */
   | { readonly kind: "conflict" }
-  /** It may have been committed, or may be later. */
+  /** The transaction may have been committed, or may still be committed later. */
   | { readonly kind: "unknown" }
-  /** The store did not take it; nothing was changed. */
+  /** The store rejected the transaction. Nothing was changed. */
   | { readonly kind: "refused" };
 
-/** Figures of a leader that follow from the settings and from the other controllers. */
+/** Parameters of a leader that are derived from the settings and from the set of other controllers. */
 export interface SchedulerOptions {
-  /** Free capacity to keep for each class of jobs, as a ratio to what it uses. */
+  /** Free capacity to keep for each job class, as a ratio to the capacity that the class uses. */
   readonly spareRatio: number;
-  /** Machines that the pool is never grown beyond; with 0 nothing is scaled out. */
+  /** Upper limit of the number of machines; 0 disables scale-out. */
   readonly maxMachines: number;
-  /** Seconds after which an idle machine that is not needed is released. */
+  /** Seconds of idleness after which a machine that is not needed is released. */
   readonly idleReleaseS: number;
-  /** Seconds for which a former leader may still have answered heartbeats after its term. */
+  /** Seconds after the end of its term for which a former leader may still answer heartbeats. */
   readonly gracePeriodS: number;
-  /** The same for machines that run replicas or gang tasks. */
+  /** Like `gracePeriodS`, for machines that run service or gang tasks. */
   readonly leaseExtensionS: number;
-  /** Lines on single tasks are written: there are hundreds a second, and each costs as much as a heartbeat's answer. */
+  /** Enables log lines on single tasks: hundreds a second, each of which costs as much as a heartbeat's answer. */
   readonly logsTasks: boolean;
-  /** Other controllers in each zone: partitioned off with its workers, each may extend their leases. */
+  /**
+   * Number of other controllers in each zone. Each may extend the leases of its zone's workers while it is
+   * partitioned together with them.
+   */
   readonly controllersPerZone: ReadonlyMap<string, number>;
 }
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the leader's state machine share: its view, settings, fencing token, and the effects it asks for. */
+/** State shared by the parts of the leader's state machine: cluster, settings, fencing token and pending effects. */
 import { Cluster } from "./cluster.js";
 import type { Effect, SchedulerOptions } from "./effects.js";
 import { Machine } from "./machines/machine.js";
@@ -8,26 +8,26 @@
 import { ValueSizeLimit } from "./state/value-size-limit.js";
 
 /**
- * Partitioned nodes extend the leases of workers that run such tasks. It depends on nothing but the kind of job, so
- * that both sides of a partition agree.
+ * Whether partitioned nodes extend the leases of workers that run tasks of this kind. The rule depends on the job
+ * kind alone, so that both sides of a partition reach the same decision.
  */
 export const hasExtendableLease = (kind: JobKind): boolean => kind !== "array";
 
-/** What a leader starts with. */
+/** Initial values of a leader's context. */
 export interface LeaderContextOptions {
   readonly settings: ClusterSettings;
   readonly options: SchedulerOptions;
-  /** Epoch of its term, which is also its fencing token. */
+  /** Epoch of the leader's term, which is also its fencing token. */
   readonly epoch: number;
   /** Mod revision of the epoch's key. */
   readonly epochModRevision: number;
-  /** When leadership was acquired, in seconds of the steady clock. */
+  /** Time at which leadership was acquired, in seconds of the steady clock. */
   readonly startedAt: number;
 }
 
-/** What kind of machine it is, as the cloud, a record or its own worker says. */
+/** Type, zone and spot flag of a machine, as reported by the cloud, its stored record or its own worker. */
 export interface MachineDescription {
-  /** Name of its machine type. */
+  /** Name of the machine type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -43,11 +43,11 @@
   /** Changes when the fencing token is advanced. */
   epoch: number;
   epochModRevision: number;
-  /** Something changed that a scheduling cycle should see. */
+  /** A change calls for a scheduling cycle soon. */
   cycleRequested = true;
-  /** By name; empty until the catalog is known. */
+  /** Machine types, by name; empty until the catalog is known. */
   machineTypes: ReadonlyMap<string, MachineType> = new Map();
-  private collectedEffects: Effect[] = [];
+  private pendingEffects: Effect[] = [];
 
   constructor(options: LeaderContextOptions) {
     this.settings = options.settings;
@@ -63,38 +63,38 @@
     return this.machineTypes.size > 0;
   }
 
-  /** Effects asked for since the last `takeEffects`; new ones are pushed. */
+  /** Effects requested since the last `takeEffects`. New effects are pushed to this array. */
   get effects(): Effect[] {
-    return this.collectedEffects;
+    return this.pendingEffects;
   }
 
-  /** Hands over what was asked for. */
+  /** Returns the pending effects and clears them. */
   takeEffects(): Effect[] {
-    const effects = this.collectedEffects;
-    this.collectedEffects = [];
+    const effects = this.pendingEffects;
+    this.pendingEffects = [];
     return effects;
   }
 
   log(message: string, fields: Record<string, unknown>): void {
-    this.collectedEffects.push({ kind: "log", level: "info", message, fields });
+    this.pendingEffects.push({ kind: "log", level: "info", message, fields });
   }
 
-  /** A line on a single task; its fields are made only if it will be written. */
+  /** Logs a line on a single task. `fields` is called only if the line is written. */
   logTask(message: string, fields: () => Record<string, unknown>): void {
     if (!this.options.logsTasks) return;
-    this.collectedEffects.push({ kind: "log", level: "debug", message, fields: fields() });
+    this.pendingEffects.push({ kind: "log", level: "debug", message, fields: fields() });
   }
 
   /**
-   * Until a message of its worker arrives, a machine counts as if the former leader had renewed its lease as late as
-   * it may.
+   * Assumes, until a message of the machine's worker arrives, that the former leader renewed the worker's lease at
+   * the latest possible time.
    */
   awaitFirstContact(machine: Machine): void {
     machine.lastMessageAt = this.startedAt;
     machine.leaseRenewedAt = this.startedAt + this.options.gracePeriodS;
   }
 
-  /** The machine of that name, added if it is new; null: its type is not known. */
+  /** Returns the machine with this name, adding it if it is new; null if it is new and its type is unknown. */
   findOrAddMachine(name: string, description: MachineDescription, now: number): Machine | null {
     const type = this.machineTypes.get(description.type);
     const known = this.cluster.machines.get(name);
@@ -110,7 +110,7 @@
     return machine;
   }
 
-  /** A worker is the authority on its own machine, whatever the cloud or a record says. */
+  /** Applies a worker's report on its own machine, which overrides the cloud's list and the stored record. */
   applySelfDescription(machine: Machine, description: MachineDescription): void {
     machine.isSelfDescribed = true;
     const type = this.machineTypes.get(description.type) ?? machine.type;
@@ -126,7 +126,7 @@
     if (machine.type.name === type.name && machine.zone === zone && machine.spot === spot) return;
     machine.isRecordOutdated = machine.isPersisted;
     const fields = { machine: machine.name, type: type.name, zone, spot, was: machine.zone };
-    this.log("machine corrected", fields);
+    this.log("machine description corrected", fields);
     this.cluster.correctMachine(machine, type, zone, spot);
     this.cycleRequested = true;
   }
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -1,4 +1,4 @@
-/** Fault attribution: whether the machine or the job is at fault when tasks fail or are slow. */
+/** Fault attribution: decides whether the machine or the job is at fault when tasks fail or run slowly. */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
 import type { Placement } from "../dispatch/placement.js";
@@ -8,29 +8,29 @@
 import type { TaskStatus } from "../model/workers.js";
 import type { Machine } from "./machine.js";
 
-/** A task so many times slower than the median one of its job speaks against its machine. */
+/** Ratio to the median run time of its job above which a running task counts as slow on its machine. */
 const SLOW_RATIO = 2.5;
-/** Machines on which a job must have failed, and nowhere succeeded, to be suspected itself. */
+/** Number of machines on which a job must have failed, without success on any other, for the job to be suspect. */
 const MINIMUM_FAILED_MACHINES = 3;
-/** Worker leases after which a failure is no longer considered. */
-const FAILURE_MEMORY_LEASES = 10;
-/** Different jobs that must fail, or tasks that must be slow, on a machine for it to be at fault. */
+/** Age, in worker leases, above which a failure is no longer considered. */
+const FAILURE_RETENTION_LEASES = 10;
+/** Number of distinct jobs that must fail, or of tasks that must be slow, on a machine for it to be at fault. */
 const MINIMUM_EVIDENCE = 2;
-/** Part of all machines that may be drained at a time because jobs fail on them. */
+/** Share of all machines that are drained because jobs fail on them, above which no further one is drained. */
 const MAXIMUM_FAULTY_SHARE = 0.02;
-/** Longest backoff of a job between two tries, in seconds. */
+/** Longest backoff of a job between two attempts, in seconds. */
 const MAXIMUM_JOB_BACKOFF_S = START_BOUND_S / 4;
-/** Time for which a job keeps off a machine on which it failed, in seconds. */
+/** Seconds for which a job is not placed on a machine on which it failed. */
 const MACHINE_AVOIDANCE_S = START_BOUND_S / 4;
-/** Doublings of the backoff after which it no longer grows. */
+/** Number of doublings after which the backoff no longer grows. */
 const MAXIMUM_BACKOFF_DOUBLINGS = 10;
 
 const FAULTY_MACHINE = "healthy jobs fail on it";
 const SLOW_MACHINE = "slow";
 
-/** Attributes failures to machines, which are drained, or to jobs, which are tried again at a falling rate. */
+/** Attributes failures to machines, which are drained, or to jobs, which are retried with exponential backoff. */
 export class FaultAttribution {
-  /** Machines on which tasks failed, until the fault is attributed. */
+  /** Machines on which tasks failed and whose failures are not attributed yet. */
   private readonly suspectMachines = new Set<Machine>();
   private reviewedAt = Number.NEGATIVE_INFINITY;
   private slowCheckedAt = Number.NEGATIVE_INFINITY;
@@ -40,7 +40,7 @@
     private readonly dispatcher: CommandDispatcher,
   ) {}
 
-  /** What follows from the exit of a task, other than the release of its resources. */
+  /** Handles the exit of a task, except for the release of its resources. */
   handleExit(placement: Placement, status: TaskStatus, now: number): void {
     const { job, machine } = placement;
     const { heartbeatIntervalS } = this.context.settings;
@@ -63,8 +63,8 @@
     }
   }
 
-  /** Clears jobs that succeed again, and evaluates machines anew by what has become of jobs since. */
-  review(now: number): void {
+  /** Clears jobs that succeed again, and re-evaluates machines by the current state of the jobs that failed there. */
+  reviewFailures(now: number): void {
     if (now - this.reviewedAt < this.context.settings.heartbeatIntervalS / 2) return;
     this.reviewedAt = now;
     this.clearRecoveredJobs(now);
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Drains the machine on which most tasks run far longer than others of their jobs; one at a time, in case the jobs are
-   * at fault after all.
+   * Drains the machine with the most tasks that run far longer than others of their job. Only one machine is drained
+   * for this reason at a time, because the jobs may be at fault after all.
    */
   drainSlowMachines(now: number): void {
     if (now - this.slowCheckedAt < this.context.settings.heartbeatIntervalS) return;
@@ -98,16 +98,16 @@
   }
 
   /**
-   * A task failed: by a fault of its machine, or of its job, which then fails on every machine. The two differ in
-   * whether either succeeds elsewhere. (When any two jobs that failed on a machine were enough to release it, one job in
-   * 25 submitted with a mistake cost thirty healthy machines in a day.)
+   * Handles a failed task. A faulty job fails on every machine, whereas jobs that fail on a faulty machine succeed on
+   * others. When a machine was released as soon as any two jobs had failed on it, and one submitted job in 25 was
+   * faulty, 30 healthy machines were lost in a day.
    */
   private handleFailure(placement: Placement, now: number): void {
     const { job, machine } = placement;
     const { failures } = job;
     this.recordFailure(placement, now);
     if (failures.suspicion !== null) {
-      // Failures of attempts that were placed before the suspicion are no new evidence.
+      // Attempts that were placed before the job became suspect are not retries, so their failures do not count.
       if (placement.placedAt <= failures.suspicion.since) return;
       failures.suspicion.failedRetries++;
     } else if (this.failsEverywhere(job, now)) {
@@ -143,7 +143,7 @@
     return job.failures.failedMachines.size >= MINIMUM_FAILED_MACHINES;
   }
 
-  /** The machine may be at fault: the job is tried on others meanwhile. */
+  /** Records that the machine may be at fault. The job is retried on other machines meanwhile. */
   private suspectMachine(machine: Machine, job: ActiveJob, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
     machine.failedJobs.set(job, now);
@@ -151,7 +151,7 @@
     if (job.spec.kind === "gang") {
       job.backoffUntil = now + heartbeatIntervalS / 4;
     } else if (job.failures.failedMachines.size > toleratedFailedMachines(job)) {
-      // Some of its tasks fail and others do not: it continues at a limited rate.
+      // Some tasks of the job fail and others succeed, so the job continues at a limited rate.
       job.backoffUntil = now + heartbeatIntervalS;
     }
     this.evaluateMachine(machine, now);
@@ -167,12 +167,15 @@
     }
   }
 
-  /** A job that fails everywhere, or that was cancelled before it succeeded, says nothing of its machines. */
+  /**
+   * Discards old failures and the failures of jobs that fail everywhere or were cancelled before they succeeded. They
+   * are no evidence against a machine.
+   */
   private dropInconclusiveFailures({ failedJobs }: Machine, now: number): void {
-    const memoryS = FAILURE_MEMORY_LEASES * this.context.settings.leaseS;
+    const retentionS = FAILURE_RETENTION_LEASES * this.context.settings.leaseS;
     for (const [job, failedAt] of failedJobs) {
       const isInconclusive = job.isCancelled && !this.succeedsElsewhere(job, now);
-      const isOld = now - failedAt > memoryS;
+      const isOld = now - failedAt > retentionS;
       if (job.failures.suspicion !== null || isInconclusive || isOld) failedJobs.delete(job);
     }
   }
@@ -180,11 +183,11 @@
   private evaluateMachine(machine: Machine, now: number): void {
     const { failedJobs } = machine;
     if (machine.drainReason !== null || failedJobs.size < MINIMUM_EVIDENCE) return;
-    if (this.countHealthyFailedJobs(machine, now) >= MINIMUM_EVIDENCE) {
-      if (this.mayDrainFaulty()) this.drain(machine, FAULTY_MACHINE);
+    if (this.countJobsSucceedingElsewhere(machine, now) >= MINIMUM_EVIDENCE) {
+      if (this.mayDrainFaultyMachine()) this.drain(machine, FAULTY_MACHINE);
       return;
     }
-    // Not attributed yet. It takes nothing new until its jobs have had time to succeed or fail elsewhere.
+    // Not attributed yet: the machine accepts no new tasks until its jobs have had time to succeed or fail elsewhere.
     const { heartbeatIntervalS, leaseS } = this.context.settings;
     const backoffS = Math.min(
       leaseS,
@@ -196,18 +199,18 @@
     }
   }
 
-  /** Jobs that failed on the machine and succeed on others. */
-  private countHealthyFailedJobs(machine: Machine, now: number): number {
-    let healthy = 0;
+  /** Number of jobs that failed on the machine and succeed on others. */
+  private countJobsSucceedingElsewhere(machine: Machine, now: number): number {
+    let count = 0;
     for (const job of machine.failedJobs.keys()) {
-      // A job that failed on many machines is itself suspect, even if other tasks of it succeed.
+      // A job that failed on many machines may itself be at fault, even if other tasks of it succeed.
       if (job.failures.failedMachines.size > toleratedFailedMachines(job)) continue;
-      if (this.succeedsElsewhere(job, now, machine)) healthy++;
+      if (this.succeedsElsewhere(job, now, machine)) count++;
     }
-    return healthy;
+    return count;
   }
 
-  private mayDrainFaulty(): boolean {
+  private mayDrainFaultyMachine(): boolean {
     const { machines } = this.context.cluster;
     let faulty = 0;
     for (const { drainReason } of machines.values()) {
@@ -216,14 +219,17 @@
     return faulty <= machines.size * MAXIMUM_FAULTY_SHARE;
   }
 
-  /** Whether a task of the job completed, or has run clearly longer than any that failed, not on this machine. */
+  /**
+   * Whether a task of the job has completed, or runs on a machine other than `except` and has run longer than any
+   * failed task by more than a heartbeat interval.
+   */
   private succeedsElsewhere(job: ActiveJob, now: number, except: Machine | null = null): boolean {
     if (job.doneTasks.size > 0) return true;
     const { heartbeatIntervalS } = this.context.settings;
-    const clearlyLongerS = job.failures.longestRunBeforeFailureS + heartbeatIntervalS;
+    const minimumSuccessfulRunS = job.failures.longestRunBeforeFailureS + heartbeatIntervalS;
     for (const { state, machine, runningSince } of job.placements.values()) {
       if (state !== "running" || machine === except) continue;
-      if (now - runningSince > clearlyLongerS) return true;
+      if (now - runningSince > minimumSuccessfulRunS) return true;
     }
     return false;
   }
@@ -244,13 +250,13 @@
 
   private drain(machine: Machine, why: string): void {
     machine.drainReason = why;
-    this.context.log("drain", { machine: machine.name, why });
+    this.context.log("draining machine", { machine: machine.name, why });
     for (const placement of machine.placements.values()) {
       this.dispatcher.stopGang(placement, why, placement.job.spec.saveS);
     }
   }
 }
 
-/** Machines, of those that a job of this size comes to, that may be faulty without the job being at fault. */
+/** Number of machines on which a job of this size may fail without being considered at fault itself. */
 const toleratedFailedMachines = (job: ActiveJob): number =>
   Math.max(MINIMUM_FAILED_MACHINES, job.spec.tasks / 8);
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches the machines: probes overdue ones, releases unreachable ones, and ends incarnations whose lease has expired. */
+/** Machine monitoring: probes overdue machines, releases unreachable ones, ends incarnations with expired leases. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -6,71 +6,74 @@
 import { CLOCK_DRIFT } from "../model/constants.js";
 import type { Machine } from "./machine.js";
 import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
-import { ZoneSilence } from "./zone-silence.js";
+import { ZonePartitionDetector } from "./zone-silence.js";
 
-/** Share of all machines that may be released as unreachable in a heartbeat interval. */
-const RELEASE_SHARE = 0.05;
+/** Share of all machines that may be released as unresponsive or unreachable in one heartbeat interval. */
+const MAXIMUM_RELEASE_SHARE = 0.05;
 
-/** Time without a message, in heartbeat intervals, from which a machine is probed if there is time for it. */
+/** Heartbeat intervals without a message after which a machine is probed if the probe budget allows it. */
 const EARLY_PROBE_INTERVALS = 1;
-/** The same for a machine that runs replicas of a service. */
+/** Like `EARLY_PROBE_INTERVALS`, for a machine that runs service replicas. */
 const EARLY_SERVICE_PROBE_INTERVALS = 0.8;
-/** Heartbeats arrive within so many intervals: a later one is overdue, and its machine is probed at once. */
+/** Heartbeats arrive within this many intervals. A machine whose heartbeat is overdue is probed at once. */
 const OVERDUE_INTERVALS = 1.25;
 
-/** Probes and releases machines by the time of their last message. Checked several times a heartbeat interval. */
+/** Probes and releases machines by the time of their last message, several times per heartbeat interval. */
 export class MachineMonitor {
   /** Time of the last check. */
   checkedAt = Number.NEGATIVE_INFINITY;
   private nextCheckAt = Number.NEGATIVE_INFINITY;
-  private readonly zoneSilence: ZoneSilence;
+  private readonly partitionDetector: ZonePartitionDetector;
   private releasesInInterval = 0;
   private releaseIntervalStartedAt = Number.NEGATIVE_INFINITY;
-  private hasSettled = false;
+  private hasFirstHeartbeats = false;
 
   constructor(
     private readonly context: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
     private readonly machinePool: MachinePool,
   ) {
-    this.zoneSilence = new ZoneSilence(context.settings.heartbeatIntervalS);
+    this.partitionDetector = new ZonePartitionDetector(context.settings.heartbeatIntervalS);
   }
 
-  /** Machines that send no heartbeats are probed, then released, or their lease is waited out. */
+  /** Probes machines that send no heartbeats, then releases them or waits until their lease has expired. */
   checkMachines(now: number): void {
     if (this.isStalled(now)) return;
     const running = [...this.context.cluster.machines.values()].filter(
       ({ state }) => state === "up" || state === "releasing",
     );
-    this.zoneSilence.update(running, now);
+    this.partitionDetector.update(running, now);
     if (this.stepDownIfIsolated(running, now)) return;
-    for (const machine of this.collectLate(running, now)) {
+    for (const machine of this.collectLateMachines(running, now)) {
       this.probeIfDue(machine, now);
-      this.releaseIfSilent(machine, running.length, now);
+      this.releaseIfUnresponsive(machine, running.length, now);
       this.endExpiredIncarnation(machine, now);
     }
     this.machinePool.releaseLateBoots(now);
   }
 
   /**
-   * Whether a new leader still waits for the first heartbeats of most of its workers. These come first: leases run out
-   * meanwhile, and a plan would see a small part of the machines.
+   * Whether a new leader is still waiting for the first heartbeats of most workers. Heartbeats have priority over
+   * planning until then: leases expire meanwhile, and a plan would cover only a small part of the machines.
    */
   isSettling(now: number): boolean {
     const { startedAt, settings } = this.context;
-    if (this.hasSettled || now - startedAt > settings.leaseS / 2) return false;
+    if (this.hasFirstHeartbeats || now - startedAt > settings.leaseS / 2) return false;
     let up = 0;
-    let met = 0;
+    let inContact = 0;
     for (const machine of this.context.cluster.machines.values()) {
       if (machine.state !== "up") continue;
       up++;
-      if (machine.hasMetThisLeader) met++;
+      if (machine.hasMetThisLeader) inContact++;
     }
-    this.hasSettled = met >= 0.8 * up;
-    return !this.hasSettled;
+    this.hasFirstHeartbeats = inContact >= 0.8 * up;
+    return !this.hasFirstHeartbeats;
   }
 
-  /** To a process that was stalled all machines look overdue: it first has to read what has arrived meanwhile. */
+  /**
+   * Whether the check must wait because this process was stalled. After a stall all machines appear overdue until the
+   * messages that arrived meanwhile have been read.
+   */
   private isStalled(now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
     const wasStalled = now - this.checkedAt > heartbeatIntervalS / 2;
@@ -79,18 +82,19 @@
     return now < this.nextCheckAt;
   }
 
-  /** Gives up leadership if hardly any worker can be reached: another node may be better placed. */
+  /** Steps down if messages arrive from less than a third of the workers: another node may be able to reach more. */
   private stepDownIfIsolated(running: readonly Machine[], now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
-    // Heartbeats that have arrived and wait are no sign of a partition, and another node would meet all workers anew.
-    // (After all controllers had ended, a slow leader stepped down 12 s into its term, and the workers' leases expired.)
+    // An overloaded node has unread heartbeats, which is no sign of a partition, and a new leader would have to
+    // contact all workers again. After all controllers had terminated, a slow leader stepped down 12 s into its term,
+    // and the workers' leases expired.
     if (this.dispatcher.isOverloaded) return false;
     const known = running.filter(({ incarnation }) => incarnation > 0);
     const recent = known.filter(
       ({ lastMessageAt }) => now - lastMessageAt <= 1.6 * heartbeatIntervalS,
     ).length;
-    const hadTime = now - this.context.startedAt > 3 * heartbeatIntervalS;
-    if (known.length <= 2 || recent >= known.length / 3 || !hadTime) return false;
+    const isStartupOver = now - this.context.startedAt > 3 * heartbeatIntervalS;
+    if (known.length <= 2 || recent >= known.length / 3 || !isStartupOver) return false;
     this.context.effects.push({
       kind: "step down",
       why: `heartbeats from ${recent} of ${known.length} workers only`,
@@ -98,8 +102,11 @@
     return true;
   }
 
-  /** Machines that may have to be probed or released, those that run replicas first. Releases empty drained ones. */
-  private collectLate(running: readonly Machine[], now: number): Machine[] {
+  /**
+   * Returns the machines that may have to be probed or released, those that run service replicas first. Also releases
+   * drained machines that are empty.
+   */
+  private collectLateMachines(running: readonly Machine[], now: number): Machine[] {
     const lateAfterS = EARLY_SERVICE_PROBE_INTERVALS * this.context.settings.heartbeatIntervalS;
     const late: Machine[] = [];
     for (const machine of running) {
@@ -117,15 +124,17 @@
   }
 
   /**
-   * Overdue and unreachable machines are probed at once. An earlier probe finds the end of a machine sooner, but costs
-   * as much as a heartbeat: only so many a second, and those that run replicas are worth it most.
+   * Probes overdue and unreachable machines at once. Probing earlier detects a failed machine sooner, but each probe
+   * costs as much as a heartbeat. Early probes are therefore limited per second, and machines that run service
+   * replicas come first.
    */
   private probeIfDue(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
-    const silenceS = now - machine.lastMessageAt;
+    const sinceLastMessageS = now - machine.lastMessageAt;
     const isOverdue =
-      silenceS > OVERDUE_INTERVALS * heartbeatIntervalS || machine.unreachableSince !== null;
-    const isEarly = machine.hasMetThisLeader && silenceS > this.earlyProbeAfterS(machine);
+      sinceLastMessageS > OVERDUE_INTERVALS * heartbeatIntervalS ||
+      machine.unreachableSince !== null;
+    const isEarly = machine.hasMetThisLeader && sinceLastMessageS > this.earlyProbeAfterS(machine);
     if (!isOverdue && !isEarly) return;
     if (!this.mayProbe(machine, now)) return;
     if (isOverdue || this.dispatcher.probeBudget.tryTake(1, now)) this.dispatcher.probe(machine);
@@ -141,7 +150,7 @@
   private mayProbe(machine: Machine, now: number): boolean {
     return (
       machine.state === "up" &&
-      // One that has not acknowledged the token yet is sent it, which shows as much.
+      // A worker that has not acknowledged the token is sent the token instead, which also tests reachability.
       machine.hasAcknowledgedToken &&
       !machine.hasRequestInFlight &&
       now >= machine.nextRequestAt &&
@@ -150,58 +159,67 @@
     );
   }
 
-  /** Releases a machine that sends no heartbeats, or that cannot be reached although its heartbeats arrive. */
-  private releaseIfSilent(machine: Machine, machines: number, now: number): void {
+  /** Releases a machine that sends no messages, or that answers no direct requests although it sends heartbeats. */
+  private releaseIfUnresponsive(machine: Machine, machineCount: number, now: number): void {
     const { heartbeatIntervalS, leaseS } = this.context.settings;
-    const silenceS = now - machine.lastMessageAt;
-    if (this.isSilent(machine, silenceS) && this.zoneSilence.isCredible(machine, now)) {
-      this.releaseWithinRate(machine, "silent", machines, now);
+    const sinceLastMessageS = now - machine.lastMessageAt;
+    if (
+      this.isUnresponsive(machine, sinceLastMessageS) &&
+      this.partitionDetector.isMachineFaultLikely(machine, now)
+    ) {
+      this.releaseWithinRate(machine, "no message from worker", machineCount, now);
     }
-    // Its heartbeats arrive, but neither answers nor commands reach it: its lease will expire.
+    // Its heartbeats arrive, but neither their answers nor commands reach it, so its lease will expire.
     const { unreachableSince } = machine;
     const isUnreachable =
       unreachableSince !== null && now - unreachableSince > 2 * heartbeatIntervalS;
-    if (isUnreachable && this.zoneSilence.isCredible(machine, now)) {
-      this.releaseWithinRate(machine, "unreachable", machines, now);
+    if (isUnreachable && this.partitionDetector.isMachineFaultLikely(machine, now)) {
+      this.releaseWithinRate(machine, "unreachable", machineCount, now);
     }
-    // Cancelled tasks must be terminated soon, also where no stop arrives.
-    const isCutOff = silenceS > 1.5 * heartbeatIntervalS || isUnreachable;
-    if (isCutOff && runsCancelledTask(machine)) {
+    // Cancelled tasks must be terminated soon, even on a machine that no stop command reaches.
+    const isStopUndeliverable = sinceLastMessageS > 1.5 * heartbeatIntervalS || isUnreachable;
+    if (isStopUndeliverable && runsCancelledTask(machine)) {
       this.machinePool.requestRelease(machine, "runs a cancelled task");
     }
-    // No partition that is waited out lasts so long: it is better replaced.
-    if (silenceS > this.context.options.leaseExtensionS + leaseS) {
-      this.machinePool.requestRelease(machine, "silent for too long");
+    // Longer than the longest partition that is tolerated: the machine is replaced.
+    if (sinceLastMessageS > this.context.options.leaseExtensionS + leaseS) {
+      this.machinePool.requestRelease(machine, "no message from worker for too long");
     }
   }
 
-  private isSilent(machine: Machine, silenceS: number): boolean {
+  private isUnresponsive(machine: Machine, sinceLastMessageS: number): boolean {
     const { heartbeatIntervalS, leaseS } = this.context.settings;
-    // After a takeover workers must find this leader first, while it has most to do.
+    // After a takeover workers first have to find the new leader, which is busiest at that time.
     const allowanceS = machine.hasMetThisLeader ? 0 : leaseS / 3;
     return (
-      silenceS > 2 * heartbeatIntervalS + allowanceS ||
-      (silenceS > 1.3 * heartbeatIntervalS + allowanceS && machine.consecutiveFailedRequests >= 2)
+      sinceLastMessageS > 2 * heartbeatIntervalS + allowanceS ||
+      (sinceLastMessageS > 1.3 * heartbeatIntervalS + allowanceS &&
+        machine.consecutiveFailedRequests >= 2)
     );
   }
 
   /**
-   * Releases so many machines at the most in a heartbeat interval: few end at once, and if it is this node that lags, the
-   * next interval shows it. (Twice after a takeover a quarter of all machines, with all that ran there, were released
-   * within five seconds.)
+   * Releases the machine unless the limit for this heartbeat interval is reached. Few machines fail at the same time,
+   * and if this node is the one that lags, the next interval shows it. Without the limit, two takeovers each led to
+   * the release of a quarter of all machines, with all their tasks, within five seconds.
    */
-  private releaseWithinRate(machine: Machine, why: string, machines: number, now: number): void {
+  private releaseWithinRate(
+    machine: Machine,
+    why: string,
+    machineCount: number,
+    now: number,
+  ): void {
     if (machine.state !== "up") return;
     if (now - this.releaseIntervalStartedAt > this.context.settings.heartbeatIntervalS) {
       this.releaseIntervalStartedAt = now;
       this.releasesInInterval = 0;
     }
-    if (this.releasesInInterval >= Math.max(2, machines * RELEASE_SHARE)) return;
+    if (this.releasesInInterval >= Math.max(2, machineCount * MAXIMUM_RELEASE_SHARE)) return;
     this.releasesInInterval++;
     this.machinePool.requestRelease(machine, why);
   }
 
-  /** Whatever the worker does now, its lease has expired, and with it every task of that incarnation. */
+  /** Ends the worker's incarnation once its lease has certainly expired, since all its tasks have then ended. */
   private endExpiredIncarnation(machine: Machine, now: number): void {
     if (machine.placements.size === 0 || now <= this.leaseExpiryBound(machine)) return;
     for (const placement of [...machine.placements.values()]) {
@@ -214,9 +232,9 @@
   }
 
   /**
-   * When the worker's lease has expired for certain, if no more messages arrive: a lease after any node can last have
-   * renewed it. The leases of machines with replicas or gang tasks are extended in a partitioned zone
-   * (`LeaseExtension`), by one node after another at the worst.
+   * Time at which the worker's lease has certainly expired if no more messages arrive: one lease after the latest
+   * possible renewal by any node. In a partitioned zone the leases of machines with service or gang tasks are
+   * extended (`LeaseExtension`), in the worst case by one node after another.
    */
   private leaseExpiryBound(machine: Machine): number {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
--- a/src/core/machines/machine-predicates.ts
+++ b/src/core/machines/machine-predicates.ts
@@ -1,4 +1,4 @@
-/** Questions about what runs on a machine, as far as the leader knows. */
+/** Predicates on the tasks that are placed on a machine. */
 import { hasExtendableLease } from "../leader-context.js";
 import type { Machine } from "./machine.js";
 
@@ -18,7 +18,7 @@
   return false;
 }
 
-/** Whether a controller that is partitioned together with the worker may extend its lease. */
+/** Whether a controller that is partitioned together with the worker may have extended the worker's lease. */
 export function mayHaveExtendedLease(machine: Machine): boolean {
   for (const placement of machine.placements.values()) {
     if (hasExtendableLease(placement.job.spec.kind)) return true;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,4 +1,4 @@
-/** A provisioned machine as the leader knows it: what its worker last said, and what is placed on it. */
+/** The leader's record of a provisioned machine: the last known state of its worker and the tasks placed on it. */
 
 import type { Placement } from "../dispatch/placement.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -6,112 +6,113 @@
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
 
-/** An attempt that is exited in the worker's heartbeats, and that it was not yet sent a `forget` command for. */
+/** An attempt that the worker's heartbeats list as exited and for which no `forget` command has been sent yet. */
 export interface ExitedTask {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
-  /** Job version that must be persisted before the worker may forget it. */
+  /** Job version that must be persisted before the worker may forget the attempt. */
   readonly version: number;
 }
 
-/** An image on the machine, or being pulled to it. */
+/** An image that is on the machine or is being pulled to it. */
 export interface CachedImage {
   lastUsedAt: number;
   readonly sizeGb: number;
-  /** False while it is being pulled. */
+  /** False while the image is being pulled. */
   isPulled: boolean;
 }
 
-/** Capacity that is gathered for a job. */
+/** Reservation of a machine's capacity for a waiting job. */
 export interface CapacityReservation {
   readonly job: ActiveJob;
   readonly until: number;
-  /** Free capacity is held for the job in this scheduling cycle; otherwise tasks are preempted for it. */
+  /** True: free capacity is held for the job during this scheduling cycle. False: tasks are preempted for the job. */
   readonly held: boolean;
 }
 
 /**
- * `booting` until the first message of its worker, `releasing` once its release is requested, `terminated` once the cloud
- * has confirmed that.
+ * A machine is `booting` until the first message of its worker arrives, `releasing` once its release is requested,
+ * and `terminated` once the cloud has confirmed the release.
  */
 export type MachineState = "booting" | "up" | "releasing" | "terminated";
 
 /**
- * A machine. Times are in seconds of the leader's clock, as everywhere in the core.
+ * A machine. Times are in seconds of the leader's steady clock, as everywhere in `src/core`.
  *
- * Several flags make up one state. They stay single fields because each is read on its own, for every machine:
+ * Several fields together describe one state, as the tables show. They are separate fields because each is read on
+ * its own, for every machine.
  *
- * | What is known of the worker | `state` | `incarnation` | `hasMetThisLeader` | `hasAcknowledgedToken` |
+ * | Knowledge of the worker | `state` | `incarnation` | `hasMetThisLeader` | `hasAcknowledgedToken` |
  * | --- | --- | --- | --- | --- |
  * | No message yet | `booting` | 0 | false | false |
- * | Only from the record or placements of a former leader | `up` | as placed, or 0 | false | false |
- * | It has answered, under a former fencing token | `up` | > 0 | false | false |
- * | It has acknowledged the present token: starts may be sent | `up` | > 0 | true | true |
- * | The token was advanced since | `up` | > 0 | true | false |
+ * | Only the stored record or placements of a former leader | `up` | as placed, or 0 | false | false |
+ * | It has sent a message, but under a former leader's fencing token | `up` | > 0 | false | false |
+ * | It has acknowledged the current token: start commands may be sent | `up` | > 0 | true | true |
+ * | The token was advanced after it acknowledged the earlier one | `up` | > 0 | true | false |
  *
- * | Can it be reached? | `lastMessageAt` | `unreachableSince` | `consecutiveFailedRequests` |
+ * | Reachability | `lastMessageAt` | `unreachableSince` | `consecutiveFailedRequests` |
  * | --- | --- | --- | --- |
- * | Yes | recent | null | 0 |
- * | Its heartbeats arrive, but direct requests get no answer | recent | set | 0 after each heartbeat |
+ * | Reachable | recent | null | 0 |
+ * | Its heartbeats arrive, but direct requests are not answered | recent | set | 0 after each heartbeat |
  * | No message arrives | long ago | set once a request failed | 1 or more |
  *
- * | Its record | `isPersisted` | `isRecordOutdated` |
+ * | Stored record | `isPersisted` | `isRecordOutdated` |
  * | --- | --- | --- |
- * | Is to be written: nothing is placed on the machine before | false | false |
- * | Is stored | true | false |
- * | Is stored, and describes another kind of machine | true | true until corrected |
+ * | Not written yet: until it is, nothing is placed on the machine | false | false |
+ * | Stored | true | false |
+ * | Stored, with a wrong machine type, zone or spot flag | true | true until corrected |
  */
 export class Machine {
   address = "";
   state: MachineState = "booting";
   bootingSince: number;
   idleSince: number;
-  /** Its worker has said what kind of machine it is, which nothing else overrules. */
+  /** The worker has reported type, zone and spot flag, which overrides the cloud's list and the stored record. */
   isSelfDescribed = false;
 
-  /** The worker's incarnation that the leader knows. */
+  /** The last known incarnation of the worker. */
   incarnation = 0;
-  /** Sequence number of the last heartbeat of this incarnation. */
+  /** Sequence number of the last heartbeat in this incarnation. */
   sequence = -1;
-  /** The worker has answered under the present fencing token, so it drops older commands. */
+  /** The worker has sent a message under the current fencing token, so it drops commands with an older one. */
   hasAcknowledgedToken = false;
-  /** It has seen a fencing token of this leader: it drops what a former one answers. */
+  /** The worker has seen a fencing token of this leader's term, so it drops answers of former leaders. */
   hasMetThisLeader = false;
 
-  /** Last time a message of any sort from the worker arrived. */
+  /** Time at which the last message of any kind arrived from the worker. */
   lastMessageAt = Number.NEGATIVE_INFINITY;
   /**
-   * Last time a heartbeat arrived that the worker sent by itself, or when its first message did. A machine that answers
-   * direct requests but reaches no controller loses its lease, and with it all that was placed there.
+   * Time of the last heartbeat that the worker sent unprompted, or of its first message if it has sent none. A worker
+   * that answers direct requests but cannot reach a controller loses its lease, and with it all its tasks.
    */
   lastHeartbeatAt = Number.NEGATIVE_INFINITY;
-  /** Latest time at which any leader can have renewed the worker's lease. */
+  /** Latest time at which any leader, this or a former one, can have renewed the worker's lease. */
   leaseRenewedAt = Number.NEGATIVE_INFINITY;
-  /** Time at which the cloud takes the spot machine, once it has given notice. */
+  /** Time at which the cloud reclaims the spot machine; null until it has given an interruption notice. */
   interruptionAt: number | null = null;
 
   /** A direct request is in flight. */
   hasRequestInFlight = false;
   nextRequestAt = Number.NEGATIVE_INFINITY;
-  /** Direct requests without an answer since the last message. */
+  /** Number of unanswered direct requests since the last message. */
   consecutiveFailedRequests = 0;
   /**
-   * Since when direct requests get no answer, whatever else arrives: heartbeats may, while neither answers nor commands
-   * get through.
+   * Time since which direct requests have not been answered, or null. Heartbeats may still arrive meanwhile, although
+   * neither commands nor answers get through.
    */
   unreachableSince: number | null = null;
 
-  /** Its record is stored. */
+  /** The machine's record is in the key-value store. */
   isPersisted = false;
-  /** Its stored record describes it wrongly. */
+  /** The stored record has a wrong type, zone or spot flag. */
   isRecordOutdated = false;
 
-  /** What is placed here, by `taskKey`. */
+  /** Placements on this machine, by `taskKey`. */
   readonly placements = new Map<string, Placement>();
-  /** By `taskKey`. */
+  /** Exited attempts that the worker still lists, by `taskKey`. */
   readonly exitedTasks = new Map<string, ExitedTask>();
-  /** Starts that were sent and not answered, with the fencing token they carried: they may still arrive. */
+  /** Fencing tokens of start commands that were sent and not answered, by `taskKey`. Each may still arrive. */
   readonly unansweredStarts = new Map<string, number>();
   /** Images by name. */
   readonly images = new Map<string, CachedImage>();
@@ -119,15 +120,18 @@
   gpusUsed = 0;
   memoryUsedGb = 0;
 
-  /** Jobs of which a task failed here, and when, until the fault is attributed. */
+  /** Jobs of which a task failed here, with the time of the last failure, until the fault is attributed. */
   readonly failedJobs = new Map<ActiveJob, number>();
-  /** Tasks, by `taskKey`, that ran far longer here than others of their job. */
+  /** `taskKey`s of tasks that run far longer here than the median task of their job. */
   readonly slowTasks = new Set<string>();
-  /** Why it takes no new tasks and is released once empty; null: it is not drained. */
+  /** Reason for draining: the machine accepts no new tasks and is released once empty. Null: it is not drained. */
   drainReason: string | null = null;
-  /** It takes no new tasks until then. */
+  /** Time until which the machine accepts no new tasks. */
   backoffUntil = Number.NEGATIVE_INFINITY;
-  /** Weakest precedence of any task here, as of the last scheduling cycle: a job that is no stronger preempts nothing. */
+  /**
+   * Weakest precedence of the tasks here as of the last scheduling cycle. A higher number is weaker; -1: no task.
+   * Only a job with a stronger precedence can preempt a task here.
+   */
   weakestPrecedence = -1;
   reservation: CapacityReservation | null = null;
 
@@ -155,7 +159,7 @@
   }
 }
 
-/** How many tasks of a job fit into these amounts. */
+/** Number of tasks of a job that fit into the given amounts. */
 export function taskSlots(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): number {
   let slots = Number.MAX_SAFE_INTEGER;
   if (spec.cpus > 0) slots = Math.min(slots, Math.floor((cpus + AMOUNT_TOLERANCE) / spec.cpus));
--- a/src/core/machines/zone-silence.ts
+++ b/src/core/machines/zone-silence.ts
@@ -1,13 +1,13 @@
 /**
- * Distinguishes a single machine that sends no heartbeats from a partitioned zone, and from a fault of this node's
- * connections.
+ * Distinguishes the fault of a single machine that sends no heartbeats from a partition of its zone and from a fault
+ * of this node's own connections.
  */
 import type { Machine } from "./machine.js";
 
-/** Heartbeat intervals after which a machine counts as overdue: heartbeats arrive within 1.25. */
+/** Heartbeat intervals without a message after which a machine is overdue; heartbeats arrive within 1.25 of them. */
 const OVERDUE_INTERVALS = 1.3;
-/** Heartbeat intervals for which missing heartbeats of a zone are no evidence against its single machines. */
-const DOUBT_INTERVALS = 2;
+/** Heartbeat intervals for which a zone stays suspected of a partition after it last appeared partitioned. */
+const SUSPICION_INTERVALS = 2;
 
 interface ZoneCounts {
   machines: number;
@@ -15,34 +15,36 @@
 }
 
 /**
- * The zones in which so many machines were overdue at once that a partition is likelier than a fault of each. Machines
- * that are partitioned together are all overdue before the first would be released.
+ * Tracks the zones in which so many machines are overdue at once that a partition is more likely than separate
+ * machine faults. Machines that are partitioned together are all overdue before the first of them is due for release.
  */
-export class ZoneSilence {
-  private readonly doubtedAt = new Map<string, number>();
+export class ZonePartitionDetector {
+  /** Time at which each zone last appeared partitioned. */
+  private readonly suspectedAt = new Map<string, number>();
 
   constructor(private readonly heartbeatIntervalS: number) {}
 
-  /** Notes the zones that seem partitioned, and all zones if most machines are overdue. */
+  /** Marks the zones that appear partitioned, or every zone if most machines are overdue. */
   update(machines: readonly Machine[], now: number): void {
     const countsByZone = this.countOverdue(machines, now);
     let overdueInAll = 0;
     for (const { overdue } of countsByZone.values()) overdueInAll += overdue;
-    // A zone that is partitioned as a whole says nothing against the machines of another.
+    // One partitioned zone is no reason to suspect the others; only a majority of all machines being overdue is.
     const areMostOverdue = overdueInAll > Math.max(2, machines.length / 2);
     for (const [zone, counts] of countsByZone) {
-      const isSilent = counts.overdue > Math.max(2, counts.machines / 4);
-      if (isSilent || areMostOverdue) this.doubtedAt.set(zone, now);
+      const isZoneOverdue = counts.overdue > Math.max(2, counts.machines / 4);
+      if (isZoneOverdue || areMostOverdue) this.suspectedAt.set(zone, now);
     }
   }
 
   /**
-   * Whether missing heartbeats are evidence against the machine: its zone did not seem partitioned a moment ago. (When a
-   * zone came back after a partition, the last quarter to send heartbeats was released with all that ran there.)
+   * Whether missing heartbeats point to a fault of the machine itself, because its zone has not appeared partitioned
+   * within the last `SUSPICION_INTERVALS`. Without this delay, the last quarter of a zone's machines to resume
+   * heartbeats after a partition was released together with all their tasks.
    */
-  isCredible(machine: Machine, now: number): boolean {
-    const doubtedAt = this.doubtedAt.get(machine.zone) ?? Number.NEGATIVE_INFINITY;
-    return now - doubtedAt > DOUBT_INTERVALS * this.heartbeatIntervalS;
+  isMachineFaultLikely(machine: Machine, now: number): boolean {
+    const suspectedAt = this.suspectedAt.get(machine.zone) ?? Number.NEGATIVE_INFINITY;
+    return now - suspectedAt > SUSPICION_INTERVALS * this.heartbeatIntervalS;
   }
 
   private countOverdue(machines: readonly Machine[], now: number): Map<string, ZoneCounts> {
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -1,39 +1,39 @@
 /**
  * A limit on concurrent requests that adapts to measured latencies.
  *
- * While requests take about as long as the best latency lately measured, the limit grows by the reciprocal
- * of its square root with each request; when they take longer it shrinks in proportion. So it settles where
- * a queue would begin. A best latency learnt under load would hide the queue it was learnt in, so while
- * latencies stay high the limit is reduced now and then, and the best latency is learnt again.
+ * While requests take about as long as the best latency measured recently, the limit grows with each request by the
+ * reciprocal of its square root. When they take longer, it shrinks in proportion. The limit thus settles at the point
+ * where a queue would form. A best latency measured under load already includes queueing time, which would hide the
+ * queue. So while latencies stay high, the limit is reduced periodically and the best latency is measured again.
  */
 
-/** Weights of the smoothed latency so far and of the newest one. */
+/** Weights of the previous value and of the newest sample in the exponentially smoothed latency. */
 const SMOOTHED_WEIGHT = 0.9;
 const NEWEST_WEIGHT = 0.1;
-/** After this many requests, in multiples of the limit, the best latency is learnt again. */
+/** Number of requests, in multiples of the limit, after which the best latency is measured again. */
 const RESET_AFTER_LIMITS = 50;
-/** What the limit is divided by meanwhile. */
+/** Divisor by which the limit is reduced for that measurement. */
 const RESET_DIVISOR = 4;
-/** Latencies up to this multiple of the best one show no queue. */
+/** Latencies up to this multiple of the best latency do not indicate a queue. */
 const TOLERATED_LATENCY_FACTOR = 2;
-/** The least gradient that one request shrinks the limit by, and how much of the gradient applies. */
+/** Lower bound of the gradient, and the weights of the gradient and of the current limit when the limit shrinks. */
 const MIN_GRADIENT = 0.5;
 const GRADIENT_WEIGHT = 0.02;
 const LIMIT_WEIGHT = 0.98;
 
-/** Admits requests up to a limit that follows the measured latencies. */
+/** Admits concurrent requests up to a limit that adapts to the measured latencies. */
 export class AdaptiveConcurrencyLimit {
   private limit: number;
   private inProgress = 0;
   private bestDurationS = Number.POSITIVE_INFINITY;
-  /** 0: nothing was measured since the last reset. */
+  /** 0 until the first measurement after a reset. */
   private smoothedDurationS = 0;
   private requestsSinceReset = 0;
 
   constructor(
     private readonly minLimit: number,
     private readonly maxLimit: number,
-    /** Latency in seconds that is good enough: below it nothing is refused. */
+    /** Latency, in seconds, up to which the limit does not shrink. */
     private readonly acceptableDurationS: number,
   ) {
     this.limit = Math.sqrt(minLimit * maxLimit);
@@ -47,14 +47,14 @@
     return this.inProgress;
   }
 
-  /** False: the request is to be refused at once. */
+  /** Admits a request; returns false if the caller must reject it at once. */
   tryAcquire(): boolean {
     if (this.inProgress >= Math.floor(this.limit)) return false;
     this.inProgress++;
     return true;
   }
 
-  /** A request that `tryAcquire` admitted ended after `durationS` seconds. */
+  /** Records that a request admitted by `tryAcquire` ended after `durationS` seconds. */
   release(durationS: number): void {
     const isLimitUsed = this.inProgress >= this.limit / 2;
     this.inProgress--;
@@ -87,7 +87,10 @@
     this.smoothedDurationS = 0;
   }
 
-  /** A limit of which less than half is used says nothing about a higher one: it does not grow. */
+  /**
+   * Shrinks or grows the limit. It does not grow while less than half of it is used, since latencies measured then
+   * are no evidence that a higher limit would be safe.
+   */
   private adjust(isLimitUsed: boolean): void {
     const toleratedS = Math.max(
       this.acceptableDurationS,
--- a/src/core/overload/token-bucket.ts
+++ b/src/core/overload/token-bucket.ts
@@ -1,9 +1,9 @@
-/** A token bucket: a budget per second with a burst. The caller passes the time, in seconds. */
+/** Token bucket: limits a rate per second and allows bursts. The caller passes the current time, in seconds. */
 export class TokenBucket {
   private availableTokens: number;
   private refilledAt = 0;
 
-  /** `burst`: the most tokens that it holds; it starts full. */
+  /** `burst`: capacity of the bucket, which starts full. */
   constructor(
     private ratePerS: number,
     private burst: number,
@@ -11,14 +11,14 @@
     this.availableTokens = burst;
   }
 
-  /** Tokens above the new burst are lost. */
+  /** Changes rate and capacity. Tokens above the new `burst` are discarded. */
   setRate(ratePerS: number, burst: number): void {
     this.ratePerS = ratePerS;
     this.burst = burst;
     this.availableTokens = Math.min(this.availableTokens, burst);
   }
 
-  /** Takes all of the tokens, or none and returns false. */
+  /** Takes the requested tokens. Returns false, and takes none, if too few are available. */
   tryTake(tokens: number, now: number): boolean {
     this.refill(now);
     if (this.availableTokens < tokens) return false;
@@ -26,19 +26,22 @@
     return true;
   }
 
-  /** Takes the tokens even below zero: for what must not wait, at the expense of what may. */
+  /**
+   * Takes the tokens even if the balance becomes negative, for work that must not wait. Work that can wait is delayed
+   * until the balance is refilled.
+   */
   takeOnCredit(tokens: number, now: number): void {
     this.refill(now);
     this.availableTokens -= tokens;
   }
 
-  /** Tokens that can be taken now; negative after `takeOnCredit` took more than there were. */
+  /** Current balance of tokens; negative after `takeOnCredit` has taken more than were available. */
   available(now: number): number {
     this.refill(now);
     return this.availableTokens;
   }
 
-  /** Seconds until so many tokens can be taken. */
+  /** Seconds until the given number of tokens is available. */
   secondsUntilAvailable(tokens: number, now: number): number {
     this.refill(now);
     return this.availableTokens >= tokens ? 0 : (tokens - this.availableTokens) / this.ratePerS;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -1,9 +1,9 @@
 /**
  * The leader: one state machine for jobs, machines, quotas and commands.
  *
- * It takes inputs (changed keys, heartbeats, results, the passing of time) and returns the effects to be carried out.
- * It has no clock, socket or randomness of its own; times are in seconds of the node's steady clock. What it wants
- * written is asked for with `nextTransaction`, because how much may be written at a time is limited outside.
+ * Its methods take inputs (changed keys, heartbeats, results, the passing of time) and return the effects to be
+ * carried out. It has no clock, socket or randomness of its own. Times are in seconds of the node's steady clock. The
+ * caller fetches writes with `nextTransaction`, because the caller limits how much is written at a time.
  */
 
 import { MachinePool } from "./capacity/machine-pool.js";
@@ -38,17 +38,17 @@
   minimumTransactionChanges,
 } from "./state/write-composer.js";
 
-/** Machines are checked at most so many times in a heartbeat interval. */
+/** Maximum number of machine checks per heartbeat interval. */
 const MACHINE_CHECKS_PER_INTERVAL = 20;
 
-/** What a worker's heartbeat leads to. */
+/** Result of handling a worker's heartbeat. */
 export interface HeartbeatResult {
-  /** Commands that go with the answer. */
+  /** Commands to be sent with the answer. */
   readonly commands: WorkerCommand[];
   readonly effects: Effect[];
 }
 
-/** The leader's state machine, from the moment at which leadership was acquired. */
+/** The leader's state machine for one term, which starts when leadership is acquired. */
 export class Scheduler {
   private readonly context: LeaderContext;
   private readonly dispatcher: CommandDispatcher;
@@ -62,7 +62,7 @@
   private readonly oversizedValues: OversizedValueHandler;
   private readonly transactionResults: TransactionResults;
   private readonly fencingTokenAdvance: FencingTokenAdvance;
-  /** A transaction is out whose result is not known: nothing else may be written. */
+  /** The result of the last transaction is not known yet, so no other may be started. */
   private hasTransactionInFlight = false;
 
   constructor(options: LeaderContextOptions) {
@@ -87,22 +87,22 @@
     this.fencingTokenAdvance = new FencingTokenAdvance(context, dispatcher);
   }
 
-  /** The leader's view, for those that only read it. */
+  /** The leader's view of jobs and machines, for read access only. */
   get cluster(): Cluster {
     return this.context.cluster;
   }
 
-  /** The cloud gives more machines when they are asked for. */
+  /** Whether the pool is below its machine limit and the cloud has not recently lacked capacity. */
   isGrowing(now: number): boolean {
     return this.machinePool.isGrowing(now);
   }
 
-  /** Set by the node while it lags behind: what can wait is to leave it time. */
+  /** Set by the node while it is overloaded. Work that can wait is postponed then. */
   set isOverloaded(overloaded: boolean) {
     this.dispatcher.isOverloaded = overloaded;
   }
 
-  /** False until the first `setMachineTypes`: nothing can be placed or scaled out before. */
+  /** Whether machine types are known (`setMachineTypes`). Until then no task is placed and nothing is scaled out. */
   get hasMachineTypes(): boolean {
     return this.context.hasMachineTypes;
   }
@@ -114,31 +114,31 @@
 
   // ---------------------------------------------------------------- stored state
 
-  /** Loads everything stored, once, as of the moment at which leadership was acquired. */
+  /** Loads the entire stored state. To be called once, when leadership is acquired. */
   takeOver(replica: StateReplica, now: number): Effect[] {
     const { context, dispatcher, machinePool, jobLifecycle } = this;
     takeOver({ context, dispatcher, machinePool, jobLifecycle }, replica, now);
     return this.context.takeEffects();
   }
 
-  /** Some keys of a job changed, or were read again after a transaction with an unknown outcome. */
+  /** Handles changes of a job's keys, or their re-read after a transaction with an unknown outcome. */
   handleJobChange(replica: StateReplica, id: string, now: number): void {
     this.jobLifecycle.handleJobChange(replica, id, now);
   }
 
   // ---------------------------------------------------------------- workers
 
-  /** A worker's heartbeat arrived, and is answered with the commands returned. */
+  /** Handles a worker's heartbeat. The caller answers it with the returned commands. */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): HeartbeatResult {
     const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined && !isNewer(heartbeat, known)) {
-      // A late copy. Its answer renews nothing that the original did not, and starts nothing.
+      // A delayed duplicate: its answer renews no lease beyond the original's answer and carries no commands.
       return { commands: [], effects: this.context.takeEffects() };
     }
     const machine = this.reconciler.handleHeartbeat(heartbeat, now);
     if (machine === null) return { commands: [], effects: this.context.takeEffects() };
-    this.noteAnsweredHeartbeat(machine, now);
-    // Stops and forgets can be repeated; starts go only where their fate can be known.
+    this.recordAnsweredHeartbeat(machine, now);
+    // Stop and forget commands can be repeated. Start commands need a direct request, whose outcome is reported.
     const commands = machine.hasAcknowledgedToken
       ? this.dispatcher.commandsFor(machine, now, false)
       : [];
@@ -146,7 +146,7 @@
     return { commands, effects: this.context.takeEffects() };
   }
 
-  /** A heartbeat was answered without commands in the grace period, in which this node may not act. */
+  /** Records that a heartbeat was answered without commands in the grace period, when this node may no longer act. */
   noteGracePeriodAnswer(heartbeat: WorkerHeartbeat, now: number): void {
     const machine = this.context.cluster.machines.get(heartbeat.machine);
     if (machine === undefined || !isNewer(heartbeat, machine)) return;
@@ -161,7 +161,7 @@
     return addresses;
   }
 
-  /** A direct request with these commands was answered, or not. */
+  /** Handles the outcome of a direct request that carried these commands. */
   commandsAnswered(
     machineName: string,
     commands: readonly WorkerCommand[],
@@ -173,8 +173,8 @@
   }
 
   /**
-   * A probe was answered, or not (null). `lateTimeout`: this node was held up and saw the timeout too late, which says
-   * nothing of the worker.
+   * Handles the answer to a probe; null: none arrived. `lateTimeout`: this node was stalled and noticed the timeout
+   * too late, so the missing answer is no evidence against the worker.
    */
   probeAnswered(
     machineName: string,
@@ -188,7 +188,7 @@
 
   // ---------------------------------------------------------------- time
 
-  /** Time passed. `wallMs`: the time of day, in milliseconds. */
+  /** Runs all time-driven work that is due. `wallMs`: time of day, in milliseconds. */
   tick(now: number, wallMs: number): Effect[] {
     const checkIntervalS = this.context.settings.heartbeatIntervalS / MACHINE_CHECKS_PER_INTERVAL;
     if (now - this.monitor.checkedAt >= checkIntervalS) {
@@ -196,14 +196,14 @@
       this.fencingTokenAdvance.requestIfNeeded(now);
     }
     this.faultAttribution.drainSlowMachines(now);
-    this.faultAttribution.review(now);
+    this.faultAttribution.reviewFailures(now);
     this.schedulingCycle.runIfDue(now, wallMs);
     this.machinePool.runCloudRequests(now);
     for (const machine of [...this.dispatcher.dueMachines]) this.dispatcher.sendDue(machine, now);
     return this.context.takeEffects();
   }
 
-  /** The fencing token was advanced to a new epoch, or not (null). */
+  /** Handles the end of a fencing-token advance. Null: the token is unchanged. */
   fencingTokenAdvanced(stored: AdvancedEpoch | null, now: number): Effect[] {
     this.fencingTokenAdvance.finish(stored, now);
     return this.context.takeEffects();
@@ -216,13 +216,13 @@
     return this.context.takeEffects();
   }
 
-  /** `ok`: all of these machines, and everything on them, are gone for certain. */
+  /** Handles the result of a release. `ok`: all of these machines and their tasks are certainly terminated. */
   releaseAnswered(machines: readonly string[], ok: boolean, now: number): Effect[] {
     this.machinePool.handleReleaseResult(machines, ok, now);
     return this.context.takeEffects();
   }
 
-  /** Null: the cloud gave no list. */
+  /** Handles the cloud's list of machines. Null: the request failed. */
   machineListAnswered(machines: readonly ListedMachine[] | null, now: number): Effect[] {
     this.machinePool.handleMachineList(machines, now);
     return this.context.takeEffects();
@@ -231,8 +231,9 @@
   // ---------------------------------------------------------------- transactions
 
   /**
-   * The next transaction, or null if there is nothing to write or an earlier one is out. Its result is to be given to
-   * `transactionEnded`. `urgentOnly`: progress, and what is no more, can wait.
+   * Returns the next transaction, or null if there is nothing to write or an earlier write is still in flight. The
+   * caller passes its outcome to `transactionEnded`. `urgentOnly`: leaves out progress updates and the removal of
+   * machines from their stored records.
    */
   nextTransaction(
     maxChanges: number,
@@ -258,7 +259,7 @@
     return transaction;
   }
 
-  /** Changes that must fit the next transaction. */
+  /** Minimum number of changes for which the next transaction must have room. */
   get minimumTransactionChanges(): number {
     return Math.min(this.context.settings.txnOps, minimumTransactionChanges(this.context.cluster));
   }
@@ -267,14 +268,14 @@
     return hasPendingWrite(this.context.cluster, this.machinePool.recordShards);
   }
 
-  /** The only value of this transaction was refused for its size. */
+  /** Handles a transaction whose only value the store rejected because of its size. */
   handleRefusedValue(transaction: LeaderTransaction, now: number): void {
     this.oversizedValues.handleRefusedValue(transaction, now);
   }
 
   /**
-   * A transaction ended. After `conflict` and `unknown` the caller has read the stored state again, and given it to
-   * `handleJobChange`, before it calls this.
+   * Handles the outcome of a transaction. After `conflict` and `unknown` the caller must first read the stored state
+   * again and pass it to `handleJobChange`.
    */
   transactionEnded(
     transaction: LeaderTransaction,
@@ -287,12 +288,12 @@
     return this.context.takeEffects();
   }
 
-  private noteAnsweredHeartbeat(machine: Machine, now: number): void {
+  private recordAnsweredHeartbeat(machine: Machine, now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
     if (now - machine.lastHeartbeatAt > leaseS / 2) this.context.cycleRequested = true;
     machine.lastHeartbeatAt = now;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
-    // The answer tells it the fencing token; if that was news to it, its next heartbeat follows at once.
+    // The answer carries the fencing token. A worker to which the token is new sends its next heartbeat at once.
     if (machine.hasAcknowledgedToken) return;
     machine.nextRequestAt = Math.max(machine.nextRequestAt, now + heartbeatIntervalS / 4);
   }
