--- a/src/config/configuration-report.ts
+++ b/src/config/configuration-report.ts
@@ -1,12 +1,12 @@
 /**
- * The configuration in force, as `peatsaddle check` prints it. Operators' scripts read this output, so its field names and
- * their order are fixed here, independently of the names in the code.
+ * Output of `peatsaddle check`: the configuration in force. Operators' scripts parse it, so this module defines its
+ * field names and their order independently of the names in the code.
  */
 import type { ClusterSettings } from "../core/model/settings.js";
 import type { NodeSettings } from "../wire/settings.js";
 import type { OperatorSettings } from "./operator.js";
 
-/** The value that `check` prints as JSON. */
+/** Returns the value that `check` prints as JSON. */
 export function configurationReport(settings: NodeSettings, operator: OperatorSettings): object {
   return { settings: reportSettings(settings), operator: reportOperator(operator) };
 }
--- a/src/config/ini-values.ts
+++ b/src/config/ini-values.ts
@@ -1,12 +1,12 @@
-/** Schemas for values of an INI file, which its parser leaves as texts or booleans. */
+/** Schemas for values of an INI file, which the INI parser returns as strings or booleans. */
 import * as z from "zod";
 
-/** `true` or `false`. */
+/** A boolean, written as `true` or `false`. */
 export const iniBoolean = z
   .union([z.boolean(), z.enum(["true", "false"])])
   .transform((value) => value === true || value === "true");
 
-/** A number within bounds; an empty text is none. */
+/** Returns a schema for a number within bounds. An empty string is not accepted as a number. */
 export const iniNumber = (min: number, max: number) =>
   z
     .union([z.number(), z.string().trim().min(1, "missing")])
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,67 +1,70 @@
-/** The operators' own settings: an INI file, all of it optional. */
+/** Operator settings, read from an INI file. All of them are optional. */
 import { parse } from "ini";
 import * as z from "zod";
 import { type AdmissionSettings, decodeAdmission } from "../admission/index.js";
 import { iniBoolean } from "./ini-values.js";
 
-const ratioSchema = (byDefault: number, min: number, max: number) =>
-  z.coerce.number().min(min).max(max).default(byDefault);
+const ratioSchema = (defaultValue: number, min: number, max: number) =>
+  z.coerce.number().min(min).max(max).default(defaultValue);
 
 const sectionSchemas = {
   term: z.object({
-    /** Length of the leadership lease, as a ratio to the heartbeat interval. */
+    /** Length of the leadership lease, as a multiple of the heartbeat interval. */
     lease_ratio: ratioSchema(0.5, 0.2, 10),
-    /** Grace period: how long a leader without the state service answers heartbeats, as a ratio to lease_s. */
+    /**
+     * Grace period in which a leader that cannot reach the state service answers heartbeats, as a multiple of
+     * lease_s.
+     */
     grace_ratio: ratioSchema(1, 0, 4),
     /**
-     * Lease extension: how long a partitioned node keeps machines with replicas or gangs alive, as a ratio to lease_s.
-     * It is no shorter than the grace period.
+     * Lease extension: time for which a partitioned node keeps machines with replicas or gangs alive, as a multiple
+     * of lease_s. It is never shorter than the grace period.
      */
     keep_ratio: ratioSchema(6, 0, 50),
   }),
   renting: z.object({
-    /** Spare capacity for each class of jobs, as a ratio to what it uses. */
+    /** Spare capacity for each class of jobs, as a multiple of the capacity that the class uses. */
     spare_ratio: ratioSchema(1, 0, 10),
-    /** The largest number of machines. */
+    /** Maximum number of machines. */
     max_machines: z.coerce.number().int().min(1).max(100_000).default(100_000),
-    /** Idle machines beyond the spare capacity are released after this many worker leases. */
+    /** Idle time after which machines beyond the spare capacity are released, as a multiple of the worker lease. */
     idle_leases: ratioSchema(20, 1, 1000),
   }),
   api: z.object({
-    /** The largest number of concurrent requests, whatever the measured durations. */
+    /** Upper limit on concurrent requests, regardless of the measured durations. */
     max_in_progress: z.coerce.number().int().min(4).max(100_000).default(400),
   }),
   tracing: z.object({
-    /** Spans of jobs, for embedding programs that registered an OpenTelemetry provider. */
+    /** Whether to emit spans for jobs. Embedding programs must register an OpenTelemetry provider. */
     enabled: iniBoolean.default(false),
   }),
 } as const;
 
-/** The operators' settings; the sections above say what each means. */
+/** Operator settings. The schemas above document their meaning. */
 export interface OperatorSettings {
   readonly termLeaseRatio: number;
   readonly graceRatio: number;
   readonly extensionRatio: number;
   readonly spareCapacityRatio: number;
   readonly maxMachines: number;
-  /** Worker leases for which a machine may be idle before it is released. */
+  /** Number of worker leases for which a machine may be idle before it is released. */
   readonly maxIdleLeases: number;
   readonly maxConcurrentRequests: number;
   readonly admission: AdmissionSettings;
   readonly tracingEnabled: boolean;
 }
 
-/** What was read of the operators' file. */
+/** Result of decoding the operators' settings file. */
 export interface DecodedOperatorSettings {
   /** Null if there are faults. */
   readonly operator: OperatorSettings | null;
-  /** One line for each value that is not allowed, beginning with its key. They stop the program. */
+  /** One line per invalid value, beginning with its key. The program does not start if there are any. */
   readonly faults: readonly string[];
-  /** Keys that this version does not know. They are only reported. */
+  /** Keys that this version does not recognise. They are reported and ignored. */
   readonly unknown: readonly string[];
 }
 
-/** Decodes the text of the INI file; what is left out has its default. */
+/** Decodes the text of the INI file. Settings that are left out have their defaults. */
 export function decodeOperatorSettings(text: string): DecodedOperatorSettings {
   const raw = parse(text) as Record<string, unknown>;
   const problems: Problems = { faults: [], unknown: [] };
@@ -89,7 +92,7 @@
   readonly [K in keyof typeof sectionSchemas]: z.infer<(typeof sectionSchemas)[K]>;
 };
 
-/** All sections but `admission`, or null if one of them has a fault. */
+/** Decodes all sections except `admission`. Returns null if any of them is invalid. */
 function decodeSections(raw: Record<string, unknown>, problems: Problems): Sections | null {
   const term = decodeSection("term", sectionSchemas.term, raw, problems);
   const renting = decodeSection("renting", sectionSchemas.renting, raw, problems);
@@ -99,22 +102,22 @@
   return { term, renting, api, tracing };
 }
 
-/** One section; null, and its problems noted, if it has a fault. */
+/** Decodes one section. Returns null if it is invalid, and adds its faults and unknown keys to the given lists. */
 function decodeSection<S extends z.ZodObject>(
   name: string,
   schema: S,
   raw: Record<string, unknown>,
   { faults, unknown }: Problems,
 ): z.infer<S> | null {
-  const given = raw[name] ?? {};
-  if (typeof given !== "object" || given === null) {
+  const section = raw[name] ?? {};
+  if (typeof section !== "object" || section === null) {
     faults.push(`${name}: not a section`);
     return null;
   }
-  for (const key of Object.keys(given)) {
+  for (const key of Object.keys(section)) {
     if (!(key in schema.shape)) unknown.push(`${name}.${key}`);
   }
-  const parsed = schema.safeParse(given);
+  const parsed = schema.safeParse(section);
   if (parsed.success) return parsed.data;
   for (const issue of parsed.error.issues) {
     faults.push(`${name}.${issue.path.join(".")}: ${issue.message}`);
@@ -137,5 +140,5 @@
   tracingEnabled: tracing.enabled,
 });
 
-/** What is in force without an operators' file. */
+/** Settings in force without an operators' file. */
 export const DEFAULT_OPERATOR_SETTINGS: OperatorSettings = decodeOperatorSettings("").operator!;
