--- a/src/admission/calendar.ts
+++ b/src/admission/calendar.ts
@@ -1,7 +1,7 @@
 /**
- * The weight calendar: recurring periods in which a team or a class weighs more or less, in a time zone that the operator
- * sets. Only the leader reads the clock; the window names the periods it followed, so controllers whose clocks differ
- * still decide alike at a boundary.
+ * The weight calendar: recurring periods in which the weight of a team or class is higher or lower, in a time zone
+ * that the operator configures. Only the leader evaluates the calendar, and the admission window contains the result.
+ * So all controllers make the same decisions when a period begins or ends, even if their clocks differ.
  */
 import { DateTime, IANAZone } from "luxon";
 
@@ -11,30 +11,30 @@
 /** Minutes since local midnight. */
 type MinuteOfDay = number;
 
-/** One recurring period, as configured in a section `admission.calendar.<name>`. */
+/** A recurring period, configured in a section `admission.calendar.<name>`. */
 export interface Period {
-  /** Name of its section. */
+  /** The `<name>` part of its section. */
   readonly name: string;
-  /** Days on which it begins. */
+  /** Weekdays on which the period begins. */
   readonly days: readonly Weekday[];
-  /** Local time at which it begins. */
+  /** Local time at which the period begins. */
   readonly from: MinuteOfDay;
-  /** Local time at which it ends; not later than `from`: on the following day. */
+  /** Local time at which the period ends; on the following day if it is not later than `from`. */
   readonly to: MinuteOfDay;
   readonly team: string;
-  /** Class of the team that it applies to; null: the whole team. */
+  /** Class of the team that the period applies to, or null for the whole team. */
   readonly class: string | null;
-  /** Factor on the weight while the period is active. */
+  /** Factor that multiplies the weight while the period is active. */
   readonly weight: number;
 }
 
-/** All periods, with the IANA time zone in which their times of day are read. */
+/** All periods, with the IANA time zone of their times of day. */
 export interface Calendar {
   readonly timeZone: string;
   readonly periods: readonly Period[];
 }
 
-/** Is this the name of an IANA time zone? */
+/** Returns whether the name is that of an IANA time zone. */
 export function isTimeZone(name: string): boolean {
   return IANAZone.isValidZone(name);
 }
@@ -46,8 +46,8 @@
 }
 
 /**
- * Start and end of the period that begins on `day`. A local time that a change to summer time skips is moved on by the
- * length of the gap; of a local time that occurs twice the first occurrence counts.
+ * Returns the start and end of the period that begins on `day`. A local time skipped by the change to daylight saving
+ * time is moved forward by the length of the gap. If a local time occurs twice, the first occurrence is used.
  */
 function occurrenceOn(day: DateTime, period: Period): { from: DateTime; to: DateTime } {
   const lastDay = period.to <= period.from ? day.plus({ days: 1 }) : day;
@@ -69,7 +69,7 @@
   return false;
 }
 
-/** The periods that are active at a time of day, given in milliseconds since the Unix epoch. */
+/** Returns the periods that are active at a time, given in milliseconds since the Unix epoch. */
 export function activePeriods(calendar: Calendar, wallMs: number): Period[] {
   if (calendar.periods.length === 0) return [];
   const local = DateTime.fromMillis(wallMs, { zone: calendar.timeZone });
--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -1,6 +1,7 @@
 /**
- * Claims of one transaction: which submissions it may contain, and what it must contain beside them. Its preconditions are
- * the window and the ledger of each team that is charged, so it commits only if the verdicts still hold.
+ * The admission part of one transaction that stores submissions: selects the jobs that it may contain and supplies
+ * the ledger changes that charge them. Its preconditions are that the window and the ledger of each charged team have
+ * not changed, so the transaction commits only if the verdicts still hold.
  */
 import type { GateBatch } from "../api/submission-gate.js";
 import type { JobSpec } from "../core/model/jobs.js";
@@ -10,7 +11,7 @@
 import type { TeamLedger } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
 
-/** Admits jobs to one transaction and accumulates the ledger changes that charge them. */
+/** Admits jobs to one transaction and accumulates the corresponding ledger changes. */
 export class ClaimBatch implements GateBatch {
   /** Ledgers of the teams charged so far, with the claims of this batch added. */
   private readonly ledgers = new Map<string, TeamLedger>();
@@ -22,12 +23,15 @@
     this.windowModRevision = replica.windowModRevision;
   }
 
-  /** Number of changes that admitting the job would add to the transaction beside the job itself. */
+  /** Returns the number of changes that admitting the job would add to the transaction, besides the job itself. */
   extraChanges(job: JobSpec): number {
     return this.replica.isLimited && !this.ledgers.has(job.team) ? 1 : 0;
   }
 
-  /** Admits the job; false: as far as this controller has read, the grant of its class is used up. */
+  /**
+   * Admits the job if part of the grant of its class is unused, based on the changes that this controller has
+   * applied. Returns whether the job was admitted.
+   */
   tryAdmit(job: JobSpec): boolean {
     const { replica } = this;
     const window = replica.window?.value ?? null;
@@ -43,7 +47,7 @@
     return true;
   }
 
-  /** The window and each charged ledger, unchanged since they were read. */
+  /** Preconditions that the window and each charged ledger are unchanged since they were read. */
   get preconditions(): Precondition[] {
     const ledgers = [...this.ledgerModRevisions].map(([team, modRevision]) => ({
       key: ADMISSION_KEY.ledger(team),
@@ -52,7 +56,7 @@
     return [{ key: ADMISSION_KEY.window, modRevision: this.windowModRevision }, ...ledgers];
   }
 
-  /** The charged ledgers. */
+  /** Changes that store the charged ledgers. */
   get changes(): Change[] {
     return [...this.ledgers].map(([team, ledger]) => ({
       op: "put",
--- a/src/admission/codec.ts
+++ b/src/admission/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Stored forms of windows, ledgers and rejection records, and the keys that hold them. The one-letter field names are the
- * stored format. A value that does not have one of these forms decodes to null.
+ * Stored formats of windows, ledgers and rejection records, and the keys under which they are stored. The one-letter
+ * field names are part of the stored format. A value in any other format decodes to null.
  */
 import * as z from "zod";
 import type {
@@ -17,14 +17,14 @@
 const LEDGER_PREFIX = `${KEY_PREFIX}t/`;
 const REJECTIONS_PREFIX = `${KEY_PREFIX}r/`;
 
-/** The keys of admission control: the window, the ledger of a team, and the rejection record of a controller. */
+/** Keys of the window, of the ledger of each team and of the rejection record of each controller. */
 export const ADMISSION_KEY = {
   window: `${KEY_PREFIX}w`,
   ledger: (team: string) => `${LEDGER_PREFIX}${encodeURIComponent(team)}`,
   rejections: (member: string) => `${REJECTIONS_PREFIX}${encodeURIComponent(member)}`,
 } as const;
 
-/** A key of admission control, decoded. */
+/** A decoded key of admission control. */
 export type AdmissionKey =
   | { readonly kind: "window" }
   | { readonly kind: "ledger"; readonly team: string }
@@ -38,7 +38,7 @@
   }
 }
 
-/** Decodes a key; null: not a key of admission control. */
+/** Decodes a key. Returns null if it is not a key of admission control. */
 export function parseAdmissionKey(key: string): AdmissionKey | null {
   if (key === ADMISSION_KEY.window) return { kind: "window" };
   if (key.startsWith(LEDGER_PREFIX)) {
@@ -65,10 +65,10 @@
 const grantSchema = z
   .tuple([z.string(), z.string().nullable(), countSchema, countSchema])
   .transform(
-    ([team, className, fresh, follower]): Grant => ({
+    ([team, className, newUnits, followerUnits]): Grant => ({
       team,
       class: className,
-      lanes: { new: fresh, follower },
+      lanes: { new: newUnits, follower: followerUnits },
     }),
   );
 
@@ -92,7 +92,7 @@
     }),
   );
 
-/** The stored form of a window. */
+/** Returns the stored form of a window. */
 export function encodeWindow(window: AdmissionWindow) {
   return {
     n: window.version,
@@ -109,7 +109,7 @@
   };
 }
 
-/** The window in a stored value; null: it has another form. */
+/** Decodes a stored window. Returns null if the value has another format. */
 export function decodeWindow(value: unknown): AdmissionWindow | null {
   return windowSchema.safeParse(value).data ?? null;
 }
@@ -119,11 +119,16 @@
   .transform(
     (stored): TeamLedger => ({
       window: stored.w,
-      used: new Map(stored.u.map(([name, fresh, follower]) => [name, { new: fresh, follower }])),
+      used: new Map(
+        stored.u.map(([name, newUnits, followerUnits]) => [
+          name,
+          { new: newUnits, follower: followerUnits },
+        ]),
+      ),
     }),
   );
 
-/** The stored form of a ledger. */
+/** Returns the stored form of a ledger. */
 export function encodeLedger(ledger: TeamLedger) {
   return {
     w: ledger.window,
@@ -131,7 +136,7 @@
   };
 }
 
-/** The ledger in a stored value; null: it has another form. */
+/** Decodes a stored ledger. Returns null if the value has another format. */
 export function decodeLedger(value: unknown): TeamLedger | null {
   return ledgerSchema.safeParse(value).data ?? null;
 }
@@ -161,7 +166,7 @@
   r: z.array(refusedClassSchema),
 });
 
-/** The stored form of a rejection record. */
+/** Returns the stored form of a rejection record. */
 export function encodeRejections(record: RejectionRecord) {
   return {
     w: record.window,
@@ -177,7 +182,7 @@
   };
 }
 
-/** The rejection record of controller `member` in a stored value; null: it has another form. */
+/** Decodes the stored rejection record of controller `member`. Returns null if the value has another format. */
 export function decodeRejections(member: string, value: unknown): RejectionRecord | null {
   const stored = rejectionsSchema.safeParse(value).data;
   if (stored === undefined) return null;
--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -1,6 +1,7 @@
 /**
- * Admission control of one controller: feeds its replica, gates its submissions, stores its rejections and, while it
- * leads, the windows. The decisions are made by pure modules; this one connects them to time and to the state service.
+ * Admission control of one controller: updates its replica of the admission state, admits or rejects the submissions
+ * that it receives, stores its rejection records and, while it is the leader, the admission windows. Other modules
+ * make the decisions without side effects; this module connects them to the clock and to the state service.
  */
 import type { PendingQueue } from "../api/pending-queue.js";
 import type { PendingWrite, SubmissionGate } from "../api/submission-gate.js";
@@ -21,7 +22,7 @@
 import { capacityOf, classUsages, teamWeightsOf } from "./usage.js";
 import { WindowPlanner } from "./window-planner.js";
 
-/** What admission control needs of the controller that it is part of. */
+/** Services that the controller provides to admission control. */
 export interface AdmissionPorts {
   /** Name of this controller. */
   readonly member: string;
@@ -33,45 +34,47 @@
     preconditions: readonly Precondition[],
     changes: readonly Change[],
   ) => Promise<TransactionResult>;
-  /** Linearizable read; true once the replica holds everything that was stored when this was called. */
+  /** Linearizable read. Resolves to true once the replica includes every change stored before the call. */
   readonly readLatest: () => Promise<boolean>;
-  /** Called before each write, which counts against the controller's write budget. */
+  /** Called before each write. Writes count against the controller's write budget. */
   readonly onWrite: (changes: number) => void;
-  /** Called with each decision, in the order of the state service. */
+  /** Called with each decision, in the order in which the state service applied the changes. */
   readonly onDecision: (decision: LoggedDecision) => void;
-  /** Called when this controller has stored a window. */
+  /** Called after this controller has stored a window. */
   readonly onWindowWritten: (window: AdmissionWindow) => void;
 }
 
-/** The leader's input for the next window. */
+/** The leader's view of the cluster, from which the next window is computed. */
 export interface LeaderView {
   readonly cluster: Cluster;
-  /** The cloud still grants requests for more machines. */
+  /** Whether the cloud still grants requests for more machines. */
   readonly growing: boolean;
-  /** Epoch of the leadership. */
+  /** Leadership epoch. */
   readonly epoch: number;
-  /** Mod revision of the epoch's key: a precondition of the window, so that a former leader cannot store one. */
+  /**
+   * Mod revision of the epoch's key. As a precondition of the write, it keeps a former leader from storing a window.
+   */
   readonly epochModRevision: number;
 }
 
-/** Verdict on a submission that a client may be answered with. */
+/** Verdict on a submission that can be returned to the client. */
 export type SubmissionVerdict =
-  /** A grant is left for it. */
+  /** Part of the grant that applies to the job is unused. */
   | { readonly kind: "admissible" }
-  /** It was accepted before. */
+  /** The job was accepted earlier. */
   | { readonly kind: "known" }
-  /** The state service gave no answer, so nothing is certain. */
+  /** The state service did not answer, so the verdict is unknown. */
   | { readonly kind: "unavailable" }
   | { readonly kind: "rejected"; readonly retryAfterS: number };
 
-/** Ratio of the size limit of stored values that grants or rejections may fill. */
-const MAX_VALUE_FILL = 0.6;
-/** Queue of the cancellations; no team has this name. */
+/** Fraction of the size limit of stored values that grants or rejections may fill. */
+const MAX_VALUE_FILL_RATIO = 0.6;
+/** Name of the queue group for cancellations. No team can have this name. */
 const CANCELLATION_GROUP = "";
 
 /** Admission control of one controller. */
 export class AdmissionControl implements SubmissionGate {
-  /** What this controller has read of the admission state. */
+  /** The admission state as read by this controller. */
   readonly replica = new AdmissionReplica();
   private readonly rejectionLog: RejectionLog;
   private readonly planner: WindowPlanner;
@@ -87,12 +90,12 @@
     private readonly ports: AdmissionPorts,
   ) {
     this.windowS = settings.windowRatio * cluster.heartbeatIntervalS;
-    this.maxBytes = MAX_VALUE_FILL * 1024 * cluster.valueKb;
+    this.maxBytes = MAX_VALUE_FILL_RATIO * 1024 * cluster.valueKb;
     this.rejectionLog = new RejectionLog(ports.member, this.maxBytes);
     this.planner = new WindowPlanner(this.windowS);
   }
 
-  /** Replaces the replica by a full read of the state service at `revision`. */
+  /** Replaces the content of the replica with a full read of the state service at `revision`. */
   reset(items: readonly KeyValueItem[], revision: number): void {
     for (const decision of this.replica.reset(items, revision)) this.ports.onDecision(decision);
   }
@@ -102,30 +105,30 @@
     for (const decision of this.replica.apply(events, revision)) this.ports.onDecision(decision);
   }
 
-  /** A queue that serves the teams' submissions in turn; cancellations are a group of their own. */
+  /** Creates a queue that serves the teams in round-robin order. Cancellations form a group of their own. */
   createQueue(): PendingQueue<PendingWrite> {
     return new FairQueue(({ spec }) => (spec === null ? CANCELLATION_GROUP : spec.team));
   }
 
-  /** Claims for one more transaction. */
+  /** Begins the admission of jobs to a new transaction. */
   beginBatch(): ClaimBatch {
     return new ClaimBatch(this.replica);
   }
 
-  /** Reads the latest state, after a transaction found that a window or ledger had changed. */
+  /** Reads the latest state after a transaction failed because the window or a ledger had changed. */
   refresh(): Promise<boolean> {
     return this.ports.readLatest();
   }
 
-  /** Would the job be rejected, as far as this controller has read? */
+  /** Returns whether the job would be rejected, based on the state that this controller has read so far. */
   wouldReject(job: JobSpec): boolean {
     return !this.replica.decide(job).admitted;
   }
 
   /**
-   * The verdict that a client may be answered with on a job for which `wouldReject` returned true. What was read before
-   * the request may be out of date, and the job may have been accepted elsewhere: so this reads everything that was
-   * stored before now first.
+   * Returns the verdict for the client on a job for which `wouldReject` returned true. The state read before the
+   * request may be out of date, and another controller may have accepted the job, so this method first reads all
+   * changes stored before the call.
    */
   async verifyRejection(job: JobSpec, isKnown: () => boolean): Promise<SubmissionVerdict> {
     if (!(await this.ports.readLatest())) return { kind: "unavailable" };
@@ -135,7 +138,7 @@
     return { kind: "rejected", retryAfterS: retryAfterS(job.id, this.windowS) };
   }
 
-  /** Stores the rejections, at most once per window. */
+  /** Stores the recorded rejections, at most once per window length. */
   flushRejections(): void {
     const now = this.ports.now();
     if (this.isWritingRejections || this.rejectionLog.isEmpty) return;
@@ -147,7 +150,7 @@
     });
   }
 
-  /** Stores the next window if one is due; only the leader calls this. */
+  /** Stores the next window if one is due. Only the leader calls this. */
   updateWindow(view: LeaderView): void {
     if (this.isWritingWindow) return;
     const window = this.nextWindow(view);
@@ -173,12 +176,13 @@
     if (result.kind === "ok") {
       this.rejectionLog.markStored();
     } else if (result.kind !== "refused" && (await readLatest()) && this.isStored(sequence)) {
-      // The outcome was unknown, or an earlier write of this record had been carried out unnoticed.
+      // Either the outcome of this write was unknown, or an earlier write of the record had succeeded without an
+      // answer.
       this.rejectionLog.markStored();
     }
   }
 
-  /** Is this controller's rejection record with this number stored, or a later one? */
+  /** Returns whether this controller's rejection record with this sequence number, or a later one, is stored. */
   private isStored(sequence: number): boolean {
     return (this.replica.rejectionsOf(this.ports.member)?.value.sequence ?? 0) >= sequence;
   }
@@ -205,7 +209,7 @@
     });
   }
 
-  /** What was rejected in the newest window or the one before. */
+  /** Returns the records of the rejections in the newest window or the one before. */
   private recentRejections(stored: AdmissionWindow | null): RejectionRecord[] {
     if (stored === null) return [];
     return this.replica.allRejections().filter((record) => record.window >= stored.version - 1);
@@ -221,7 +225,7 @@
       ],
       [{ op: "put", key: ADMISSION_KEY.window, value: encodeWindow(window) }],
     );
-    // The mod revision of this window is a precondition of the next one, and only a read tells it.
+    // The mod revision of this window is a precondition of the next one, and only a read provides it.
     await readLatest();
     if (result.kind !== "ok") return;
     this.planner.markWritten(now());
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -1,12 +1,13 @@
 /**
- * The decision on one job: a pure function of the window, the team's ledger and the job.
+ * Decides whether a job is admitted: a pure function of the admission window, the team's ledger and the job.
  *
- * A class may submit a job while any of its grant is left, however large the job (surplus round robin). It exceeds its
- * grant by less than one job, and the excess counts against it in later windows as unfinished work. So a class whose
- * smallest job is larger than its share does not starve.
+ * A class may submit a job of any size as long as part of its grant is unused (as in surplus round robin). It
+ * therefore exceeds its grant by less than one job, and the excess counts against it in later windows as unfinished
+ * work. This way a class whose smallest job is larger than its share does not starve.
  *
- * Within a window ledgers only grow, so the verdict on a job can only turn from admission to rejection. Since each
- * admission is a transaction with the ledger among its preconditions, all controllers decide alike on a job.
+ * Within a window, ledgers only grow, so the verdict on a job can only change from admission to rejection. Each
+ * admission is a transaction that has the ledger as a precondition, so all controllers reach the same decision on a
+ * job.
  */
 import type { JobSpec } from "../core/model/jobs.js";
 import {
@@ -21,10 +22,10 @@
   WHOLE_SHARE,
 } from "./model.js";
 
-/** Ledger entry that all classes are charged to which the window does not name; no class has this name. */
+/** Ledger entry to which all classes without a grant of their own are charged. No class can have this name. */
 export const OTHER_CLASSES = "";
 
-/** Is the window in force in this epoch, and does it limit admission? */
+/** Returns whether the window is in force in this epoch and limits admission. */
 export function isLimiting(
   window: AdmissionWindow | null,
   epoch: number,
@@ -32,48 +33,48 @@
   return window !== null && window.mode === "limited" && window.epoch === epoch;
 }
 
-/** The grant that applies to a class of a team; null: the window grants the team nothing. */
+/** Returns the grant that applies to a class of a team, or null if the window has no grant for the team. */
 export function grantFor(window: AdmissionWindow, team: string, className: string): Grant | null {
-  let others: Grant | null = null;
+  let grantForOthers: Grant | null = null;
   for (const grant of window.grants) {
     if (grant.team !== team) continue;
     if (grant.class === className) return grant;
-    if (grant.class === null) others = grant;
+    if (grant.class === null) grantForOthers = grant;
   }
-  return others;
+  return grantForOthers;
 }
 
 /**
- * The dominant share: the largest ratio of `resources` to `capacity` over all kinds of resources, as a number of units of
- * which the whole capacity is `WHOLE_SHARE`; rounded up.
+ * Returns the dominant share of `resources`: the largest ratio of `resources` to `capacity` over all resource types,
+ * in units of 1 / `WHOLE_SHARE` of the capacity, rounded up.
  */
 export function dominantShare(resources: ResourceVector, capacity: ResourceVector): number {
-  let most = 0;
+  let maxShare = 0;
   for (const resource of RESOURCES) {
     if (resources[resource] <= 0) continue;
-    // Of a resource that the cluster does not have, any demand counts as the whole.
+    // Any demand for a resource that the cluster does not have counts as the whole capacity.
     const share = capacity[resource] > 0 ? resources[resource] / capacity[resource] : 1;
-    most = Math.max(most, share);
+    maxShare = Math.max(maxShare, share);
   }
-  return Math.min(Number.MAX_SAFE_INTEGER, Math.ceil(WHOLE_SHARE * most));
+  return Math.min(Number.MAX_SAFE_INTEGER, Math.ceil(WHOLE_SHARE * maxShare));
 }
 
-/** The name under which a job is charged in its team's ledger. */
+/** Returns the name of the entry in the team's ledger that the job is charged to. */
 export function chargedClass(window: AdmissionWindow, job: JobSpec): string {
   return grantFor(window, job.team, job.class)?.class ?? OTHER_CLASSES;
 }
 
-/** The ledger if it belongs to this window; a ledger of an earlier window counts as empty. */
+/** Returns the ledger if it belongs to this window, otherwise null: a ledger of an earlier window counts as empty. */
 function currentLedger(window: AdmissionWindow, ledger: TeamLedger | null): TeamLedger | null {
   return ledger !== null && ledger.window === window.version ? ledger : null;
 }
 
 /**
- * The verdict on one job.
+ * Returns the verdict on one job.
  *
- * @param window - the newest window; null: there never was one
- * @param epoch - current epoch of the leadership; a window of another epoch limits nothing
- * @param ledger - what the job's team was admitted; null: nothing yet
+ * @param window - the newest window, or null if none was ever stored
+ * @param epoch - the current leadership epoch; a window of another epoch limits nothing
+ * @param ledger - the admissions charged to the job's team, or null if there are none yet
  */
 export function decide(
   window: AdmissionWindow | null,
@@ -91,7 +92,7 @@
   return { admitted: true, reason: "within share", claim };
 }
 
-/** The team's ledger after `claim` units were charged to it for the job. */
+/** Returns the team's ledger with `claim` more units charged to it for the job. */
 export function charge(
   window: AdmissionWindow,
   ledger: TeamLedger | null,
@@ -101,9 +102,9 @@
   const current = currentLedger(window, ledger);
   const used = new Map(current?.used ?? []);
   const className = chargedClass(window, job);
-  const before = used.get(className) ?? { new: 0, follower: 0 };
+  const previous = used.get(className) ?? { new: 0, follower: 0 };
   const lane = laneOf(job);
-  const sum = Math.min(Number.MAX_SAFE_INTEGER, before[lane] + claim);
-  used.set(className, { ...before, [lane]: sum });
+  const total = Math.min(Number.MAX_SAFE_INTEGER, previous[lane] + claim);
+  used.set(className, { ...previous, [lane]: total });
   return { window: window.version, used };
 }
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,14 +1,15 @@
 /**
- * A queue that serves groups in turn (round robin), and each group first come, first served. Until a window limits a team,
- * its burst must not delay other teams' submissions that wait for their transaction at the same controller.
+ * A queue that serves groups of items in round-robin order, and the items of each group first in, first out. Before
+ * an admission window limits a team, a burst of its submissions must not delay the submissions of other teams that
+ * wait for a transaction on the same controller.
  */
 import type { PendingQueue } from "../api/pending-queue.js";
 
-/** Round-robin queue over groups of items. */
+/** Serves groups of items in round-robin order. */
 export class FairQueue<T> implements PendingQueue<T> {
-  /** Non-empty groups; the first is served next. */
+  /** Non-empty groups, in the order in which they are served. */
   private readonly groups = new Map<string, T[]>();
-  /** Items put back after a failed transaction: served before all groups, in this order. */
+  /** Items put back after a failed transaction. They are served before all groups, in this order. */
   private requeued: T[] = [];
 
   constructor(private readonly groupOf: (item: T) => string) {}
@@ -43,7 +44,7 @@
     if (first === undefined) return undefined;
     const [name, items] = first;
     const item = items.shift();
-    // Its group had its turn: it goes to the end.
+    // Reinserting the group moves it to the end of the service order.
     this.groups.delete(name);
     if (items.length > 0) this.groups.set(name, items);
     return item;
--- a/src/admission/fair-share.ts
+++ b/src/admission/fair-share.ts
@@ -1,7 +1,8 @@
 /**
- * Weighted max-min fairness over several resources (dominant resource fairness; Ghodsi et al., NSDI 2011), by
- * progressive filling: the dominant shares of all teams rise together, in proportion to their weights, until a
- * constraint or its own demand stops a claimant; the others continue. Within a team the classes share its rate.
+ * Weighted max-min fairness over several resources (dominant resource fairness; Ghodsi et al., NSDI 2011), computed
+ * by progressive filling: the dominant shares of all teams grow together, in proportion to their weights. A claimant
+ * stops growing when it reaches a constraint or its own demand; the others continue. The classes of a team divide its
+ * growth rate by their weights.
  */
 import { RESOURCES, type ResourceVector } from "./model.js";
 
@@ -10,26 +11,26 @@
   readonly team: string;
   /** Weight of its class within the team. */
   readonly weight: number;
-  /** What it would use if there were enough; all zero: it demands nothing. */
+  /** Resources that it would use if capacity were unlimited; all zero if it demands nothing. */
   readonly demand: ResourceVector;
 }
 
-/** What progressive filling distributes, to whom, and within which limits. */
+/** Input of progressive filling: the capacity, the claimants and the limits. */
 export interface FairShareInput {
   readonly claimants: readonly Claimant[];
-  /** Weight of each team; a team that is missing is given nothing. */
+  /** Weight of each team. A team without an entry is allocated nothing. */
   readonly teamWeights: ReadonlyMap<string, number>;
-  /** What is distributed; `Infinity`: the resource is unbounded. */
+  /** Resources to distribute; `Infinity` for an unbounded resource. */
   readonly capacity: ResourceVector;
-  /** What a team may use at most; `Infinity`: no limit on the resource. A team without limits is missing. */
+  /** Upper limit of each team; `Infinity` for a resource without a limit. A team without limits has no entry. */
   readonly teamLimits: ReadonlyMap<string, ResourceVector>;
 }
 
-/** An upper bound on what a set of claimants uses of one resource in total. */
+/** An upper bound on the total use of one resource by a set of claimants. */
 interface Constraint {
-  /** Demand of each claimant for the resource; 0 if the bound does not apply to it. */
+  /** Demand of each claimant for the resource; 0 for claimants to which the bound does not apply. */
   readonly demands: readonly number[];
-  /** What is still unused of the bound. */
+  /** Unused part of the bound. */
   remaining: number;
 }
 
@@ -37,72 +38,72 @@
 
 function constraintsOf(input: FairShareInput): Constraint[] {
   const constraints: Constraint[] = [];
-  const add = (limit: number, demands: readonly number[]): void => {
+  const addConstraint = (limit: number, demands: readonly number[]): void => {
     if (Number.isFinite(limit) && demands.some((demand) => demand > 0)) {
       constraints.push({ demands, remaining: limit });
     }
   };
   for (const resource of RESOURCES) {
     const demands = input.claimants.map((claimant) => claimant.demand[resource]);
-    add(input.capacity[resource], demands);
+    addConstraint(input.capacity[resource], demands);
     for (const [team, limit] of input.teamLimits) {
-      const demandsOfTeam = input.claimants.map((claimant, index) =>
+      const teamDemands = input.claimants.map((claimant, index) =>
         claimant.team === team ? demands[index]! : 0,
       );
-      add(limit[resource], demandsOfTeam);
+      addConstraint(limit[resource], teamDemands);
     }
   }
   return constraints;
 }
 
-/** The largest share that the demand is of any bounded resource. */
+/** Returns the largest ratio of demand to capacity over all bounded resources; 0 if none of them is demanded. */
 function dominantShareOfDemand(demand: ResourceVector, capacity: ResourceVector): number {
-  let most = 0;
+  let maxShare = 0;
   for (const resource of RESOURCES) {
     if (demand[resource] <= 0) continue;
     const available = capacity[resource];
     if (!Number.isFinite(available)) continue;
-    most = Math.max(most, available > 0 ? demand[resource] / available : 1);
+    maxShare = Math.max(maxShare, available > 0 ? demand[resource] / available : 1);
   }
-  return most;
+  return maxShare;
 }
 
-/** Growth of each claimant's fraction per unit by which the common level rises. */
-function fillRates(input: FairShareInput, isRising: readonly boolean[]): number[] {
+/** Returns the growth of each claimant's fraction per unit of growth of the common fill level. */
+function fillRates(input: FairShareInput, isActive: readonly boolean[]): number[] {
   const weightInTeam = new Map<string, number>();
   for (const [index, { team, weight }] of input.claimants.entries()) {
-    if (isRising[index]) weightInTeam.set(team, (weightInTeam.get(team) ?? 0) + weight);
+    if (isActive[index]) weightInTeam.set(team, (weightInTeam.get(team) ?? 0) + weight);
   }
   return input.claimants.map(({ team, weight, demand }, index) => {
-    if (!isRising[index]) return 0;
+    if (!isActive[index]) return 0;
     const teamWeight = input.teamWeights.get(team) ?? 0;
     const dominant = dominantShareOfDemand(demand, input.capacity);
-    // Without a bounded resource in its demand, only its team's limit can stop it.
+    // If its demand includes no bounded resource, only its team's limit can stop the claimant.
     return (teamWeight * (weight / weightInTeam.get(team)!)) / (dominant > 0 ? dominant : 1);
   });
 }
 
-/** What all claimants use of a constraint's resource at these fractions (or rates) of their demands. */
+/** Returns the total use of the constraint's resource at the given fractions (or growth rates) of the demands. */
 function usageOf(constraint: Constraint, fractions: readonly number[]): number {
   return constraint.demands.reduce((sum, demand, index) => sum + demand * fractions[index]!, 0);
 }
 
-/** Progress of one filling. */
+/** State of one run of progressive filling. */
 interface FillState {
   readonly constraints: readonly Constraint[];
-  /** Of each claimant's demand, what it is given so far. */
+  /** Fraction of its demand that each claimant has been allocated so far. */
   readonly fractions: number[];
-  /** Claimants that no bound has stopped yet. */
-  readonly isRising: boolean[];
-  /** Largest fraction. */
-  readonly ceiling: number;
+  /** Whether each claimant still grows, that is, has not reached a bound. */
+  readonly isActive: boolean[];
+  /** Upper limit of every fraction. */
+  readonly maxFraction: number;
 }
 
-/** How far the level can rise until a constraint or a demand is met. */
+/** Returns the growth of the fill level until the next constraint or maximum fraction is reached. */
 function nextFillStep(state: FillState, rates: readonly number[]): number {
   let step = Number.POSITIVE_INFINITY;
   for (const [index, rate] of rates.entries()) {
-    if (rate > 0) step = Math.min(step, (state.ceiling - state.fractions[index]!) / rate);
+    if (rate > 0) step = Math.min(step, (state.maxFraction - state.fractions[index]!) / rate);
   }
   for (const constraint of state.constraints) {
     const usage = usageOf(constraint, rates);
@@ -111,7 +112,7 @@
   return Math.max(0, step);
 }
 
-/** Is a constraint that applies to the claimant used up? */
+/** Returns whether a constraint that applies to the claimant is used up. */
 function isSaturated(claimant: number, constraints: readonly Constraint[]): boolean {
   return constraints.some(({ demands, remaining }) => {
     const total = demands.reduce((sum, demand) => sum + demand, 0);
@@ -119,8 +120,8 @@
   });
 }
 
-/** Raises all fractions by one step of the level, and reduces what remains of the constraints. */
-function raise(
+/** Raises the fractions by one step of the fill level and deducts the use from the constraints. */
+function applyFillStep(
   { fractions, constraints }: FillState,
   rates: readonly number[],
   step: number,
@@ -129,57 +130,63 @@
   for (const constraint of constraints) constraint.remaining -= step * usageOf(constraint, rates);
 }
 
-/** Stops the claimants that have reached a bound; returns whether there were any. */
-function stopSaturated(state: FillState, rates: readonly number[]): boolean {
-  const { fractions, isRising, constraints, ceiling } = state;
-  let hasStopped = false;
-  for (const index of isRising.keys()) {
-    if (!isRising[index]) continue;
-    const isMet = fractions[index]! >= ceiling - TOLERANCE;
-    if (isMet || rates[index] === 0 || isSaturated(index, constraints)) {
-      isRising[index] = false;
-      hasStopped = true;
+/** Deactivates the claimants that have reached a bound or cannot grow, and returns whether there were any. */
+function deactivateSaturated(state: FillState, rates: readonly number[]): boolean {
+  const { fractions, isActive, constraints, maxFraction } = state;
+  let hasDeactivated = false;
+  for (const index of isActive.keys()) {
+    if (!isActive[index]) continue;
+    const isAtMaximum = fractions[index]! >= maxFraction - TOLERANCE;
+    if (isAtMaximum || rates[index] === 0 || isSaturated(index, constraints)) {
+      isActive[index] = false;
+      hasDeactivated = true;
     }
   }
-  return hasStopped;
+  return hasDeactivated;
 }
 
 /**
- * The fraction of its demand that each claimant is given.
+ * Returns the fraction of its demand that each claimant is allocated.
  *
- * @param ceiling - largest fraction; 1: no more than is demanded, `Infinity`: the surplus is distributed as well
- * @param from - fractions that are given already
+ * @param maxFraction - upper limit of every fraction: 1 to allocate no more than the demand, `Infinity` to distribute
+ *   the surplus as well
+ * @param initialFractions - fractions that have already been allocated
  */
 export function fairFractions(
   input: FairShareInput,
-  ceiling = 1,
-  from: readonly number[] = input.claimants.map(() => 0),
+  maxFraction = 1,
+  initialFractions: readonly number[] = input.claimants.map(() => 0),
 ): number[] {
-  const state = startFilling(input, ceiling, from);
-  while (state.isRising.some(Boolean)) {
-    const rates = fillRates(input, state.isRising);
+  const state = initialFillState(input, maxFraction, initialFractions);
+  while (state.isActive.some(Boolean)) {
+    const rates = fillRates(input, state.isActive);
     const step = nextFillStep(state, rates);
     if (step === Number.POSITIVE_INFINITY) {
       return state.fractions.map((fraction, index) =>
         rates[index]! > 0 ? Number.POSITIVE_INFINITY : fraction,
       );
     }
-    raise(state, rates, step);
-    const hasStopped = stopSaturated(state, rates);
-    // Rounding left the tightest bound slightly open: nothing can rise any further.
-    if (!hasStopped && step <= TOLERANCE) break;
+    applyFillStep(state, rates, step);
+    const hasDeactivated = deactivateSaturated(state, rates);
+    // Because of rounding, the tightest bound is not quite reached, but no fraction can grow any further.
+    if (!hasDeactivated && step <= TOLERANCE) break;
   }
   return state.fractions;
 }
 
-function startFilling(input: FairShareInput, ceiling: number, from: readonly number[]): FillState {
+function initialFillState(
+  input: FairShareInput,
+  maxFraction: number,
+  initialFractions: readonly number[],
+): FillState {
   const constraints = constraintsOf(input);
-  for (const constraint of constraints) constraint.remaining -= usageOf(constraint, from);
-  const isRising = input.claimants.map(
+  for (const constraint of constraints)
+    constraint.remaining -= usageOf(constraint, initialFractions);
+  const isActive = input.claimants.map(
     ({ demand }, index) =>
       RESOURCES.some((resource) => demand[resource] > 0) &&
-      from[index]! < ceiling &&
+      initialFractions[index]! < maxFraction &&
       !isSaturated(index, constraints),
   );
-  return { constraints, fractions: [...from], isRising, ceiling };
+  return { constraints, fractions: [...initialFractions], isActive, maxFraction };
 }
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,6 +1,7 @@
 /**
- * Fair admission under overload: the interface for embedding programs (`peatsaddle/admission`) and for the rest of the
- * program. A program that only needs shares and verdicts needs `limitedWindow`, `decide` and `charge`, which are pure.
+ * Fair admission control under overload. This is the interface for programs that embed it (`peatsaddle/admission`)
+ * and for the other modules of the scheduler. The pure functions `limitedWindow`, `decide` and `charge` suffice for
+ * programs that only need shares and verdicts.
  */
 export { activePeriods, type Calendar, isTimeZone, type Period } from "./calendar.js";
 export { ClaimBatch } from "./claims.js";
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -1,22 +1,18 @@
-/** The types of admission control: resources, windows, grants, ledgers, rejections and decisions. */
+/** Types of admission control: resources, windows, grants, ledgers, rejections and decisions. */
 import type { JobSpec } from "../core/model/jobs.js";
 
-/** Amounts of the resources that are distributed: CPU cores, GPUs and gigabytes of memory. */
+/** Amounts of the resources that admission control distributes: CPU cores, GPUs and gigabytes of memory. */
 export interface ResourceVector {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** The kinds of resources. */
 export const RESOURCES = ["cpus", "gpus", "memoryGb"] as const;
-/** One kind of resource. */
 export type Resource = (typeof RESOURCES)[number];
 
-/** Nothing of any resource. */
 export const NO_RESOURCES: ResourceVector = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** The sum of two vectors. */
 export function addResources(left: ResourceVector, right: ResourceVector): ResourceVector {
   return {
     cpus: left.cpus + right.cpus,
@@ -25,7 +21,6 @@
   };
 }
 
-/** A multiple of a vector. */
 export function scaleResources(resources: ResourceVector, factor: number): ResourceVector {
   return {
     cpus: resources.cpus * factor,
@@ -34,103 +29,105 @@
   };
 }
 
-/** What a number of tasks of a job use together. */
+/** Returns the resources that a number of tasks of a job use in total. */
 export function resourcesOf(job: JobSpec, tasks: number): ResourceVector {
   return scaleResources(job, tasks);
 }
 
 /**
- * Number of units that the whole capacity of a cluster's dominant resource has. Grants and claims are counted in these
- * units: integers, so that sums are exact and the same at every controller.
+ * Number of units into which the cluster's capacity for the dominant resource is divided. Grants and claims are
+ * integer numbers of these units, so that sums are exact and identical on every controller.
  */
 export const WHOLE_SHARE = 100_000_000;
 
-/** A grant without a limit, in units of `WHOLE_SHARE`. */
+/** Size of a grant that does not limit admission. */
 export const UNLIMITED = Number.MAX_SAFE_INTEGER;
 
 /**
- * The lane that a job is granted and charged in. New work and followers (jobs with dependencies) have separate grants, so
- * that a flood of new work cannot use up what the later jobs of accepted pipelines need.
+ * The category of a job for grants and charges. New work and followers (jobs with dependencies) have separate grants,
+ * so that a flood of new work cannot use up the grants that later jobs of accepted pipelines need.
  */
 export type Lane = "new" | "follower";
 
-/** The lane of a job. */
 export function laneOf(job: JobSpec): Lane {
   return (job.after?.length ?? 0) > 0 ? "follower" : "new";
 }
 
-/** What one class of a team may be admitted in a window, by lane, in units of `WHOLE_SHARE`. */
+/**
+ * The work that one class of a team may have admitted in a window: units of 1 / `WHOLE_SHARE` of the capacity, by
+ * lane.
+ */
 export interface Grant {
   readonly team: string;
-  /** Null: all classes of the team that the window does not name. */
+  /** Null in the grant for all classes of the team that have no grant of their own. */
   readonly class: string | null;
   readonly lanes: Readonly<Record<Lane, number>>;
 }
 
-/** The leader's record of what may be admitted until it stores the next one. */
+/** The grants that the leader stores, which limit admission until it stores the next window. */
 export interface AdmissionWindow {
-  /** Counts the windows. */
+  /** Number of the window; each window has the version of its predecessor plus 1. */
   readonly version: number;
-  /** Epoch of the leadership that wrote it; in another epoch it is not in force. */
+  /** Leadership epoch in which the window was stored. The window is not in force in any other epoch. */
   readonly epoch: number;
-  /** `open`: everything is admitted. */
+  /** `open` if every job is admitted, `limited` if the grants apply. */
   readonly mode: "open" | "limited";
-  /** The capacity that shares refer to. */
+  /** The cluster capacity that the shares are fractions of. */
   readonly capacity: ResourceVector;
   readonly grants: readonly Grant[];
-  /** Names of the calendar's periods that were active when the leader computed the grants. */
+  /** Names of the weight calendar's periods that were active when the leader computed the grants. */
   readonly periods: readonly string[];
 }
 
-/** What a team was admitted in one window, in units of `WHOLE_SHARE`, by class (as the window names them) and lane. */
+/** The units charged to a team in one window, by lane and class. Classes without a grant share one entry. */
 export interface TeamLedger {
   /** Version of the window. */
   readonly window: number;
   readonly used: ReadonlyMap<string, Readonly<Record<Lane, number>>>;
 }
 
-/** What one controller rejected of a class in a window. */
+/** The jobs of one class and lane that one controller rejected in a window. */
 export interface RefusedClass {
   readonly team: string;
   readonly class: string;
   readonly lane: Lane;
-  /** Number of distinct jobs, including those whose ids did not fit the record. */
+  /** Number of distinct jobs, including those whose ids did not fit into the record. */
   readonly jobs: number;
   readonly resources: ResourceVector;
-  /** The jobs' ids, as many as fit the record. */
+  /** Ids of the jobs, as many as fit into the record. */
   readonly ids: readonly string[];
 }
 
-/** A controller's aggregated rejections in one window. */
+/** The rejections of one controller in one window, aggregated by class and lane. */
 export interface RejectionRecord {
   readonly member: string;
   /** Version of the window. */
   readonly window: number;
-  /** Counts the records of this controller. */
+  /** Sequence number of the record among those of this controller. */
   readonly sequence: number;
   readonly classes: readonly RefusedClass[];
 }
 
 /** Why a job was admitted or rejected. */
 export type DecisionReason =
-  /** No window limits admission. */
+  /** Admitted: no window limits admission. */
   | "open"
-  /** Some of the grant of the class was left. */
+  /** Admitted: part of the grant of the class was unused. */
   | "within share"
-  /** The grant of the class is used up. */
+  /** Rejected: the grant of the class is used up. */
   | "share used"
-  /** Stored by a controller without admission control; counts as unfinished work in the next window. */
+  /** Stored by a controller without admission control. The job counts as unfinished work in the next window. */
   | "not charged";
 
 /** The decision on one job. */
 export interface Verdict {
   readonly admitted: boolean;
   readonly reason: DecisionReason;
-  /** Units of `WHOLE_SHARE` charged to the grant of an admitted job; 0: none is charged. */
+  /** Units to charge to the grant if the job is admitted; 0 if nothing is charged. */
   readonly claim: number;
 }
 
-/** One line of the decision log, the same at every controller. Its fields are logged as they are. */
+/** An entry of the decision log, identical on every controller. It is logged under these field names. */
 export type LoggedDecision =
   | {
       readonly kind: "admit";
@@ -146,7 +143,7 @@
       readonly kind: "reject";
       readonly revision: number;
       readonly window: number;
-      /** Null: jobs that were only counted, since their ids did not fit the record. */
+      /** Null for jobs that were only counted because their ids did not fit into the record. */
       readonly job: string | null;
       readonly jobs: number;
       readonly team: string;
@@ -155,7 +152,7 @@
       readonly reason: DecisionReason;
     }
   /**
-   * Everything up to this revision came with a full read: the single decisions before it, and all rejections of windows
-   * up to this one, are missing from this controller's log.
+   * Records that the controller obtained the state at this revision by a full read. Its log lacks the individual
+   * decisions before this revision, and all rejections in this window and earlier ones.
    */
   | { readonly kind: "reread"; readonly revision: number; readonly window: number };
--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -1,4 +1,7 @@
-/** The rejections of this controller, aggregated into one small record per window, so that a flood costs few writes. */
+/**
+ * Aggregates the rejections of this controller into one small record per window, so that a flood of rejected
+ * submissions causes few writes.
+ */
 import { createHash } from "node:crypto";
 import type { JobSpec } from "../core/model/jobs.js";
 import {
@@ -12,9 +15,12 @@
   resourcesOf,
 } from "./model.js";
 
-/** Distinct jobs remembered in a window; any further job is counted each time that it is rejected. */
-const MAX_REMEMBERED_JOBS = 100_000;
-/** Size of a class in the record without its names and ids. */
+/**
+ * Number of rejected jobs per window whose ids are kept in order to count each job once. Further jobs are counted
+ * each time they are rejected.
+ */
+const MAX_DEDUPLICATED_JOBS = 100_000;
+/** Estimated size of a class entry in a record, without its names and job ids. */
 const CLASS_OVERHEAD_BYTES = 120;
 
 interface MutableRefusedClass {
@@ -26,15 +32,15 @@
   readonly ids: string[];
 }
 
-/** Aggregates rejections, and keeps the records until they are stored. */
+/** Aggregates rejections into records and keeps the records until they are stored. */
 export class RejectionLog {
-  /** Version of the window that is being aggregated. */
+  /** Version of the window whose rejections are being aggregated. */
   private window = 0;
-  private readonly refusedJobIds = new Set<string>();
+  private readonly countedJobIds = new Set<string>();
   private classes = new Map<string, MutableRefusedClass>();
   private recordBytes = 0;
-  /** Completed records that are not stored yet, oldest first. */
-  private readonly unpersisted: RejectionRecord[] = [];
+  /** Completed records that have not been stored yet, oldest first. */
+  private readonly unstoredRecords: RejectionRecord[] = [];
 
   constructor(
     private readonly member: string,
@@ -42,16 +48,16 @@
     private readonly maxBytes: number,
   ) {}
 
-  /** Counts the rejection of a job; of the same job in the same window only the first rejection counts. */
+  /** Records the rejection of a job. Repeated rejections of a job in the same window count once. */
   add(window: number, job: JobSpec): void {
     if (window !== this.window) {
       this.closeRecord();
       this.window = window;
-      this.refusedJobIds.clear();
+      this.countedJobIds.clear();
     }
-    if (this.refusedJobIds.has(job.id)) return;
-    if (this.refusedJobIds.size < MAX_REMEMBERED_JOBS) this.refusedJobIds.add(job.id);
-    const refused = this.classOf(job);
+    if (this.countedJobIds.has(job.id)) return;
+    if (this.countedJobIds.size < MAX_DEDUPLICATED_JOBS) this.countedJobIds.add(job.id);
+    const refused = this.findOrCreateClass(job);
     if (refused === null) return;
     refused.jobs++;
     refused.resources = addResources(refused.resources, resourcesOf(job, job.tasks));
@@ -61,36 +67,42 @@
     refused.ids.push(job.id);
   }
 
-  /** Is there nothing to store? */
+  /** Whether there is nothing to store. */
   get isEmpty(): boolean {
-    return this.unpersisted.length === 0 && this.classes.size === 0;
+    return this.unstoredRecords.length === 0 && this.classes.size === 0;
   }
 
-  /** The oldest record that is not stored, with its sequence number; it stays until `markStored`. Null: there is none. */
+  /**
+   * Returns the oldest record that has not been stored, with the given sequence number, or null if there is none. The
+   * record is kept until `markStored` is called.
+   */
   nextRecord(sequence: number): RejectionRecord | null {
-    if (this.unpersisted.length === 0) this.closeRecord();
-    const oldest = this.unpersisted[0];
+    if (this.unstoredRecords.length === 0) this.closeRecord();
+    const oldest = this.unstoredRecords[0];
     return oldest === undefined ? null : { ...oldest, sequence };
   }
 
-  /** To be called when the oldest record was stored. */
+  /** Must be called when the oldest record was stored. */
   markStored(): void {
-    this.unpersisted.shift();
+    this.unstoredRecords.shift();
   }
 
-  /** The entry of the job's class; null: the record is full. The job is rejected all the same, and counted in a later record. */
-  private classOf(job: JobSpec): MutableRefusedClass | null {
+  /**
+   * Returns the entry of the job's class, or null if the record is full. The job is rejected in either case; if the
+   * record is full, a later rejection of the job can count it in another record.
+   */
+  private findOrCreateClass(job: JobSpec): MutableRefusedClass | null {
     const lane = laneOf(job);
     const key = JSON.stringify([job.team, job.class, lane]);
-    const known = this.classes.get(key);
-    if (known !== undefined) return known;
+    const existing = this.classes.get(key);
+    if (existing !== undefined) return existing;
     const bytes = key.length + CLASS_OVERHEAD_BYTES;
     if (this.recordBytes + bytes > this.maxBytes) {
-      this.refusedJobIds.delete(job.id);
+      this.countedJobIds.delete(job.id);
       return null;
     }
     this.recordBytes += bytes;
-    const fresh: MutableRefusedClass = {
+    const created: MutableRefusedClass = {
       team: job.team,
       class: job.class,
       lane,
@@ -98,31 +110,32 @@
       resources: NO_RESOURCES,
       ids: [],
     };
-    this.classes.set(key, fresh);
-    return fresh;
+    this.classes.set(key, created);
+    return created;
   }
 
   private closeRecord(): void {
     if (this.classes.size === 0) return;
     const classes: RefusedClass[] = [...this.classes.values()];
-    this.unpersisted.push({ member: this.member, window: this.window, sequence: 0, classes });
+    this.unstoredRecords.push({ member: this.member, window: this.window, sequence: 0, classes });
     this.classes = new Map();
     this.recordBytes = 0;
   }
 }
 
-/** The protocol's upper limit of Retry-After. */
+/** Largest value of `Retry-After` that the protocol allows. */
 const MAX_RETRY_AFTER_S = 30;
-/** Windows over which the retries of rejected clients are spread. */
-const SPREAD_WINDOWS = 4;
+/** Number of windows over which the retries of rejected clients are spread. */
+const RETRY_SPREAD_WINDOWS = 4;
 
 /**
- * Seconds after which a rejected client may retry: not before the next window, and spread by the job's id, so that the
- * clients of one flood do not return at once.
+ * Returns the number of seconds after which a rejected client may retry: at least one window length, so that the
+ * retry falls into a later window, and at most `MAX_RETRY_AFTER_S`. The value depends on a hash of the job's id, so
+ * that clients rejected together do not all retry together.
  */
 export function retryAfterS(jobId: string, windowS: number): number {
   const earliest = Math.min(MAX_RETRY_AFTER_S, Math.ceil(windowS));
-  const latest = Math.min(MAX_RETRY_AFTER_S, Math.ceil(SPREAD_WINDOWS * windowS));
+  const latest = Math.min(MAX_RETRY_AFTER_S, Math.ceil(RETRY_SPREAD_WINDOWS * windowS));
   const hash = createHash("sha256").update(jobId).digest().readUInt32BE();
   return earliest + (hash % (latest - earliest + 1));
 }
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -1,6 +1,7 @@
 /**
- * A controller's replica of the admission state: a pure reducer over the changes in the state service, in their order. All
- * controllers that have read up to a revision hold the same state and have logged the same decisions.
+ * A controller's replica of the admission state, built by applying the changes in the state service in order. All
+ * controllers that have applied the changes up to the same revision hold the same state and have logged the same
+ * decisions.
  */
 import { assertNever } from "../core/assert-never.js";
 import type { JobSpec } from "../core/model/jobs.js";
@@ -20,38 +21,43 @@
 } from "./model.js";
 
 const ACTIVE_JOB_PREFIX = KEY.activeJob("");
-/** Number of earlier windows for which rejection records may still arrive. */
-const LATE_WINDOWS = 4;
+/** Number of windows before the newest for which rejection records may still arrive. */
+const LATE_RECORD_WINDOWS = 4;
 
 /** The replicated admission state: the window, the ledgers and the rejection records. */
 export class AdmissionReplica {
-  /** The newest window; null: there is none. */
+  /** The newest window, or null if there is none. */
   window: Versioned<AdmissionWindow> | null = null;
-  /** Current epoch of the leadership; a window of another epoch is not in force. */
+  /** Current leadership epoch. A window of another epoch is not in force. */
   epoch = 0;
-  /** Every change up to this revision of the store is applied. */
+  /** Revision of the state service up to which every change has been applied. */
   revision = -1;
   private readonly ledgers = new Map<string, Versioned<TeamLedger>>();
   private readonly rejections = new Map<string, Versioned<RejectionRecord>>();
-  /** By version of the window: ids whose rejection is logged, since two controllers may each have rejected a job. */
-  private readonly loggedRejections = new Map<number, Set<string>>();
+  /**
+   * Ids of the jobs whose rejection has been logged, by window version. They prevent a second log entry when two
+   * controllers have rejected the same job.
+   */
+  private readonly loggedJobIdsByWindow = new Map<number, Set<string>>();
   /** Version of the newest window at the last full read. */
-  private versionAtReset = 0;
+  private windowVersionAtReset = 0;
 
-  /** Replaces everything by a full read at `revision`, and returns the log line that says so. */
+  /**
+   * Replaces the whole state with a full read at `revision`, and returns the log entry that records the full read.
+   */
   reset(items: readonly KeyValueItem[], revision: number): LoggedDecision[] {
     this.window = null;
     this.epoch = 0;
     this.ledgers.clear();
     this.rejections.clear();
-    this.loggedRejections.clear();
-    for (const item of items) this.store(item.key, item.value, item.modRevision);
+    this.loggedJobIdsByWindow.clear();
+    for (const item of items) this.applyPut(item.key, item.value, item.modRevision);
     this.revision = revision;
-    this.versionAtReset = this.windowVersion;
-    return [{ kind: "reread", revision, window: this.versionAtReset }];
+    this.windowVersionAtReset = this.windowVersion;
+    return [{ kind: "reread", revision, window: this.windowVersionAtReset }];
   }
 
-  /** Applies the changes up to `revision`, and returns the decisions in them; changes applied before are ignored. */
+  /** Applies the changes up to `revision` and returns the decisions in them. Changes already applied are ignored. */
   apply(events: readonly ChangeEvent[], revision: number): LoggedDecision[] {
     const decisions: LoggedDecision[] = [];
     let transaction: ChangeEvent[] = [];
@@ -68,55 +74,55 @@
     return decisions;
   }
 
-  /** Version of the newest window; 0: there is none. */
+  /** Version of the newest window, or 0 if there is none. */
   get windowVersion(): number {
     return this.window?.value.version ?? 0;
   }
 
-  /** Does the newest window limit admission? */
+  /** Whether the newest window limits admission. */
   get isLimited(): boolean {
     return isLimiting(this.window?.value ?? null, this.epoch);
   }
 
-  /** Mod revision of the window; 0: there is none. */
+  /** Mod revision of the window, or 0 if there is none. */
   get windowModRevision(): number {
     return this.window?.modRevision ?? 0;
   }
 
-  /** What a team was admitted; null: nothing yet. */
+  /** Returns the ledger of a team, or null if it has none yet. */
   ledgerOf(team: string): TeamLedger | null {
     return this.ledgers.get(team)?.value ?? null;
   }
 
-  /** Mod revision of a team's ledger; 0: there is none. */
+  /** Returns the mod revision of a team's ledger, or 0 if it has none. */
   ledgerModRevisionOf(team: string): number {
     return this.ledgers.get(team)?.modRevision ?? 0;
   }
 
-  /** The newest rejection record of a controller; null: there is none. */
+  /** Returns the newest rejection record of a controller, or null if there is none. */
   rejectionsOf(member: string): Versioned<RejectionRecord> | null {
     return this.rejections.get(member) ?? null;
   }
 
-  /** The newest rejection record of every controller. */
+  /** Returns the newest rejection record of every controller. */
   allRejections(): RejectionRecord[] {
     return [...this.rejections.values()].map((record) => record.value);
   }
 
-  /** The verdict on a job, as far as this controller has read. */
+  /** Returns the verdict on a job, based on the changes applied so far. */
   decide(job: JobSpec): Verdict {
     return decide(this.window?.value ?? null, this.epoch, this.ledgerOf(job.team), job);
   }
 
-  /** Applies the changes of one transaction, which all have its revision. */
+  /** Applies the changes of one transaction, which all have the same revision. */
   private applyTransaction(events: readonly ChangeEvent[], decisions: LoggedDecision[]): void {
     const revision = events[0]!.modRevision;
     const chargedTeams = new Set<string>();
     for (const event of events) {
       const key = parseAdmissionKey(event.key);
       if (key?.kind === "ledger") chargedTeams.add(key.team);
-      if (event.removed) this.remove(event.key);
-      else this.store(event.key, event.value, event.modRevision);
+      if (event.removed) this.applyRemoval(event.key);
+      else this.applyPut(event.key, event.value, event.modRevision);
       if (key?.kind === "rejections") this.logRejections(key.member, revision, decisions);
     }
     for (const event of events) {
@@ -129,7 +135,7 @@
 
   private admissionDecision(job: JobSpec, revision: number, isCharged: boolean): LoggedDecision {
     const { isLimited } = this;
-    const uncharged: DecisionReason = isLimited ? "not charged" : "open";
+    const reasonIfUncharged: DecisionReason = isLimited ? "not charged" : "open";
     return {
       kind: "admit",
       revision,
@@ -138,20 +144,20 @@
       team: job.team,
       class: job.class,
       lane: laneOf(job),
-      reason: isLimited && isCharged ? "within share" : uncharged,
+      reason: isLimited && isCharged ? "within share" : reasonIfUncharged,
     };
   }
 
   private logRejections(member: string, revision: number, decisions: LoggedDecision[]): void {
     const record = this.rejections.get(member)?.value;
-    // Of a window that began before the full read it is unknown which jobs the other controllers have logged. (A restarted
-    // controller logged jobs of such a window again, which the others had logged before.)
-    if (record === undefined || record.window <= this.versionAtReset) return;
-    const logged = this.loggedRejections.get(record.window) ?? new Set<string>();
-    this.loggedRejections.set(record.window, logged);
+    // For a window that began before the full read, it is unknown which rejections the other controllers have already
+    // logged. Without this check, a restarted controller logged rejections again that the others had logged earlier.
+    if (record === undefined || record.window <= this.windowVersionAtReset) return;
+    const loggedJobIds = this.loggedJobIdsByWindow.get(record.window) ?? new Set<string>();
+    this.loggedJobIdsByWindow.set(record.window, loggedJobIds);
     for (const refused of record.classes) {
       const { team, class: className, lane } = refused;
-      const line = {
+      const commonFields = {
         kind: "reject",
         revision,
         window: record.window,
@@ -160,16 +166,16 @@
         lane,
       } as const;
       for (const job of refused.ids) {
-        if (logged.has(job)) continue;
-        logged.add(job);
-        decisions.push({ ...line, job, jobs: 1, reason: "share used" });
+        if (loggedJobIds.has(job)) continue;
+        loggedJobIds.add(job);
+        decisions.push({ ...commonFields, job, jobs: 1, reason: "share used" });
       }
       const jobs = refused.jobs - refused.ids.length;
-      if (jobs > 0) decisions.push({ ...line, job: null, jobs, reason: "share used" });
+      if (jobs > 0) decisions.push({ ...commonFields, job: null, jobs, reason: "share used" });
     }
   }
 
-  private store(key: string, value: unknown, modRevision: number): void {
+  private applyPut(key: string, value: unknown, modRevision: number): void {
     if (key === KEY.epoch) {
       this.epoch = decodeEpoch(value);
       return;
@@ -178,10 +184,10 @@
     if (parsed === null) return;
     switch (parsed.kind) {
       case "window":
-        this.storeWindow(decodeWindow(value), modRevision);
+        this.applyWindow(decodeWindow(value), modRevision);
         return;
       case "ledger":
-        // A ledger that cannot be decoded counts as empty; replacing it takes its mod revision all the same.
+        // A ledger that cannot be decoded counts as empty. Its mod revision is still needed to replace it.
         this.ledgers.set(parsed.team, { value: decodeLedger(value) ?? EMPTY_LEDGER, modRevision });
         return;
       case "rejections": {
@@ -194,14 +200,15 @@
     }
   }
 
-  private storeWindow(window: AdmissionWindow | null, modRevision: number): void {
+  private applyWindow(window: AdmissionWindow | null, modRevision: number): void {
     this.window = { value: window ?? UNREADABLE_WINDOW, modRevision };
-    for (const version of this.loggedRejections.keys()) {
-      if (version < this.windowVersion - LATE_WINDOWS) this.loggedRejections.delete(version);
+    for (const version of this.loggedJobIdsByWindow.keys()) {
+      if (version < this.windowVersion - LATE_RECORD_WINDOWS)
+        this.loggedJobIdsByWindow.delete(version);
     }
   }
 
-  private remove(key: string): void {
+  private applyRemoval(key: string): void {
     const parsed = parseAdmissionKey(key);
     if (parsed === null) return;
     switch (parsed.kind) {
@@ -221,7 +228,7 @@
 }
 
 const EMPTY_LEDGER: TeamLedger = { window: 0, used: new Map() };
-/** Stands for a window of a form that this version does not know; it limits nothing. */
+/** Replaces a window whose stored form this program version cannot decode. It does not limit admission. */
 const UNREADABLE_WINDOW: AdmissionWindow = {
   version: 0,
   epoch: 0,
@@ -231,7 +238,7 @@
   periods: [],
 };
 
-/** The job that a change submits; null: it is another change. */
+/** Returns the job that a change submits, or null if the change is not a submission. */
 function submittedJob(event: ChangeEvent): JobSpec | null {
   if (event.removed || !event.key.startsWith(ACTIVE_JOB_PREFIX)) return null;
   return decodeSubmission(event.value);
--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -1,14 +1,14 @@
-/** The operators' settings of admission control: sections `admission` and `admission.calendar.<name>` of the INI file. */
+/** Operator settings of admission control: sections `admission` and `admission.calendar.<name>` of the INI file. */
 import * as z from "zod";
 import { iniBoolean, iniNumber } from "../config/ini-values.js";
 import { type Calendar, isTimeZone, type Period, type Weekday } from "./calendar.js";
 
-/** Settings of admission control, as `check` prints them. */
+/** Settings of admission control. The command `check` prints them under these field names. */
 export interface AdmissionSettings {
   readonly enabled: boolean;
-  /** Length of a window, as a ratio to the workers' heartbeat interval. */
+  /** Length of an admission window, as a multiple of the workers' heartbeat interval. */
   readonly windowRatio: number;
-  /** Admitted unfinished work that a class may have beyond its share, as a ratio to the share. */
+  /** Admitted unfinished work that a class may have beyond its share, as a multiple of the share. */
   readonly queueRatio: number;
   readonly calendar: Calendar;
 }
@@ -23,11 +23,11 @@
   sun: 7,
 };
 const EVERY_DAY = Object.keys(WEEKDAYS).join(",");
-const TIME_OF_DAY = /^([01]\d|2[0-4]):([0-5]\d)$/;
+const TIME_OF_DAY_PATTERN = /^([01]\d|2[0-4]):([0-5]\d)$/;
 const MINUTES_PER_DAY = 24 * 60;
 
 const timeOfDaySchema = z.string().transform((text, context) => {
-  const match = TIME_OF_DAY.exec(text);
+  const match = TIME_OF_DAY_PATTERN.exec(text);
   const minutes = match === null ? Number.NaN : 60 * Number(match[1]) + Number(match[2]);
   if (!(minutes <= MINUTES_PER_DAY)) {
     context.addIssue({ code: "custom", message: "not a time of day HH:MM" });
@@ -66,33 +66,33 @@
   calendar: z.record(z.string(), periodSchema).default({}),
 });
 
-/** Result of decoding the section. */
+/** Result of decoding the section `admission`. */
 export interface DecodedAdmission {
-  /** Null: there are faults. */
+  /** Null if there are faults. */
   readonly settings: AdmissionSettings | null;
-  /** One line per fault, which begins with the key. */
+  /** One line per invalid value, which begins with its key. */
   readonly faults: readonly string[];
-  /** Keys that are not known, and ignored. */
+  /** Unknown keys, which are ignored. */
   readonly unknown: readonly string[];
 }
 
-/** Decodes the section as the INI parser returned it; `undefined`: it is missing, so the defaults apply. */
-export function decodeAdmission(given: unknown): DecodedAdmission {
-  if (given !== undefined && (typeof given !== "object" || given === null)) {
+/** Decodes the section that the INI parser returned. If it is missing (`undefined`), the defaults apply. */
+export function decodeAdmission(rawSection: unknown): DecodedAdmission {
+  if (rawSection !== undefined && (typeof rawSection !== "object" || rawSection === null)) {
     return { settings: null, faults: ["admission: not a section"], unknown: [] };
   }
-  const section = (given ?? {}) as Record<string, unknown>;
+  const section = (rawSection ?? {}) as Record<string, unknown>;
   const unknown = Object.keys(section)
     .filter((key) => !(key in admissionSchema.shape))
     .map((key) => `admission.${key}`);
-  const read = admissionSchema.safeParse(section);
-  if (!read.success) {
-    const faults = read.error.issues.map(
+  const parsed = admissionSchema.safeParse(section);
+  if (!parsed.success) {
+    const faults = parsed.error.issues.map(
       (issue) => `admission.${issue.path.join(".")}: ${issue.message}`,
     );
     return { settings: null, faults, unknown };
   }
-  const { enabled, window_ratio, queue_ratio, time_zone, calendar } = read.data;
+  const { enabled, window_ratio, queue_ratio, time_zone, calendar } = parsed.data;
   const periods: Period[] = Object.entries(calendar).map(([name, period]) => ({
     ...period,
     name,
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -1,27 +1,29 @@
-/** Status for operators (`peatsaddle admission`): the window, and of each class what was granted, used and rejected. */
+/**
+ * Output of the command `peatsaddle admission`: the window, and the granted, used and rejected work of each class.
+ */
 import { isLimiting, OTHER_CLASSES } from "./decision.js";
 import { type AdmissionWindow, type Grant, type Lane, UNLIMITED, WHOLE_SHARE } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
 
 /**
- * One class of a team in one lane; printed as JSON as it is. Shares are ratios to the capacity of the cluster's dominant
- * resource.
+ * The status of one class of a team in one lane, printed as JSON under these field names. Shares are fractions of the
+ * cluster's capacity for the dominant resource.
  */
 export interface ClassStatus {
   readonly team: string;
-  /** Null: all classes that the window does not name. */
+  /** Null for all classes of the team that have no grant of their own. */
   readonly class: string | null;
   readonly lane: Lane;
-  /** Null: unlimited. */
+  /** Granted share, or null if it is unlimited. */
   readonly granted: number | null;
   readonly used: number;
-  /** Number of jobs rejected, as far as it is stored. */
+  /** Number of rejected jobs, from the stored rejection records of the window. */
   readonly refusedJobs: number;
 }
 
-/** The admission state as it is stored; printed as JSON as it is. */
+/** The stored admission state, printed as JSON under these field names. */
 export interface AdmissionStatus {
-  /** Version of the window; null: there never was one. */
+  /** Version of the newest window, or null if none was ever stored. */
   readonly window: number | null;
   readonly limited: boolean;
   readonly epoch: number;
@@ -77,7 +79,7 @@
   };
 }
 
-/** The admission state of a replica. */
+/** Returns the status of the admission state that a replica holds. */
 export function admissionStatus(replica: AdmissionReplica): AdmissionStatus {
   const window = replica.window?.value ?? null;
   const limited = isLimiting(window, replica.epoch);
@@ -98,7 +100,10 @@
 const formatShare = (share: number | null): string =>
   share === null ? "unlimited" : `${(100 * share).toFixed(2)}%`;
 
-/** Cells of the table, without its header: the classes with the most rejected jobs first. */
+/**
+ * Returns the cells of the table without its header, classes with the most rejected jobs first. Rows of followers
+ * without use or rejections are left out.
+ */
 function tableRows(classes: readonly ClassStatus[]): string[][] {
   return classes
     .filter(({ lane, used, refusedJobs }) => lane === "new" || used > 0 || refusedJobs > 0)
@@ -113,7 +118,7 @@
     ]);
 }
 
-/** Aligns the cells of each column to the left. */
+/** Formats the rows with left-aligned columns. */
 function formatTable(table: readonly (readonly string[])[]): string[] {
   const widths = table[0]!.map((_, column) => Math.max(...table.map((row) => row[column]!.length)));
   return table.map((row) =>
@@ -124,7 +129,7 @@
   );
 }
 
-/** The status as text for a terminal. */
+/** Formats the status as text for a terminal. */
 export function formatStatus(status: AdmissionStatus): string {
   if (status.window === null) return "no window: admission was never limited\n";
   const mode = status.limited ? "limited" : "open";
--- a/src/admission/usage.ts
+++ b/src/admission/usage.ts
@@ -1,4 +1,7 @@
-/** Derives the input of a window from the leader's view of the cluster: the adapter between the core and the windows. */
+/**
+ * Adapter between the scheduler core and the window computation: derives the input of the next admission window from
+ * the leader's cluster state.
+ */
 import type { Cluster } from "../core/cluster.js";
 import type { Period } from "./calendar.js";
 import {
@@ -10,7 +13,7 @@
 } from "./model.js";
 import type { ClassUsage } from "./window.js";
 
-/** Capacity of all machines that are up or booting. */
+/** Returns the total capacity of the machines that are up or booting. */
 export function capacityOf(cluster: Cluster): ResourceVector {
   let capacity = NO_RESOURCES;
   for (const { state, type } of cluster.machines.values()) {
@@ -31,11 +34,11 @@
 class UsageTable {
   private readonly usages = new Map<string, MutableUsage>();
 
-  /** The entry of a class, which is created if it is missing. */
-  entry(team: string, className: string): MutableUsage {
+  /** Returns the entry of a class, creating it if necessary. */
+  findOrCreate(team: string, className: string): MutableUsage {
     const key = JSON.stringify([team, className]);
-    const known = this.usages.get(key);
-    if (known !== undefined) return known;
+    const existing = this.usages.get(key);
+    if (existing !== undefined) return existing;
     const usage: MutableUsage = {
       team,
       class: className,
@@ -55,7 +58,7 @@
   }
 }
 
-/** Usage of all classes that have unfinished jobs or rejections, with their weights in the active periods. */
+/** Returns the usage of all classes with unfinished or rejected jobs, with their weights in the active periods. */
 export function classUsages(
   cluster: Cluster,
   rejections: readonly RejectionRecord[],
@@ -63,9 +66,9 @@
 ): ClassUsage[] {
   const usages = new UsageTable();
   for (const job of cluster.jobs.values()) {
-    // A job that is blocked on dependencies uses nothing yet, and a cancelled one nothing any more.
+    // A job that is blocked on dependencies does not use resources yet, and a cancelled job no longer does.
     if (job.isBlockedOnDependencies || job.isCancelled) continue;
-    const usage = usages.entry(job.spec.team, job.spec.class);
+    const usage = usages.findOrCreate(job.spec.team, job.spec.class);
     const unfinishedTasks = Math.max(0, job.spec.tasks - job.doneTasks.size);
     usage.unfinished = addResources(usage.unfinished, resourcesOf(job.spec, unfinishedTasks));
     if (job.spec.priority === "production") usage.production = true;
@@ -73,7 +76,7 @@
   for (const record of rejections) {
     for (const refused of record.classes) {
       if (!cluster.teams.has(refused.team)) continue;
-      const usage = usages.entry(refused.team, refused.class);
+      const usage = usages.findOrCreate(refused.team, refused.class);
       usage.refused = addResources(usage.refused, refused.resources);
     }
   }
@@ -86,7 +89,7 @@
     .reduce((weight, period) => weight * period.weight, 1);
 }
 
-/** Factors on the weights of teams: the product of their active periods that concern the whole team. */
+/** Returns a weight factor for each team: the product of the weights of the active periods for the whole team. */
 export function teamWeightsOf(periods: readonly Period[]): Map<string, number> {
   const weights = new Map<string, number>();
   for (const { team, class: className, weight } of periods) {
--- a/src/admission/window-planner.ts
+++ b/src/admission/window-planner.ts
@@ -1,38 +1,41 @@
-/** Decides when the leader stores a window, and whether the window limits admission. Pure: time is an argument. */
+/**
+ * Decides when the leader stores an admission window, and whether the window limits admission. The planner reads no
+ * clock: callers pass the time.
+ */
 import { isLimiting } from "./decision.js";
 import type { AdmissionWindow } from "./model.js";
 import { limitedWindow, loadRatio, openWindow, type WindowInput } from "./window.js";
 
-/** Windows without overload or rejections after which admission opens again. */
-const CALM_WINDOWS = 2;
+/** Number of window lengths without overload or rejections after which admission is no longer limited. */
+const REOPEN_AFTER_WINDOWS = 2;
 
-/** What the next window is computed from. */
+/** Input from which the next window is computed. */
 export type PlannerInput = Omit<WindowInput, "version" | "epoch">;
 
-/** The situation in which the planner is asked for a window. */
+/** Arguments of `WindowPlanner.nextWindow`. */
 export interface PlannerState {
   /** Monotonic time, in seconds. */
   readonly now: number;
-  /** The newest window; null: there never was one. */
+  /** The newest window, or null if none was ever stored. */
   readonly stored: AdmissionWindow | null;
-  /** Current epoch of the leadership. */
+  /** Current leadership epoch. */
   readonly epoch: number;
-  /** Jobs were rejected in the newest window or the one before. */
+  /** Whether jobs were rejected in the newest window or the one before. */
   readonly hasRecentRejections: boolean;
   readonly input: PlannerInput;
 }
 
-/** Remembers when the last window was stored, and since when the cluster is not overloaded any more. */
+/** Tracks when the last window was stored and since when the cluster has no longer been overloaded. */
 export class WindowPlanner {
   private writtenAt = Number.NEGATIVE_INFINITY;
-  private calmSince: number | null = null;
+  private underloadedSince: number | null = null;
 
   constructor(
     /** Length of a window, in seconds. */
     private readonly windowS: number,
   ) {}
 
-  /** The window that is to be stored now; null: the stored one stays. */
+  /** Returns the window to store now, or null to keep the stored one. */
   nextWindow({
     now,
     stored,
@@ -43,28 +46,28 @@
     const version = (stored?.version ?? 0) + 1;
     const load = loadRatio(input);
     if (stored === null || stored.mode === "open") {
-      this.calmSince = null;
+      this.underloadedSince = null;
       const isOverloaded = load > 1 + input.queueRatio;
       return isOverloaded ? limitedWindow({ ...input, version, epoch }) : null;
     }
-    const isCalm = !hasRecentRejections && load <= 1 + input.queueRatio / 2;
-    if (this.isCalmLongEnough(isCalm, now)) return openWindow({ version, epoch });
-    // A window of an earlier epoch is not in force, so it is replaced at once.
+    const isUnderloaded = !hasRecentRejections && load <= 1 + input.queueRatio / 2;
+    if (this.canReopen(isUnderloaded, now)) return openWindow({ version, epoch });
+    // A window of an earlier epoch is not in force and is replaced immediately.
     const isDue = !isLimiting(stored, epoch) || now - this.writtenAt >= this.windowS;
     return isDue ? limitedWindow({ ...input, version, epoch }) : null;
   }
 
-  /** To be called when a window was stored. */
+  /** Must be called when a window was stored. */
   markWritten(now: number): void {
     this.writtenAt = now;
   }
 
-  private isCalmLongEnough(isCalm: boolean, now: number): boolean {
-    if (!isCalm) {
-      this.calmSince = null;
+  private canReopen(isUnderloaded: boolean, now: number): boolean {
+    if (!isUnderloaded) {
+      this.underloadedSince = null;
       return false;
     }
-    this.calmSince ??= now;
-    return now - this.calmSince >= CALM_WINDOWS * this.windowS;
+    this.underloadedSince ??= now;
+    return now - this.underloadedSince >= REOPEN_AFTER_WINDOWS * this.windowS;
   }
 }
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -1,6 +1,7 @@
 /**
- * Computes the next window: what each class of each team may be admitted, from its unfinished and rejected work, the
- * capacity of the cluster, and the teams' guarantees, limits and weights. Pure; only the leader computes and stores one.
+ * Computes the next admission window: a grant for each class of each team, derived from its unfinished and rejected
+ * work, the cluster's capacity, and the teams' guarantees, limits and weights. The functions are pure. Only the
+ * leader computes and stores windows.
  */
 import type { Team } from "../core/model/settings.js";
 import { dominantShare } from "./decision.js";
@@ -20,44 +21,44 @@
 export interface ClassUsage {
   readonly team: string;
   readonly class: string;
-  /** Any of its unfinished jobs is of production priority. */
+  /** Whether any unfinished job of the class has production priority. */
   readonly production: boolean;
-  /** What the unfinished tasks of its admitted jobs need, without jobs that are blocked on dependencies. */
+  /** Resources that the unfinished tasks of its admitted jobs need, except jobs that are blocked on dependencies. */
   readonly unfinished: ResourceVector;
-  /** What its recently rejected jobs need. */
+  /** Resources that its recently rejected jobs need. */
   readonly refused: ResourceVector;
-  /** Factor on its weight, by the calendar. */
+  /** Factor that the weight calendar applies to the weight of the class. */
   readonly weight: number;
 }
 
-/** What a window is computed from. */
+/** Input from which a window is computed. */
 export interface WindowInput {
-  /** Version that the window gets. */
+  /** Version of the new window. */
   readonly version: number;
-  /** Epoch of the leadership under which it is stored. */
+  /** Leadership epoch under which the window is stored. */
   readonly epoch: number;
   /** Capacity of the machines that are up or booting. */
   readonly capacity: ResourceVector;
-  /** The cloud still grants requests for more machines: only teams' limits bind. */
+  /** Whether the cloud still grants requests for more machines. If so, only the teams' limits bound the shares. */
   readonly growing: boolean;
   readonly teams: readonly Team[];
-  /** Factors on the teams' weights, by the calendar; a team that is missing has 1. */
+  /** Factors that the weight calendar applies to the teams' weights; 1 for a team without an entry. */
   readonly teamWeights: ReadonlyMap<string, number>;
   readonly classes: readonly ClassUsage[];
-  /** Unfinished work that a class may have beyond its share, as a ratio to the share. */
+  /** Admitted unfinished work that a class may have beyond its share, as a ratio to the share. */
   readonly queueRatio: number;
-  /** Names of the calendar's active periods. */
+  /** Names of the active periods of the weight calendar. */
   readonly periods: readonly string[];
   /** Largest size of the stored grants, in bytes. */
   readonly maxBytes: number;
 }
 
-/** Ratio of the capacity that is distributed before guarantees, so that no share is zero. */
+/** Fraction of the capacity that is distributed before the guarantees, so that no share is zero. */
 const FLOOR_RATIO = 0.05;
-/** Grant that admits one job, whatever its size. */
+/** Smallest grant that admits a job. It admits exactly one, of any size. */
 const ONE_JOB_GRANT = 1;
-/** Weight of production work against other work of its team, within the team's guarantee. */
-const PRODUCTION_WEIGHT = 1000;
+/** Factor by which a class with production jobs outweighs other classes of its team within the team's guarantee. */
+const PRODUCTION_WEIGHT_FACTOR = 1000;
 
 const UNBOUNDED: ResourceVector = {
   cpus: Number.POSITIVE_INFINITY,
@@ -65,7 +66,7 @@
   memoryGb: Number.POSITIVE_INFINITY,
 };
 
-/** A window that limits admission: the grants of all classes by their shares. */
+/** Returns a window that limits admission, with the grants of all classes according to their shares. */
 export function limitedWindow(input: WindowInput): AdmissionWindow {
   const classes = namedClasses(input);
   const others = input.teams.map((team) => claimantForOthers(team.name, input.capacity));
@@ -89,14 +90,15 @@
   };
 }
 
-/** A window that limits nothing. */
+/** Returns a window that does not limit admission. */
 export function openWindow(input: Pick<WindowInput, "version" | "epoch">): AdmissionWindow {
   return { ...input, mode: "open", capacity: NO_RESOURCES, grants: [], periods: [] };
 }
 
 /**
- * The largest ratio of demand to what can be used at one time: to the cluster's capacity, if it cannot grow, and to each
- * team's limits. 1: all of it can run now.
+ * Returns the largest ratio of demand to the resources that can be in use at the same time: to the cluster's
+ * capacity, unless the cluster can still grow, and to each team's limits. At a ratio of 1 or less, the whole demand
+ * can run at once.
  */
 export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
   const limits = teamLimitsOf(input.teams);
@@ -107,24 +109,24 @@
     total = addResources(total, demand);
     demands.set(usage.team, addResources(demands.get(usage.team) ?? NO_RESOURCES, demand));
   }
-  let most = 0;
+  let maxRatio = 0;
   for (const resource of RESOURCES) {
     const capacity = input.capacity[resource];
-    if (!input.growing && capacity > 0) most = Math.max(most, total[resource] / capacity);
+    if (!input.growing && capacity > 0) maxRatio = Math.max(maxRatio, total[resource] / capacity);
     for (const [team, demand] of demands) {
       const limit = limits.get(team)?.[resource] ?? Number.POSITIVE_INFINITY;
-      most = Math.max(most, demand[resource] / limit);
+      maxRatio = Math.max(maxRatio, demand[resource] / limit);
     }
   }
-  return most;
+  return maxRatio;
 }
 
 function demandOf(usage: ClassUsage): ResourceVector {
   return addResources(usage.unfinished, usage.refused);
 }
 
-/** A maximum or guarantee of 0 means that none is set. */
-function orUnbounded(bound: number): number {
+/** Returns the bound, or infinity for 0: a team's maximum or guarantee of 0 means that none is set. */
+function unboundedIfZero(bound: number): number {
   return bound > 0 ? bound : Number.POSITIVE_INFINITY;
 }
 
@@ -133,45 +135,48 @@
     teams.map((team) => [
       team.name,
       {
-        cpus: orUnbounded(team.cpusMax),
-        gpus: orUnbounded(team.gpusMax),
+        cpus: unboundedIfZero(team.cpusMax),
+        gpus: unboundedIfZero(team.gpusMax),
         memoryGb: Number.POSITIVE_INFINITY,
       },
     ]),
   );
 }
 
-/** Weights by the dominant shares of the guarantees; a team without a guarantee has the smallest weight of all. */
+/**
+ * Returns the weight of each team: the dominant share of its guarantee, times its factor from the weight calendar. A
+ * team without a guarantee counts with the smallest dominant share that another team is guaranteed.
+ */
 function baseWeightsOf(input: WindowInput): Map<string, number> {
   const shares = input.teams.map(({ cpus, gpus }) =>
     dominantShare({ cpus, gpus, memoryGb: 0 }, input.capacity),
   );
   const guaranteed = shares.filter((share) => share > 0);
-  const least = guaranteed.length > 0 ? Math.min(...guaranteed) : 1;
+  const smallest = guaranteed.length > 0 ? Math.min(...guaranteed) : 1;
   return new Map(
     input.teams.map(({ name }, index) => {
       const factor = input.teamWeights.get(name) ?? 1;
-      return [name, factor * Math.max(shares[index]!, least)];
+      return [name, factor * Math.max(shares[index]!, smallest)];
     }),
   );
 }
 
 /**
- * Each team's guarantee as an upper bound on what it is given before others. A resource without a guarantee is unbounded,
- * but a team without any guarantee is given nothing in this step.
+ * Returns each team's guarantee as an upper bound on the resources that it is allocated in the guarantee step. A
+ * resource without a guarantee is unbounded, but a team without any guarantee is allocated nothing in this step.
  */
 function guaranteesOf(teams: readonly Team[]): Map<string, ResourceVector> {
   return new Map(
     teams.map(({ name, cpus, gpus }) => {
       const hasGuarantee = cpus > 0 || gpus > 0;
-      const bounds = { ...UNBOUNDED, cpus: orUnbounded(cpus), gpus: orUnbounded(gpus) };
+      const bounds = { ...UNBOUNDED, cpus: unboundedIfZero(cpus), gpus: unboundedIfZero(gpus) };
       return [name, hasGuarantee ? bounds : NO_RESOURCES];
     }),
   );
 }
 
-/** The smaller of two bounds, for each team and resource. */
-function tighterBounds(
+/** Returns the smaller of the two bounds for each team and resource. */
+function minimumBounds(
   left: ReadonlyMap<string, ResourceVector>,
   right: ReadonlyMap<string, ResourceVector>,
 ): Map<string, ResourceVector> {
@@ -191,14 +196,15 @@
 }
 
 /**
- * The fraction of its demand that each claimant is entitled to, in four steps: a floor for everyone, guarantees with
- * production first, the rest of the demand, and the surplus. `idle` claimants demand nothing yet and share in the surplus
- * only; their fractions follow those of `classes`.
+ * Returns the fraction of its demand that each claimant is entitled to. The capacity is distributed in four steps: a
+ * minimum for every class, the guarantees with production work first, the remaining demand, and the surplus. The
+ * claimants in `unnamed` stand for classes without demand and receive only surplus; their fractions follow those of
+ * `classes`.
  */
 function entitledFractions(
   input: WindowInput,
   classes: readonly ClassUsage[],
-  idle: readonly Claimant[],
+  unnamed: readonly Claimant[],
 ): number[] {
   const base: FairShareInput = {
     claimants: classes.map((usage) => claimantOf(usage, usage.weight)),
@@ -209,15 +215,18 @@
   const floor = fairFractions(floorInput(base, input.teams));
   const guaranteed = fairFractions(guaranteeInput(base, classes, input.teams), 1, floor);
   const demanded = fairFractions(base, 1, guaranteed);
-  const all: FairShareInput = { ...base, claimants: [...base.claimants, ...idle] };
-  return fairFractions(all, Number.POSITIVE_INFINITY, [...demanded, ...idle.map(() => 0)]);
+  const all: FairShareInput = { ...base, claimants: [...base.claimants, ...unnamed] };
+  return fairFractions(all, Number.POSITIVE_INFINITY, [...demanded, ...unnamed.map(() => 0)]);
 }
 
 function claimantOf(usage: ClassUsage, weight: number): Claimant {
   return { team: usage.team, weight, demand: demandOf(usage) };
 }
 
-/** The floor weighs all teams alike: in proportion to guarantees it would be close to nothing for a team without one. */
+/**
+ * Input of the first step, which distributes the minimum. All teams have the same weight, since in proportion to the
+ * guarantees the minimum of a team without a guarantee would be close to zero.
+ */
 function floorInput(base: FairShareInput, teams: readonly Team[]): FairShareInput {
   return {
     ...base,
@@ -232,23 +241,25 @@
   teams: readonly Team[],
 ): FairShareInput {
   const claimants = classes.map((usage) =>
-    claimantOf(usage, usage.weight * (usage.production ? PRODUCTION_WEIGHT : 1)),
+    claimantOf(usage, usage.weight * (usage.production ? PRODUCTION_WEIGHT_FACTOR : 1)),
   );
   return {
     ...base,
     claimants,
-    teamLimits: tighterBounds(guaranteesOf(teams), base.teamLimits),
+    teamLimits: minimumBounds(guaranteesOf(teams), base.teamLimits),
   };
 }
 
-/** Units that a class may have unfinished, by the fraction of its demand that it is entitled to. */
+/** Returns the units that a class may have unfinished, given the fraction of its demand that it is entitled to. */
 function allowance(fraction: number, demand: ResourceVector, input: WindowInput): number {
   if (fraction === Number.POSITIVE_INFINITY) return UNLIMITED;
   const share = dominantShare(scaleResources(demand, fraction), input.capacity);
   return Math.min(UNLIMITED, Math.ceil((1 + input.queueRatio) * share));
 }
 
-/** Stands for a team's classes that the window does not name: they demand a little of everything. */
+/**
+ * Returns the claimant for those classes of a team that the window does not name. It demands a little of everything.
+ */
 function claimantForOthers(team: string, capacity: ResourceVector): Claimant {
   const hasCapacity = RESOURCES.some((resource) => capacity[resource] > 0);
   const demand = hasCapacity
@@ -258,12 +269,15 @@
 }
 
 function grantOf(team: string, className: string | null, units: number): Grant {
-  // Followers are admitted in each window: their predecessors were admitted, and they must not starve.
+  // At least one follower is admitted in each window: its predecessors were admitted, and it must not starve.
   const follower = Math.max(ONE_JOB_GRANT, units);
   return { team, class: className, lanes: { new: units, follower } };
 }
 
-/** Classes with the largest demand first; those that exceed the size of the stored value share the grant for others. */
+/**
+ * Returns the classes that get a grant of their own, largest demand first. Classes whose grants do not fit into the
+ * stored value share the grant for the team's other classes.
+ */
 function namedClasses(input: WindowInput): ClassUsage[] {
   const shareOf = (usage: ClassUsage): number => dominantShare(demandOf(usage), input.capacity);
   const demanding = input.classes
@@ -271,8 +285,8 @@
     .sort(
       (left, right) =>
         shareOf(right) - shareOf(left) ||
-        compareText(left.team, right.team) ||
-        compareText(left.class, right.class),
+        compareStrings(left.team, right.team) ||
+        compareStrings(left.class, right.class),
     );
   let bytes = input.teams.reduce((sum, { name }) => sum + grantBytes(name, ""), 0);
   return demanding.filter((usage) => {
@@ -281,12 +295,12 @@
   });
 }
 
-/** Upper bound on the size of a stored grant. */
+/** Returns an upper bound on the size of a stored grant, in bytes. */
 function grantBytes(team: string, className: string): number {
   return JSON.stringify([team, className]).length + 2 * String(UNLIMITED).length + 4;
 }
 
-function compareText(left: string, right: string): number {
+function compareStrings(left: string, right: string): number {
   if (left === right) return 0;
   return left < right ? -1 : 1;
 }
