--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -51,9 +51,7 @@
   readonly growing: boolean;
   /** Leadership epoch. */
   readonly epoch: number;
-  /**
-   * Mod revision of the epoch's key. As a precondition of the write, it keeps a former leader from storing a window.
-   */
+  /** Mod revision of the epoch's key. As a precondition, it keeps a former leader from storing a window. */
   readonly epochModRevision: number;
 }
 
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -46,7 +46,7 @@
 
 /**
  * Returns the dominant share of `resources`: the largest ratio of `resources` to `capacity` over all resource types,
- * in units of 1 / `WHOLE_SHARE` of the capacity, rounded up.
+ * in the units of `WHOLE_SHARE`, rounded up.
  */
 export function dominantShare(resources: ResourceVector, capacity: ResourceVector): number {
   let maxShare = 0;
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -40,7 +40,7 @@
  */
 export const WHOLE_SHARE = 100_000_000;
 
-/** Size of a grant that does not limit admission. */
+/** Size of a grant that does not limit admission, in the units of `WHOLE_SHARE`. */
 export const UNLIMITED = Number.MAX_SAFE_INTEGER;
 
 /**
@@ -53,10 +53,7 @@
   return (job.after?.length ?? 0) > 0 ? "follower" : "new";
 }
 
-/**
- * The work that one class of a team may have admitted in a window: units of 1 / `WHOLE_SHARE` of the capacity, by
- * lane.
- */
+/** The work that one class of a team may have admitted in a window, by lane, in the units of `WHOLE_SHARE`. */
 export interface Grant {
   readonly team: string;
   /** Null in the grant for all classes of the team that have no grant of their own. */
@@ -79,7 +76,10 @@
   readonly periods: readonly string[];
 }
 
-/** The units charged to a team in one window, by lane and class. Classes without a grant share one entry. */
+/**
+ * The work charged to a team in one window, in the units of `WHOLE_SHARE`, by class and lane. All classes without a
+ * grant of their own share one entry.
+ */
 export interface TeamLedger {
   /** Version of the window. */
   readonly window: number;
@@ -123,7 +123,7 @@
 export interface Verdict {
   readonly admitted: boolean;
   readonly reason: DecisionReason;
-  /** Units to charge to the grant if the job is admitted; 0 if nothing is charged. */
+  /** Charge to the grant if the job is admitted, in the units of `WHOLE_SHARE`; 0 if nothing is charged. */
   readonly claim: number;
 }
 
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -42,9 +42,7 @@
   /** Version of the newest window at the last full read. */
   private windowVersionAtReset = 0;
 
-  /**
-   * Replaces the whole state with a full read at `revision`, and returns the log entry that records the full read.
-   */
+  /** Replaces the whole state with a full read at `revision`, and returns the log entry for the full read. */
   reset(items: readonly KeyValueItem[], revision: number): LoggedDecision[] {
     this.window = null;
     this.epoch = 0;
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -1,6 +1,4 @@
-/**
- * Output of the command `peatsaddle admission`: the window, and the granted, used and rejected work of each class.
- */
+/** Output of `peatsaddle admission`: the window, and the granted, used and rejected work of each class. */
 import { isLimiting, OTHER_CLASSES } from "./decision.js";
 import { type AdmissionWindow, type Grant, type Lane, UNLIMITED, WHOLE_SHARE } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -45,7 +45,7 @@
   /** Factors that the weight calendar applies to the teams' weights; 1 for a team without an entry. */
   readonly teamWeights: ReadonlyMap<string, number>;
   readonly classes: readonly ClassUsage[];
-  /** Admitted unfinished work that a class may have beyond its share, as a ratio to the share. */
+  /** Admitted unfinished work that a class may have beyond its share, as a multiple of the share. */
   readonly queueRatio: number;
   /** Names of the active periods of the weight calendar. */
   readonly periods: readonly string[];
@@ -98,7 +98,7 @@
 /**
  * Returns the largest ratio of demand to the resources that can be in use at the same time: to the cluster's
  * capacity, unless the cluster can still grow, and to each team's limits. At a ratio of 1 or less, the whole demand
- * can run at once.
+ * can run at once. Resources that the cluster does not have are ignored in the comparison with its capacity.
  */
 export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
   const limits = teamLimitsOf(input.teams);
