--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -28,7 +28,7 @@
   readonly onFault: (error: Error) => void;
 }
 
-const replyOf = (status: number, body: unknown): HeartbeatReply => ({
+const createReply = (status: number, body: unknown): HeartbeatReply => ({
   status,
   body: encode(body),
   retryAfterS: null,
@@ -37,9 +37,9 @@
 /** Turns the body of a heartbeat into the reply. */
 export class HeartbeatHandler {
   /** The last reply without commands, as most are the same. */
-  private emptyReply: { fencingToken: number; reply: HeartbeatReply } | null = null;
+  private lastEmptyReply: { fencingToken: number; reply: HeartbeatReply } | null = null;
   /** The last redirect, as most are the same. */
-  private redirect: { leader: string | null; reply: HeartbeatReply } | null = null;
+  private lastRedirect: { leader: string | null; reply: HeartbeatReply } | null = null;
 
   constructor(
     private readonly backend: HeartbeatBackend,
@@ -53,37 +53,37 @@
       const leader = this.backend.redirectTarget();
       if (leader !== null) return this.redirectTo(leader);
       const heartbeat = decodeWorkerHeartbeat(decodeBody(body));
-      if (heartbeat === null) return replyOf(400, { error: "malformed" });
+      if (heartbeat === null) return createReply(400, { error: "malformed" });
       return this.replyTo(heartbeat);
     } catch (error) {
       this.options.onFault(error as Error);
-      return this.refusal("trouble");
+      return this.createRefusal("trouble");
     }
   }
 
   private replyTo(heartbeat: WorkerHeartbeat): HeartbeatReply {
     const answer = this.backend.handleHeartbeat(heartbeat);
-    if (answer.kind === "unavailable") return this.refusal("unavailable");
+    if (answer.kind === "unavailable") return this.createRefusal("unavailable");
     if (answer.kind === "redirect") return this.redirectTo(answer.leader);
     const { fencingToken, commands } = answer;
-    if (commands.length > 0) return replyOf(200, encodeCommands(fencingToken, null, commands));
-    if (this.emptyReply?.fencingToken !== fencingToken) {
-      const reply = replyOf(200, encodeCommands(fencingToken, null, []));
-      this.emptyReply = { fencingToken, reply };
+    if (commands.length > 0) return createReply(200, encodeCommands(fencingToken, null, commands));
+    if (this.lastEmptyReply?.fencingToken !== fencingToken) {
+      const reply = createReply(200, encodeCommands(fencingToken, null, []));
+      this.lastEmptyReply = { fencingToken, reply };
     }
-    return this.emptyReply.reply;
+    return this.lastEmptyReply.reply;
   }
 
   private redirectTo(leader: string | null): HeartbeatReply {
-    if (this.redirect === null || this.redirect.leader !== leader) {
-      this.redirect = { leader, reply: replyOf(421, encodeRedirect(leader)) };
+    if (this.lastRedirect === null || this.lastRedirect.leader !== leader) {
+      this.lastRedirect = { leader, reply: createReply(421, encodeRedirect(leader)) };
     }
-    return this.redirect.reply;
+    return this.lastRedirect.reply;
   }
 
   /** Refuses at once, with a Retry-After. */
-  private refusal(error: string): HeartbeatReply {
+  private createRefusal(error: string): HeartbeatReply {
     const retryAfterS = Math.max(1, Math.ceil(this.options.retryAfterS));
-    return { ...replyOf(503, { error }), retryAfterS };
+    return { ...createReply(503, { error }), retryAfterS };
   }
 }
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -51,7 +51,7 @@
 }
 
 /** Sends a body in MessagePack. */
-export const send = (reply: FastifyReply, status: number, body: unknown): FastifyReply =>
+export const sendMessagePack = (reply: FastifyReply, status: number, body: unknown): FastifyReply =>
   reply.code(status).header("content-type", "application/msgpack").send(encode(body));
 
 /** A route with the job's id in its path. */
@@ -65,7 +65,7 @@
 /** Registers all routes on a server. */
 export class Routes {
   /** Requests that were refused as too many: each gets its own time to retry after. */
-  private refusedAsBusy = 0;
+  private busyRefusalCount = 0;
 
   constructor(
     private readonly app: FastifyInstance,
@@ -80,13 +80,19 @@
       this.answerError(error, reply),
     );
     app.get(PATH.health, (_request, reply) =>
-      backend.isHealthy() ? send(reply, 200, { ok: true }) : send(reply, 503, { ok: false }),
+      backend.isHealthy()
+        ? sendMessagePack(reply, 200, { ok: true })
+        : sendMessagePack(reply, 503, { ok: false }),
     );
     app.post(PATH.jobs, (request, reply) =>
-      this.limited(options.mutationLimit, reply, () => this.submit(request.body, reply)),
+      this.withConcurrencyLimit(options.mutationLimit, reply, () =>
+        this.submit(request.body, reply),
+      ),
     );
     app.get<JobRoute>(`${PATH.jobs}/:id`, (request, reply) =>
-      this.limited(options.queryLimit, reply, () => this.query(request.params.id, reply)),
+      this.withConcurrencyLimit(options.queryLimit, reply, () =>
+        this.query(request.params.id, reply),
+      ),
     );
     app.post<JobRoute>(`${PATH.jobs}/:id/${PATH.cancel}`, (request, reply) =>
       this.cancel(request.params.id, reply),
@@ -101,7 +107,7 @@
       this.options.onFault(error);
       this.refuse(reply, 503, "trouble");
     } else {
-      send(reply, status === 413 ? 400 : status, { error: error.message });
+      sendMessagePack(reply, status === 413 ? 400 : status, { error: error.message });
     }
   }
 
@@ -110,7 +116,7 @@
     reply.header("retry-after", String(this.retryAfterS() + extraS));
     // Connections are not moved between nodes: one that this node cannot serve is better opened anew.
     if (status === 503) reply.header("connection", "close");
-    return send(reply, status, { error });
+    return sendMessagePack(reply, status, { error });
   }
 
   private retryAfterS(): number {
@@ -118,13 +124,13 @@
   }
 
   /** Beyond the limit users' requests are refused at once, each with its own Retry-After. */
-  private async limited<T>(
+  private async withConcurrencyLimit<T>(
     limit: AdaptiveConcurrencyLimit,
     reply: FastifyReply,
     work: () => Promise<T>,
   ): Promise<T | FastifyReply> {
     if (!limit.tryAcquire()) {
-      return this.refuse(reply, 429, "busy", this.refusedAsBusy++ % RETRY_SPREAD_S);
+      return this.refuse(reply, 429, "busy", this.busyRefusalCount++ % RETRY_SPREAD_S);
     }
     const startedAt = this.options.now();
     // A connection closed with its answer is not reset later with a request on its way.
@@ -140,11 +146,11 @@
   }
 
   /** Answers with the state of a known job, or that this node does not know it; null: it was never accepted. */
-  private async answerKnown(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
+  private async answerWithJobState(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     const result = await this.backend.readJob(id);
     switch (result.kind) {
       case "found":
-        return send(reply, 200, encodeJobView(result.job, true));
+        return sendMessagePack(reply, 200, encodeJobView(result.job, true));
       case "not found":
         return null;
       case "unavailable":
@@ -160,15 +166,15 @@
     if (spec === null) {
       // A retry of an accepted job is answered with its state, whatever its body says.
       const id = decodeJobId(body);
-      const answered = id === null ? null : await this.answerKnown(id, reply);
-      return answered ?? send(reply, 400, { error: "malformed" });
+      const answered = id === null ? null : await this.answerWithJobState(id, reply);
+      return answered ?? sendMessagePack(reply, 400, { error: "malformed" });
     }
     const { kind } = this.backend.checkFeasibility(spec);
     if (kind !== "feasible") {
-      const answered = await this.answerKnown(spec.id, reply);
+      const answered = await this.answerWithJobState(spec.id, reply);
       if (answered !== null) return answered;
       if (kind === "unknown") return this.refuse(reply, 503, "machine types unknown");
-      return send(reply, 422, { error: "can never run" });
+      return sendMessagePack(reply, 422, { error: "can never run" });
     }
     return this.answerSubmission(spec.id, await this.backend.submit(spec), reply);
   }
@@ -181,15 +187,15 @@
     switch (outcome.kind) {
       case "ok": {
         const accepted: JobView = { id, state: "queued", done: 0, running: 0 };
-        return send(reply, 201, encodeJobView(accepted, false));
+        return sendMessagePack(reply, 201, encodeJobView(accepted, false));
       }
       case "never":
-        return send(reply, 422, { error: "can never run" });
+        return sendMessagePack(reply, 422, { error: "can never run" });
       case "rejected":
         reply.header("retry-after", String(outcome.retryAfterS));
-        return send(reply, 429, { error: "share used" });
+        return sendMessagePack(reply, 429, { error: "share used" });
       case "known":
-        return (await this.answerKnown(id, reply)) ?? this.refuse(reply, 503, "unavailable");
+        return (await this.answerWithJobState(id, reply)) ?? this.refuse(reply, 503, "unavailable");
       case "unavailable":
         return this.refuse(reply, 503, "unavailable");
       default:
@@ -198,32 +204,32 @@
   }
 
   private async query(id: string, reply: FastifyReply): Promise<FastifyReply> {
-    const answered = isValidJobId(id) ? await this.answerKnown(id, reply) : null;
-    return answered ?? send(reply, 404, { error: "no such job" });
+    const answered = isValidJobId(id) ? await this.answerWithJobState(id, reply) : null;
+    return answered ?? sendMessagePack(reply, 404, { error: "no such job" });
   }
 
   private async cancel(id: string, reply: FastifyReply): Promise<FastifyReply> {
     const { options, backend } = this;
     const deadlineAt = options.now() + options.cancellationWaitS;
-    const answered = await this.limited(options.mutationLimit, reply, () =>
+    const answered = await this.withConcurrencyLimit(options.mutationLimit, reply, () =>
       this.storeCancellation(id, reply),
     );
     if (answered !== null) return answered;
     // How long machines take to stop the tasks says nothing about how busy this node is: the limit does not measure it.
     const ended = await backend.waitForEnd(id, Math.max(0, deadlineAt - options.now()));
-    if (ended !== null) return send(reply, 200, encodeJobView(ended, false));
+    if (ended !== null) return sendMessagePack(reply, 200, encodeJobView(ended, false));
     reply.header("retry-after", String(this.retryAfterS()));
-    return send(reply, 503, { error: "not over yet" });
+    return sendMessagePack(reply, 503, { error: "not over yet" });
   }
 
   /** Null: the cancellation is stored, and the job's end is to be waited for. */
   private async storeCancellation(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
-    if (!isValidJobId(id)) return send(reply, 404, { error: "no such job" });
+    if (!isValidJobId(id)) return sendMessagePack(reply, 404, { error: "no such job" });
     const read = await this.backend.readJob(id);
     if (read.kind === "unavailable") return this.refuse(reply, 503, "unavailable");
-    if (read.kind === "not found") return send(reply, 404, { error: "no such job" });
+    if (read.kind === "not found") return sendMessagePack(reply, 404, { error: "no such job" });
     if (read.job.state === "done" || read.job.state === "cancelled") {
-      return send(reply, 200, encodeJobView(read.job, false));
+      return sendMessagePack(reply, 200, encodeJobView(read.job, false));
     }
     const stored = await this.backend.cancel(id);
     return stored.kind === "unavailable" ? this.refuse(reply, 503, "unavailable") : null;
--- a/src/api/server.ts
+++ b/src/api/server.ts
@@ -3,7 +3,7 @@
 import type { Socket } from "node:net";
 import Fastify, { type FastifyInstance } from "fastify";
 import { HeartbeatHandler } from "./heartbeats.js";
-import { type ApiBackend, Routes, type ServerOptions, send } from "./routes.js";
+import { type ApiBackend, Routes, type ServerOptions, sendMessagePack } from "./routes.js";
 import { WorkerConnections } from "./worker-connections.js";
 
 export type { ApiBackend, ServerOptions } from "./routes.js";
@@ -18,16 +18,18 @@
     logger: false,
     bodyLimit: MAX_BODY_BYTES,
     serverFactory: (handler) => {
-      const front = createServerWithWorkers(handler, heartbeats, options.idleTimeoutS);
-      workers = front.workers;
-      return front.server;
+      const serverWithWorkers = createServerWithWorkers(handler, heartbeats, options.idleTimeoutS);
+      workers = serverWithWorkers.workers;
+      return serverWithWorkers.server;
     },
     forceCloseConnections: true,
     exposeHeadRoutes: false,
   });
   app.removeAllContentTypeParsers();
   app.addContentTypeParser("*", { parseAs: "buffer" }, (_request, body, done) => done(null, body));
-  app.setNotFoundHandler((_request, reply) => send(reply, 404, { error: "no such path" }));
+  app.setNotFoundHandler((_request, reply) =>
+    sendMessagePack(reply, 404, { error: "no such path" }),
+  );
   app.addHook("preClose", async () => workers?.close());
   new Routes(app, backend, heartbeats, options).register();
   return app;
@@ -46,11 +48,11 @@
 ): ServerWithWorkers {
   const server = createServer({ keepAliveTimeout: idleTimeoutS * 1000 }, handler);
   server.requestTimeout = 0;
-  const [attach] = server.listeners("connection") as ((socket: Socket) => void)[];
+  const [connectionListener] = server.listeners("connection") as ((socket: Socket) => void)[];
   server.removeAllListeners("connection");
   const workers = new WorkerConnections({
     onHeartbeat: (body) => heartbeats.handle(body),
-    onOtherRequests: (socket) => attach!.call(server, socket),
+    onOtherRequests: (socket) => connectionListener!.call(server, socket),
     maxBodyBytes: MAX_BODY_BYTES,
     idleTimeoutS,
   });
--- a/src/api/submission-gate.ts
+++ b/src/api/submission-gate.ts
@@ -37,7 +37,7 @@
 }
 
 /** Admits everything, first come, first served. */
-export const OPEN_GATE: SubmissionGate = {
+export const ADMIT_ALL_GATE: SubmissionGate = {
   createQueue: () => new FifoQueue(),
   beginBatch: () => ({
     extraChanges: () => 0,
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -23,8 +23,8 @@
   ) {}
 
   async submit(spec: JobSpec): Promise<SubmissionOutcome> {
-    const obstacle = await this.findDependencyObstacle(spec);
-    if (obstacle !== null) return obstacle;
+    const dependencyFailure = await this.checkDependencies(spec);
+    if (dependencyFailure !== null) return dependencyFailure;
     if (!this.writer.fitsValueLimit(spec)) return NEVER;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (this.admission?.wouldReject(spec)) {
@@ -45,13 +45,13 @@
    * Null if all jobs that it depends on were accepted at some time. What the replica knows stays known; before a job is
    * said never to have been accepted, the replica holds everything that was stored when this was called.
    */
-  private async findDependencyObstacle(spec: JobSpec): Promise<SubmissionOutcome | null> {
-    const hasUnknown = (): boolean =>
+  private async checkDependencies(spec: JobSpec): Promise<SubmissionOutcome | null> {
+    const hasUnknownDependency = (): boolean =>
       spec.after?.some((id) => id === spec.id || !this.isKnown(id)) ?? false;
-    if (!hasUnknown()) return null;
+    if (!hasUnknownDependency()) return null;
     if (!(await this.watcher.readLatest())) return UNAVAILABLE;
     // A repeated submission is answered with its state, whatever it depends on by now.
     if (this.isKnown(spec.id)) return KNOWN;
-    return hasUnknown() ? NEVER : null;
+    return hasUnknownDependency() ? NEVER : null;
   }
 }
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -26,8 +26,8 @@
 } from "./outcomes.js";
 import type { PendingQueue } from "./pending-queue.js";
 import {
+  ADMIT_ALL_GATE,
   type GateBatch,
-  OPEN_GATE,
   type PendingWrite,
   type SubmissionGate,
 } from "./submission-gate.js";
@@ -80,7 +80,7 @@
   private currentMaxChanges: number;
 
   constructor(private readonly options: SubmissionWriterOptions) {
-    this.gate = options.gate ?? OPEN_GATE;
+    this.gate = options.gate ?? ADMIT_ALL_GATE;
     this.queue = this.gate.createQueue();
     this.currentMaxChanges = options.maxChanges;
   }
@@ -91,14 +91,14 @@
 
   /** Does the job's value leave capacity for what its tasks will need? */
   fitsValueLimit(spec: JobSpec): boolean {
-    return this.isWithinShare(JSON.stringify(storedSubmission(spec, Date.now())).length);
+    return this.isWithinSubmissionLimit(JSON.stringify(storedSubmission(spec, Date.now())).length);
   }
 
   /** Resolves once the outcome is certain, or after `maxWaitS`. */
   submit(spec: JobSpec, wallMs: number): Promise<SubmissionWriteResult> {
     const value = storedSubmission(spec, wallMs);
     const bytes = JSON.stringify(value).length;
-    if (!this.isWithinShare(bytes)) return Promise.resolve(NEVER);
+    if (!this.isWithinSubmissionLimit(bytes)) return Promise.resolve(NEVER);
     const key = KEY.activeJob(spec.id);
     const preconditions = [keyDoesNotExist(key), keyDoesNotExist(KEY.finalRecord(spec.id))];
     return this.enqueue(preconditions, { op: "put", key, value }, bytes, spec);
@@ -118,7 +118,7 @@
     return result.kind === "refused" || result.kind === "never" ? UNAVAILABLE : result;
   }
 
-  private isWithinShare(bytes: number): boolean {
+  private isWithinSubmissionLimit(bytes: number): boolean {
     return bytes <= MAX_SUBMISSION_SHARE * this.options.maxValueBytes;
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** Takes from the queue what goes into one transaction; what the gate refuses is answered. */
-  private nextBatch(claims: GateBatch): PendingWrite[] {
+  private takeBatch(gateBatch: GateBatch): PendingWrite[] {
     const { writeBudget, now, maxTransactionBytes } = this.options;
     const available = Math.floor(writeBudget.available(now()));
     const maxChanges = Math.max(1, Math.min(this.currentMaxChanges, available));
@@ -170,13 +170,13 @@
       // The same job twice in one transaction: the second waits and finds it known.
       if (keys.has(next.change.key)) break;
       if (batch.length > 0) {
-        const changes = batch.length + claims.changes.length + 1;
-        const extra = next.spec === null ? 0 : claims.extraChanges(next.spec);
-        if (changes + extra > maxChanges) break;
+        const changes = batch.length + gateBatch.changes.length + 1;
+        const additional = next.spec === null ? 0 : gateBatch.extraChanges(next.spec);
+        if (changes + additional > maxChanges) break;
         if (bytes + next.bytes + WRITE_OVERHEAD_BYTES > maxTransactionBytes) break;
       }
       this.queue.shift();
-      if (next.spec !== null && !claims.tryAdmit(next.spec)) {
+      if (next.spec !== null && !gateBatch.tryAdmit(next.spec)) {
         next.resolve(REFUSED);
         continue;
       }
@@ -189,21 +189,26 @@
 
   private async writeBatch(): Promise<void> {
     const { keyValueClient, writeBudget, now } = this.options;
-    const claims = this.gate.beginBatch();
-    const batch = this.nextBatch(claims);
+    const gateBatch = this.gate.beginBatch();
+    const batch = this.takeBatch(gateBatch);
     if (batch.length === 0) return;
-    const changes = [...batch.map((write) => write.change), ...claims.changes];
-    const ofBatch = batch.flatMap((write) => write.preconditions);
+    const changes = [...batch.map((write) => write.change), ...gateBatch.changes];
+    const batchPreconditions = batch.flatMap((write) => write.preconditions);
     // A transaction of cancellations alone depends on no gate.
-    const ofGate = batch.some((write) => write.spec !== null) ? claims.preconditions : [];
+    const gatePreconditions = batch.some((write) => write.spec !== null)
+      ? gateBatch.preconditions
+      : [];
     writeBudget.takeOnCredit(changes.length, now());
-    const result = await keyValueClient.transact([...ofBatch, ...ofGate], changes);
-    await this.settle(batch, ofGate, result);
+    const result = await keyValueClient.transact(
+      [...batchPreconditions, ...gatePreconditions],
+      changes,
+    );
+    await this.handleResult(batch, gatePreconditions, result);
   }
 
-  private async settle(
+  private async handleResult(
     batch: readonly PendingWrite[],
-    ofGate: readonly Precondition[],
+    gatePreconditions: readonly Precondition[],
     result: TransactionResult,
   ): Promise<void> {
     switch (result.kind) {
@@ -212,7 +217,7 @@
         for (const write of batch) write.resolve(OK);
         return;
       case "failed":
-        return this.handleFailedPreconditions(batch, ofGate, new Set(result.keys));
+        return this.handleFailedPreconditions(batch, gatePreconditions, new Set(result.keys));
       case "refused":
         return this.handleRefusal(batch, result.status);
       case "unknown":
@@ -239,16 +244,16 @@
    * Over the rate limit, or the outcome is unknown. Either way the same conditional write may be sent again: a copy that
    * still arrives and one that was executed both make it fail as `known`.
    */
-  private async retry(batch: readonly PendingWrite[], afterS: number): Promise<void> {
+  private async retry(batch: readonly PendingWrite[], delayS: number): Promise<void> {
     this.queue.requeue(batch);
-    await sleepSeconds(afterS);
+    await sleepSeconds(delayS);
     this.expireOverdue();
   }
 
   /** Those whose own keys exist already are known; the others are tried again. */
   private async handleFailedPreconditions(
     batch: readonly PendingWrite[],
-    ofGate: readonly Precondition[],
+    gatePreconditions: readonly Precondition[],
     failedKeys: ReadonlySet<string>,
   ): Promise<void> {
     const retried: PendingWrite[] = [];
@@ -256,14 +261,14 @@
       if (write.preconditions.some(({ key }) => failedKeys.has(key))) write.resolve(KNOWN);
       else retried.push(write);
     }
-    const hasGateChanged = ofGate.some(({ key }) => failedKeys.has(key));
-    if (retried.length === batch.length && !hasGateChanged) {
+    const hasGatePreconditionFailed = gatePreconditions.some(({ key }) => failedKeys.has(key));
+    if (retried.length === batch.length && !hasGatePreconditionFailed) {
       for (const write of retried) write.resolve(UNAVAILABLE);
       return;
     }
     this.queue.requeue(retried);
     // Another node charged the same ledger, or a new window began: they are evaluated again by what is stored now.
-    if (hasGateChanged && !(await this.gate.refresh())) {
+    if (hasGatePreconditionFailed && !(await this.gate.refresh())) {
       await sleepSeconds(this.options.maxWaitS / 20);
     }
     this.expireOverdue();
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -51,9 +51,9 @@
   /** Takes a new connection, and decides by its first bytes who reads it. */
   accept(socket: Socket): void {
     this.openSockets.add(socket);
-    socket.on("error", ignore);
+    socket.on("error", ignoreError);
     socket.setTimeout(1000 * this.options.idleTimeoutS, () => socket.destroy());
-    socket.on("end", endWithPeer);
+    socket.on("end", endOnPeerEnd);
     socket.once("close", () => this.openSockets.delete(socket));
     socket.once("data", (first: Buffer) => {
       const requestLine = first.subarray(0, HEARTBEAT_REQUEST_LINE.length);
@@ -75,7 +75,7 @@
     this.openSockets.delete(socket);
     socket.pause();
     socket.removeAllListeners("timeout");
-    socket.removeListener("end", endWithPeer);
+    socket.removeListener("end", endOnPeerEnd);
     socket.setTimeout(0);
     socket.unshift(unanswered);
     this.options.onOtherRequests(socket);
@@ -97,10 +97,10 @@
   }
 }
 
-const ignore = (): void => {};
+const ignoreError = (): void => {};
 
 /** The HTTP server leaves a socket open when its peer ends; a redirected worker would hold one until it idles out. */
-function endWithPeer(this: Socket): void {
+function endOnPeerEnd(this: Socket): void {
   this.end();
 }
 
@@ -113,7 +113,7 @@
   private bodyBytes = 0;
   private keepsAlive = true;
   /** A request was received that is no heartbeat. */
-  private isForeign = false;
+  private hasOtherRequest = false;
 
   constructor(
     private readonly connections: WorkerConnections,
@@ -124,7 +124,7 @@
       const isHeartbeat =
         HTTPParser.methods[info.method!] === "POST" && info.url === PATH.heartbeat;
       const expectsContinue = info.headers.some((text) => text.toLowerCase() === "expect");
-      if (!isHeartbeat || expectsContinue) this.isForeign = true;
+      if (!isHeartbeat || expectsContinue) this.hasOtherRequest = true;
     };
     this.parser[HTTPParser.kOnBody] = (chunk, offset, length) => {
       this.bodyBytes += length;
@@ -140,12 +140,12 @@
   readonly onData = (chunk: Buffer): void => {
     this.unansweredChunks.push(chunk);
     const parsed = this.parser.execute(chunk);
-    if (this.isForeign) this.passToHttpServer();
+    if (this.hasOtherRequest) this.passToHttpServer();
     else if (parsed instanceof Error || this.isTooLarge()) this.refuse();
   };
 
   private completeRequest(): void {
-    if (this.isForeign || this.isTooLarge()) return;
+    if (this.hasOtherRequest || this.isTooLarge()) return;
     const body =
       this.bodyChunks.length === 1 ? this.bodyChunks[0]! : Buffer.concat(this.bodyChunks);
     this.unansweredChunks = [];
--- a/src/net/http-connection-pool.ts
+++ b/src/net/http-connection-pool.ts
@@ -13,7 +13,7 @@
 export type { HttpResponse } from "./response-reader.js";
 
 /** How far an exchange has come. */
-interface Progress {
+interface ExchangeProgress {
   isWritten: boolean;
 }
 
@@ -21,7 +21,7 @@
 export class HttpConnectionPool {
   private idleConnections: HttpConnection[] = [];
   private openCount = 0;
-  private isRetired = false;
+  private isClosing = false;
   private readonly hostAndPort: HostAndPort;
 
   constructor(
@@ -43,7 +43,7 @@
     timeoutMs: number,
   ): Promise<HttpResponse> {
     const connection = this.acquire();
-    const progress: Progress = { isWritten: false };
+    const progress: ExchangeProgress = { isWritten: false };
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_, reject) => {
       timer = setTimeout(() => {
@@ -52,7 +52,7 @@
       }, timeoutMs);
     });
     try {
-      const exchange = this.exchange(connection, this.requestOf(method, path, body), progress);
+      const exchange = this.exchange(connection, this.encodeRequest(method, path, body), progress);
       // If the timeout comes first, no caller awaits the exchange.
       exchange.catch(() => {});
       return await Promise.race([exchange, timeout]);
@@ -63,7 +63,7 @@
 
   /** Closes idle connections now, and those in use once they are answered. */
   close(): void {
-    this.isRetired = true;
+    this.isClosing = true;
     for (const connection of this.idleConnections) connection.close();
     this.idleConnections = [];
   }
@@ -83,7 +83,7 @@
   private open(): HttpConnection {
     this.openCount++;
     const connection = new HttpConnection(this.hostAndPort, (idle) => {
-      if (this.isRetired) idle.close();
+      if (this.isClosing) idle.close();
       else this.idleConnections.push(idle);
     });
     connection.socket.once("close", () => {
@@ -96,7 +96,7 @@
   private async exchange(
     connection: HttpConnection,
     request: Buffer,
-    progress: Progress,
+    progress: ExchangeProgress,
   ): Promise<HttpResponse> {
     try {
       await connection.connected;
@@ -108,7 +108,7 @@
     return connection.send(request);
   }
 
-  private requestOf(method: string, path: string, body: Buffer | null): Buffer {
+  private encodeRequest(method: string, path: string, body: Buffer | null): Buffer {
     const head = Buffer.from(
       `${method} ${path} HTTP/1.1\r\nHost: ${this.address}\r\n` +
         (body === null ? "" : "Content-Type: application/msgpack\r\n") +
--- a/src/net/http-connection.ts
+++ b/src/net/http-connection.ts
@@ -58,7 +58,7 @@
     try {
       for await (const chunk of this.socket) {
         const response = this.reader.feed(chunk as Buffer);
-        if (response !== null) this.answer(response);
+        if (response !== null) this.handleResponse(response);
       }
     } catch (error) {
       cause = (error as Error).message;
@@ -67,7 +67,7 @@
     this.takePendingRequest()?.reject(new RequestError(cause, true));
   }
 
-  private answer(response: HttpResponse): void {
+  private handleResponse(response: HttpResponse): void {
     const request = this.takePendingRequest();
     if (request === null || response.headers.get("connection") === "close") this.close();
     else this.onIdle(this);
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,21 +1,21 @@
 /** The cloud's messages: the catalog of machine types, the list of machines, provisioning and release. */
 import * as z from "zod";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
-import { amount, decodeAll, isFields } from "./fields.js";
+import { decodeList, isObject, nonNegativeNumber } from "./fields.js";
 
 const DEFAULT_FETCH_GB_PER_S = 1;
 
 const machineTypeSchema = z
   .object({
     sku: z.string(),
-    cpus: amount,
-    cards: amount.nullish(),
-    memoryGb: amount,
-    localGb: amount.nullish(),
-    fetchGbPerS: amount.nullish(),
-    hourly: amount,
-    spotPrice: amount.nullish(),
-    readyS: amount,
+    cpus: nonNegativeNumber,
+    cards: nonNegativeNumber.nullish(),
+    memoryGb: nonNegativeNumber,
+    localGb: nonNegativeNumber.nullish(),
+    fetchGbPerS: nonNegativeNumber.nullish(),
+    hourly: nonNegativeNumber,
+    spotPrice: nonNegativeNumber.nullish(),
+    readyS: nonNegativeNumber,
     paddocks: z.array(z.string()),
   })
   .transform(
@@ -46,7 +46,7 @@
 
 /** Lists of many hundred machines arrive every few seconds, so their entries are validated field by field. */
 function decodeListedMachine(entry: unknown): ListedMachine | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { nameId, address, breed, paddock, loaners, stance, ageS } = entry;
   if (typeof nameId !== "string" || typeof breed !== "string" || typeof paddock !== "string") {
     return null;
@@ -75,7 +75,7 @@
 export function decodeMachineList(body: unknown): MachineListPage | null {
   const parsed = machineListSchema.safeParse(body);
   if (!parsed.success) return null;
-  const machines = decodeAll(parsed.data.mounts, decodeListedMachine);
+  const machines = decodeList(parsed.data.mounts, decodeListedMachine);
   return machines === null ? null : { machines, more: parsed.data.more ?? false };
 }
 
--- a/src/wire/commands.ts
+++ b/src/wire/commands.ts
@@ -1,7 +1,7 @@
 /** Commands to workers on the wire, in the answers to their heartbeats and in direct requests. */
 import * as z from "zod";
 import type { WorkerCommand } from "../core/model/workers.js";
-import { amount, choice, count } from "./fields.js";
+import { mappedEnum, nonNegativeInteger, nonNegativeNumber } from "./fields.js";
 import { COMMAND_FROM_WIRE, WIRE_COMMAND } from "./names.js";
 import { formatTaskName, parseTaskName } from "./task-name.js";
 
@@ -34,15 +34,15 @@
 });
 
 const commandSchema = z.object({
-  call: choice(COMMAND_FROM_WIRE),
+  call: mappedEnum(COMMAND_FROM_WIRE),
   stride: z.string(),
-  mounting: count,
-  easeS: amount.nullish(),
+  mounting: nonNegativeInteger,
+  easeS: nonNegativeNumber.nullish(),
 });
 
 const commandsSchema = z.object({
-  rein: count,
-  stint: count.nullish(),
+  rein: nonNegativeInteger,
+  stint: nonNegativeInteger.nullish(),
   calls: z.array(commandSchema),
 });
 
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -22,16 +22,16 @@
     .refine((text) => Buffer.byteLength(text) <= maxBytes);
 
 /** A name of a team, a job class, a zone or a machine type. */
-export const label = boundedText(MAX_ID_BYTES);
+export const nameText = boundedText(MAX_ID_BYTES);
 
 /** A finite number that is not negative. */
-export const amount = z.number().nonnegative().finite();
+export const nonNegativeNumber = z.number().nonnegative().finite();
 
 /** A whole number that is not negative. */
-export const count = z.number().int().nonnegative();
+export const nonNegativeInteger = z.number().int().nonnegative();
 
 /** A text that is a key of `values`, decoded into the value that stands there. */
-export const choice = <V>(values: Record<string, V>) =>
+export const mappedEnum = <V>(values: Record<string, V>) =>
   z.string().transform((text, context): V => {
     if (Object.hasOwn(values, text)) return values[text]!;
     context.addIssue({ code: "custom", message: "unknown value" });
@@ -39,14 +39,17 @@
   });
 
 /** The fields of a message before they are checked. */
-type Fields = Readonly<Record<string, unknown>>;
+type UncheckedFields = Readonly<Record<string, unknown>>;
 
 /** May this value be read field by field? */
-export const isFields = (value: unknown): value is Fields =>
+export const isObject = (value: unknown): value is UncheckedFields =>
   typeof value === "object" && value !== null;
 
 /** Each entry of a list decoded, or null if `list` is no list or an entry is malformed. */
-export function decodeAll<T>(list: unknown, decodeEntry: (entry: unknown) => T | null): T[] | null {
+export function decodeList<T>(
+  list: unknown,
+  decodeEntry: (entry: unknown) => T | null,
+): T[] | null {
   if (!Array.isArray(list)) return null;
   const decoded: T[] = [];
   for (const entry of list) {
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -2,13 +2,13 @@
 import * as z from "zod";
 import type { JobSpec, JobView } from "../core/model/jobs.js";
 import {
-  amount,
   boundedText,
-  choice,
-  isFields,
+  isObject,
   isValidJobId,
   jobIdSchema,
-  label,
+  mappedEnum,
+  nameText,
+  nonNegativeNumber,
 } from "./fields.js";
 import { KIND_FROM_WIRE, PRIORITY_FROM_WIRE } from "./names.js";
 
@@ -19,25 +19,25 @@
 const jobSchema = z
   .object({
     nameId: jobIdSchema,
-    herd: label,
-    outfit: label,
-    gait: choice(KIND_FROM_WIRE),
-    rank: choice(PRIORITY_FROM_WIRE),
+    herd: nameText,
+    outfit: nameText,
+    gait: mappedEnum(KIND_FROM_WIRE),
+    rank: mappedEnum(PRIORITY_FROM_WIRE),
     strides: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
-    cpus: amount,
-    cards: amount,
-    memoryGb: amount,
+    cpus: nonNegativeNumber,
+    cards: nonNegativeNumber,
+    memoryGb: nonNegativeNumber,
     tack: boundedText(MAX_IMAGE_BYTES),
-    pullGb: amount,
-    breeds: z.array(label).nullish(),
-    paddock: label.nullish(),
+    pullGb: nonNegativeNumber,
+    breeds: z.array(nameText).nullish(),
+    paddock: nameText.nullish(),
     together: z.boolean(),
     apart: z.boolean(),
     loaners: z.boolean(),
-    rideS: amount,
-    restS: amount,
-    unsaddleS: amount,
-    dueS: amount.nullish(),
+    rideS: nonNegativeNumber,
+    restS: nonNegativeNumber,
+    unsaddleS: nonNegativeNumber,
+    dueS: nonNegativeNumber.nullish(),
     follows: z.array(jobIdSchema).nullish(),
   })
   .refine((job) => job.cpus > 0 || job.cards > 0 || job.memoryGb > 0)
@@ -81,7 +81,7 @@
 
 /** The valid job id in a body that need not be a whole job, or null. */
 export function decodeJobId(body: unknown): string | null {
-  if (!isFields(body)) return null;
+  if (!isObject(body)) return null;
   const { nameId } = body;
   return typeof nameId === "string" && isValidJobId(nameId) ? nameId : null;
 }
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -6,7 +6,7 @@
  */
 import * as z from "zod";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
-import { decodeAll, isFields } from "./fields.js";
+import { decodeList, isObject } from "./fields.js";
 
 const encodeChange = (change: Change) =>
   change.op === "put"
@@ -28,7 +28,7 @@
 });
 
 function decodeItem(entry: unknown): KeyValueItem | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { k, data, mark } = entry;
   if (typeof k !== "string" || typeof mark !== "number") return null;
   return { key: k, value: data, modRevision: mark };
@@ -45,16 +45,16 @@
 
 /** Null if the body is malformed. */
 export function decodeRange(body: unknown): KeyPage | null {
-  if (!isFields(body)) return null;
+  if (!isObject(body)) return null;
   const { ledger } = body;
   const more = body.more ?? false;
   if (typeof ledger !== "number" || typeof more !== "boolean") return null;
-  const items = decodeAll(body.items, decodeItem);
+  const items = decodeList(body.items, decodeItem);
   return items === null ? null : { items, more, revision: ledger };
 }
 
 function decodeEvent(entry: unknown): ChangeEvent | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { write, remove, data, mark } = entry;
   const key = remove ?? write;
   if (typeof key !== "string" || typeof mark !== "number") return null;
@@ -71,8 +71,8 @@
 
 /** Null if the body is malformed. */
 export function decodeWatchResponse(body: unknown): WatchBatch | null {
-  if (!isFields(body) || typeof body.ledger !== "number") return null;
-  const events = decodeAll(body.log, decodeEvent);
+  if (!isObject(body) || typeof body.ledger !== "number") return null;
+  const events = decodeList(body.log, decodeEvent);
   return events === null ? null : { revision: body.ledger, events };
 }
 
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -3,7 +3,7 @@
 import type { ClusterSettings, Objective, Team } from "../core/model/settings.js";
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "not an address host:port");
-const amount = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 const positive = z.number().positive();
 
 const settingsSchema = z.object({
@@ -21,10 +21,10 @@
     teams: z.array(
       z.object({
         name: z.string().min(1),
-        cpus: amount.default(0),
-        cpus_max: amount.default(0),
-        gpus: amount.default(0),
-        gpus_max: amount.default(0),
+        cpus: nonNegative.default(0),
+        cpus_max: nonNegative.default(0),
+        gpus: nonNegative.default(0),
+        gpus_max: nonNegative.default(0),
       }),
     ),
     objectives: z
@@ -32,8 +32,8 @@
         z.object({
           kind: z.string(),
           class: z.string().nullish(),
-          within_s: amount.nullish(),
-          share: amount.default(0),
+          within_s: nonNegative.nullish(),
+          share: nonNegative.default(0),
         }),
       )
       .default([]),
@@ -59,9 +59,9 @@
         })
         .nullish(),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: amount }),
+    cloud: z.object({ rps: positive, list_lag_s: nonNegative }),
     resources: z.object({ cpu_share: positive, mem_mb: positive, sockets: positive }),
-    clock_off_ms: amount,
+    clock_off_ms: nonNegative,
   }),
 });
 
@@ -109,7 +109,7 @@
 }
 
 type WireSettings = z.infer<typeof settingsSchema>;
-type WireCluster = WireSettings["settings"];
+type WireClusterSettings = WireSettings["settings"];
 
 const toNodeSettings = (file: WireSettings): NodeSettings => ({
   member: file.member,
@@ -128,7 +128,7 @@
   address: sibling.addr,
 });
 
-const toClusterSettings = (cluster: WireCluster): ClusterSettings => ({
+const toClusterSettings = (cluster: WireClusterSettings): ClusterSettings => ({
   nodes: cluster.nodes,
   zones: cluster.zones,
   teams: cluster.teams.map(toTeam),
@@ -147,7 +147,7 @@
   clockOffMs: cluster.clock_off_ms,
 });
 
-const toTeam = (team: WireCluster["teams"][number]): Team => ({
+const toTeam = (team: WireClusterSettings["teams"][number]): Team => ({
   name: team.name,
   cpus: team.cpus,
   cpusMax: team.cpus_max,
@@ -155,7 +155,7 @@
   gpusMax: team.gpus_max,
 });
 
-const toObjective = (objective: WireCluster["objectives"][number]): Objective => ({
+const toObjective = (objective: WireClusterSettings["objectives"][number]): Objective => ({
   kind: objective.kind,
   class: objective.class ?? null,
   withinS: objective.within_s ?? null,
@@ -163,7 +163,7 @@
 });
 
 /** The smaller of the present and the next limits from the start: so nothing need be noticed when they change. */
-const stateLimits = ({ next, ...present }: WireCluster["state"]) => ({
+const stateLimits = ({ next, ...present }: WireClusterSettings["state"]) => ({
   stateRps: Math.min(present.rps, next?.rps ?? Infinity),
   stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
   valueKb: Math.min(present.value_kb, next?.value_kb ?? Infinity),
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -5,7 +5,7 @@
  * answer cost; so they are validated field by field.
  */
 import type { ExitCause, TaskStatus, WorkerHeartbeat } from "../core/model/workers.js";
-import { isFields } from "./fields.js";
+import { isObject } from "./fields.js";
 import {
   EXIT_CAUSE_FROM_WIRE,
   TASK_STATE_FROM_WIRE,
@@ -18,10 +18,10 @@
 const MIN_ADDRESS_LENGTH = 3;
 const MAX_UTF8_BYTES_PER_CODE_UNIT = 3;
 
-const isCount = (value: unknown): value is number =>
+const isNonNegativeInteger = (value: unknown): value is number =>
   Number.isSafeInteger(value) && (value as number) >= 0;
 
-const isFiniteAmount = (value: unknown): value is number =>
+const isNonNegativeFinite = (value: unknown): value is number =>
   typeof value === "number" && value >= 0 && value < Infinity;
 
 function isMachineName(value: unknown): value is string {
@@ -33,9 +33,10 @@
 }
 
 function decodeTaskStatus(entry: unknown): TaskStatus | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { stride, mounting, stance, cause, saved } = entry;
-  if (typeof stride !== "string" || typeof stance !== "string" || !isCount(mounting)) return null;
+  if (typeof stride !== "string" || typeof stance !== "string" || !isNonNegativeInteger(mounting))
+    return null;
   if (!Object.hasOwn(TASK_STATE_FROM_WIRE, stance)) return null;
   const taskName = parseTaskName(stride);
   if (taskName === null) return null;
@@ -56,7 +57,7 @@
     ? EXIT_CAUSE_FROM_WIRE[cause]!
     : "error";
 
-/** Its own loop, not `decodeAll`: this runs for every heartbeat, and a direct call can be inlined. */
+/** Its own loop, not `decodeList`: this runs for every heartbeat, and a direct call can be inlined. */
 function decodeTaskStatuses(list: unknown): TaskStatus[] | null {
   if (!Array.isArray(list)) return null;
   const statuses: TaskStatus[] = [];
@@ -70,15 +71,16 @@
 
 /** A heartbeat, or null if the body is malformed. */
 export function decodeWorkerHeartbeat(body: unknown): WorkerHeartbeat | null {
-  if (!isFields(body)) return null;
+  if (!isObject(body)) return null;
   const { mount, address, breed, paddock, loaners, stint, tally, rein } = body;
   const interruptionNoticeS = body.recallS ?? null;
   if (!isMachineName(mount)) return null;
   if (typeof address !== "string" || address.length < MIN_ADDRESS_LENGTH) return null;
   if (typeof breed !== "string" || typeof paddock !== "string") return null;
   if (typeof loaners !== "boolean") return null;
-  if (!isCount(stint) || !isCount(tally) || !isCount(rein)) return null;
-  if (interruptionNoticeS !== null && !isFiniteAmount(interruptionNoticeS)) return null;
+  if (!isNonNegativeInteger(stint) || !isNonNegativeInteger(tally) || !isNonNegativeInteger(rein))
+    return null;
+  if (interruptionNoticeS !== null && !isNonNegativeFinite(interruptionNoticeS)) return null;
   const tasks = decodeTaskStatuses(body.strides);
   if (tasks === null) return null;
   return {
--- a/src/workers/sockets.ts
+++ b/src/workers/sockets.ts
@@ -11,6 +11,6 @@
  * of the sockets left none for users when there were half as many machines again.)
  */
 export function maxWorkerConnections(sockets: number, machines: number): number {
-  const left = SHARE_FOR_WORKERS * sockets - CONNECTIONS_PER_MACHINE * machines;
-  return Math.floor(Math.max(sockets / 40, MIN_CONNECTIONS, Math.min(left, sockets / 2)));
+  const remaining = SHARE_FOR_WORKERS * sockets - CONNECTIONS_PER_MACHINE * machines;
+  return Math.floor(Math.max(sockets / 40, MIN_CONNECTIONS, Math.min(remaining, sockets / 2)));
 }
