--- a/src/api/completion-waiters.ts
+++ b/src/api/completion-waiters.ts
@@ -1,11 +1,11 @@
-/** Requests that wait, for a bounded time each, until the end of a job is stored. */
+/** Lets requests wait, each with a timeout, until the final state of a job is stored. */
 export class CompletionWaiters {
   private readonly waiters = new Map<string, Set<(isTerminal: boolean) => void>>();
 
-  /** `isTerminal`: is the end of this job stored? */
+  /** `isTerminal` reports whether the final state of a job is stored. */
   constructor(private readonly isTerminal: (id: string) => boolean) {}
 
-  /** True as soon as the end is stored; false if it is not after `timeoutMs`. */
+  /** Resolves to true as soon as the job's final state is stored, or to false after `timeoutMs`. */
   waitFor(id: string, timeoutMs: number): Promise<boolean> {
     if (this.isTerminal(id)) return Promise.resolve(true);
     return new Promise((resolve) => {
@@ -23,7 +23,7 @@
     });
   }
 
-  /** The stored state of these jobs changed; null: that of any may have. */
+  /** To be called after the stored state of these jobs changed; null means that any job may have changed. */
   notifyChanged(ids: Iterable<string> | null): void {
     for (const id of [...(ids ?? this.waiters.keys())]) {
       const waiters = this.waiters.get(id);
--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -1,14 +1,14 @@
-/** Worker heartbeats: from the bytes of one to the reply, whichever server received it. */
+/** Handles the body of a worker heartbeat and returns the reply, independently of the server that received it. */
 import type { WorkerHeartbeat } from "../core/model/workers.js";
 import { encodeCommands, encodeRedirect } from "../wire/commands.js";
 import { decodeBody, encode } from "../wire/msgpack.js";
 import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
 import type { HeartbeatAnswer } from "./outcomes.js";
 
-/** What the heartbeats ask of the controller. */
+/** The parts of the controller that handle heartbeats. */
 export interface HeartbeatBackend {
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer;
-  /** The member that heartbeats go to, if it is certain without decoding one that it is another. */
+  /** The other member that leads, if it is known without decoding the heartbeat; otherwise null. */
   redirectTarget(): string | null;
 }
 
@@ -16,15 +16,15 @@
 export interface HeartbeatReply {
   readonly status: number;
   readonly body: Buffer;
-  /** Seconds after which a refused worker may come back; it does so over a new connection. */
+  /** Seconds after which a refused worker may retry, over a new connection; null if it was not refused. */
   readonly retryAfterS: number | null;
 }
 
-/** What a `HeartbeatHandler` refuses by and tells. */
+/** Options of a `HeartbeatHandler`. */
 export interface HeartbeatHandlerOptions {
-  /** Seconds after which a refused worker may come back. */
+  /** Seconds after which a refused worker may retry. */
   readonly retryAfterS: number;
-  /** An error of this program's own. */
+  /** Called with errors of this program, not of the request. */
   readonly onFault: (error: Error) => void;
 }
 
@@ -34,11 +34,11 @@
   retryAfterS: null,
 });
 
-/** Turns the body of a heartbeat into the reply. */
+/** Decodes heartbeats, passes them to the controller and encodes the replies. */
 export class HeartbeatHandler {
-  /** The last reply without commands, as most are the same. */
+  /** The last reply without commands, reused because most replies are identical. */
   private lastEmptyReply: { fencingToken: number; reply: HeartbeatReply } | null = null;
-  /** The last redirect, as most are the same. */
+  /** The last redirect, reused because most redirects are identical. */
   private lastRedirect: { leader: string | null; reply: HeartbeatReply } | null = null;
 
   constructor(
@@ -46,10 +46,10 @@
     private readonly options: HeartbeatHandlerOptions,
   ) {}
 
-  /** The reply to a heartbeat whose body was received whole. */
+  /** Returns the reply to a heartbeat whose complete body was received. */
   handle(body: Buffer): HeartbeatReply {
     try {
-      // After a failover every worker comes here once: it is redirected before its heartbeat is decoded.
+      // After a failover every worker contacts the previous leader once, so redirects skip the decoding.
       const leader = this.backend.redirectTarget();
       if (leader !== null) return this.redirectTo(leader);
       const heartbeat = decodeWorkerHeartbeat(decodeBody(body));
@@ -81,7 +81,7 @@
     return this.lastRedirect.reply;
   }
 
-  /** Refuses at once, with a Retry-After. */
+  /** A 503 reply with a Retry-After header. */
   private createRefusal(error: string): HeartbeatReply {
     const retryAfterS = Math.max(1, Math.ceil(this.options.retryAfterS));
     return { ...createReply(503, { error }), retryAfterS };
--- a/src/api/outcomes.ts
+++ b/src/api/outcomes.ts
@@ -1,13 +1,13 @@
-/** How requests end: what the controller answers the HTTP server. Each is a union discriminated by its `kind`. */
+/** Results that the controller returns to the HTTP server. Each is a union discriminated by its `kind`. */
 import type { JobView } from "../core/model/jobs.js";
 import type { WorkerCommand } from "../core/model/workers.js";
 
-/** How a conditional write of a submission or a cancellation ended. */
+/** The result of the conditional write of a submission or a cancellation. */
 export type WriteResult =
   | { readonly kind: "ok" }
-  /** One of its keys existed already: the job is known, and a read returns its state. */
+  /** One of the keys existed already: the job is known, and a read returns its state. */
   | { readonly kind: "known" }
-  /** Nothing is certain; the client may send the same request again. */
+  /** The write may or may not have been executed; the client may send the same request again. */
   | { readonly kind: "unavailable" };
 
 /** The job can never be stored, or depends on a job that was never accepted. */
@@ -15,26 +15,26 @@
   readonly kind: "never";
 }
 
-/** How the writer's part of a submission ended. */
+/** The result of one attempt to write a submission. */
 export type SubmissionWriteResult =
   | WriteResult
   | NeverPossible
-  /** By the submission gate, as far as this node has read the stored state. */
+  /** Refused by the submission gate, judged by the stored state that this node has read so far. */
   | { readonly kind: "refused" };
 
-/** How a submission ended. */
+/** The result of a submission. */
 export type SubmissionOutcome =
   | WriteResult
   | NeverPossible
-  /** By admission control; the client may come back later. */
+  /** Rejected by admission control; the client may retry later. */
   | { readonly kind: "rejected"; readonly retryAfterS: number };
 
-/** How a linearizable read of one job ended. */
+/** The result of a linearizable read of one job. */
 export type JobReadResult =
   | { readonly kind: "found"; readonly job: JobView }
   /** The job was never accepted. */
   | { readonly kind: "not found" }
-  /** This node does not know. */
+  /** This node could not read the latest state. */
   | { readonly kind: "unavailable" };
 
 /** Whether a job can ever run. */
@@ -44,26 +44,26 @@
   /** The machine types are not known yet. */
   | { readonly kind: "unknown" };
 
-/** How a worker heartbeat is answered. */
+/** The answer to a worker heartbeat. */
 export type HeartbeatAnswer =
   | {
       readonly kind: "answer";
       readonly fencingToken: number;
       readonly commands: readonly WorkerCommand[];
     }
-  /** To the leader's member name; null: no leader is known. */
+  /** `leader` is the leader's member name, or null if no leader is known. */
   | { readonly kind: "redirect"; readonly leader: string | null }
   | { readonly kind: "unavailable" };
 
-// Outcomes without further values, each made once.
+// Shared instances of the results that carry no further values.
 
 /** Stored. */
 export const OK = { kind: "ok" } as const;
 /** The job is known. */
 export const KNOWN = { kind: "known" } as const;
-/** Nothing is certain. */
+/** The outcome of the write is unknown. */
 export const UNAVAILABLE = { kind: "unavailable" } as const;
-/** The job can never be stored. */
+/** The job can never be stored, or depends on a job that was never accepted. */
 export const NEVER = { kind: "never" } as const;
-/** The submission gate refused. */
+/** The submission gate refused the job. */
 export const REFUSED = { kind: "refused" } as const;
--- a/src/api/pending-queue.ts
+++ b/src/api/pending-queue.ts
@@ -1,22 +1,22 @@
-/** The order in which submissions and cancellations wait for a transaction. */
+/** A queue of submissions and cancellations that wait for a transaction; implementations define the order. */
 export interface PendingQueue<T> {
   readonly size: number;
 
   push(item: T): void;
 
-  /** Puts back items that were taken and not written: they come before all others, in this order. */
+  /** Puts items that were taken but not written back at the front of the queue, in the given order. */
   requeue(items: readonly T[]): void;
 
-  /** The next item, which stays in the queue. */
+  /** Returns the next item without removing it. */
   peek(): T | undefined;
 
   shift(): T | undefined;
 
-  /** Removes and returns all items for which the test holds. */
+  /** Removes and returns all items for which `test` returns true. */
   removeWhere(test: (item: T) => boolean): T[];
 }
 
-/** First come, first served. */
+/** A first-in, first-out queue. */
 export class FifoQueue<T> implements PendingQueue<T> {
   private items: T[] = [];
 
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,4 +1,4 @@
-/** The routes for users, health checks and heartbeats, and the answer to each request. */
+/** The HTTP routes for users, health checks and worker heartbeats, with their handlers. */
 import type { FastifyInstance, FastifyReply } from "fastify";
 import { assertNever } from "../core/assert-never.js";
 import type { JobSpec, JobView } from "../core/model/jobs.js";
@@ -10,61 +10,61 @@
 import type { HeartbeatBackend, HeartbeatHandler } from "./heartbeats.js";
 import type { Feasibility, JobReadResult, SubmissionOutcome, WriteResult } from "./outcomes.js";
 
-/** Seconds over which the retries of requests that were refused as too many are spread. */
+/** Seconds over which the Retry-After values of requests beyond the concurrency limit are spread. */
 const RETRY_SPREAD_S = 3;
 
-/** What the server asks of its controller. */
+/** The controller as the HTTP server uses it. */
 export interface ApiBackend extends HeartbeatBackend {
   isHealthy(): boolean;
-  /** Users are to go to other nodes, though their requests here are answered. */
+  /** True if users should move to other nodes; requests that still arrive here are answered. */
   shedsUsers(): boolean;
   /** A linearizable read. */
   readJob(id: string): Promise<JobReadResult>;
   checkFeasibility(spec: JobSpec): Feasibility;
   submit(spec: JobSpec): Promise<SubmissionOutcome>;
-  /** `ok`: the cancellation is stored; `known`: it, or the job's end, was stored already. */
+  /** `ok`: the cancellation is stored; `known`: it, or the job's final state, was stored already. */
   cancel(id: string): Promise<WriteResult>;
-  /** The job, done or cancelled, once its end is stored; null if it is not within so many seconds. */
+  /** Resolves to the job once its final state is stored, or to null if that takes longer than `withinS` seconds. */
   waitForEnd(id: string, withinS: number): Promise<JobView | null>;
 }
 
-/** Limits and observers of the server. */
+/** Limits and callbacks of the server. */
 export interface ServerOptions {
   /**
-   * Limits on concurrent requests: of queries, and of submissions and cancellations. They are apart, so that a storm of
-   * queries has none of the others refused.
+   * Concurrency limits of queries, and of submissions and cancellations. They are separate so that a burst of queries
+   * does not cause submissions or cancellations to be refused.
    */
   readonly queryLimit: AdaptiveConcurrencyLimit;
   readonly mutationLimit: AdaptiveConcurrencyLimit;
-  /** Steady time, in seconds. */
+  /** The current monotonic time, in seconds. */
   readonly now: () => number;
-  /** Seconds after which a refused client may come back. */
+  /** Seconds after which a refused client may retry. */
   readonly retryAfterS: number;
-  /** Seconds within which a cancelled job is to end; otherwise its user is told to retry later. */
+  /** Longest wait for a cancelled job to end, in seconds; after it the client is told to retry later. */
   readonly cancellationWaitS: number;
   /** Seconds after which an idle connection is closed. */
   readonly idleTimeoutS: number;
-  /** An error of this program's own. */
+  /** Called with errors of this program, not of the request. */
   readonly onFault: (error: Error) => void;
-  /** A request was answered with `status` after `durationS` seconds. */
+  /** Called when a request (`what`: "query" or "mutation") was answered with `status` after `durationS` seconds. */
   readonly onRequestDone: (what: string, durationS: number, status: number) => void;
 }
 
-/** Sends a body in MessagePack. */
+/** Sends a response with a MessagePack body. */
 export const sendMessagePack = (reply: FastifyReply, status: number, body: unknown): FastifyReply =>
   reply.code(status).header("content-type", "application/msgpack").send(encode(body));
 
-/** A route with the job's id in its path. */
+/** Fastify's type of a route with the job's id in its path. */
 interface JobRoute {
-  // biome-ignore lint/style/useNamingConvention: the name that Fastify asks for
+  // biome-ignore lint/style/useNamingConvention: the name that Fastify requires
   readonly Params: { readonly id: string };
 }
 
 const toBuffer = (body: unknown): Buffer => (Buffer.isBuffer(body) ? body : Buffer.alloc(0));
 
-/** Registers all routes on a server. */
+/** Registers and handles all routes of a server. */
 export class Routes {
-  /** Requests that were refused as too many: each gets its own time to retry after. */
+  /** Number of requests refused beyond the concurrency limit; it varies their Retry-After values. */
   private busyRefusalCount = 0;
 
   constructor(
@@ -97,7 +97,7 @@
     app.post<JobRoute>(`${PATH.jobs}/:id/${PATH.cancel}`, (request, reply) =>
       this.cancel(request.params.id, reply),
     );
-    // For heartbeats that were not read by `WorkerConnections`.
+    // Handles heartbeats that arrive on connections that `WorkerConnections` has passed to the HTTP server.
     app.post(PATH.heartbeat, (request, reply) => this.heartbeat(request.body, reply));
   }
 
@@ -111,10 +111,10 @@
     }
   }
 
-  /** Refuses at once, with a Retry-After. */
+  /** Sends an error with a Retry-After header. */
   private refuse(reply: FastifyReply, status: number, error: string, extraS = 0): FastifyReply {
     reply.header("retry-after", String(this.retryAfterS() + extraS));
-    // Connections are not moved between nodes: one that this node cannot serve is better opened anew.
+    // An open connection stays with its node; closing it lets the client connect to another one.
     if (status === 503) reply.header("connection", "close");
     return sendMessagePack(reply, status, { error });
   }
@@ -123,7 +123,7 @@
     return Math.max(1, Math.ceil(this.options.retryAfterS));
   }
 
-  /** Beyond the limit users' requests are refused at once, each with its own Retry-After. */
+  /** Runs a handler under a concurrency limit; beyond the limit the request is refused with a varied Retry-After. */
   private async withConcurrencyLimit<T>(
     limit: AdaptiveConcurrencyLimit,
     reply: FastifyReply,
@@ -133,7 +133,7 @@
       return this.refuse(reply, 429, "busy", this.busyRefusalCount++ % RETRY_SPREAD_S);
     }
     const startedAt = this.options.now();
-    // A connection closed with its answer is not reset later with a request on its way.
+    // While users are shed, connections close with their responses, so that none is reset later during a request.
     if (this.backend.shedsUsers()) reply.header("connection", "close");
     try {
       return await work();
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Answers with the state of a known job, or that this node does not know it; null: it was never accepted. */
+  /** Answers with the job's state, or with 503 if it can't be read; null without an answer if no such job exists. */
   private async answerWithJobState(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     const result = await this.backend.readJob(id);
     switch (result.kind) {
@@ -164,7 +164,7 @@
     const body = decodeBody(toBuffer(requestBody));
     const spec = decodeJob(body);
     if (spec === null) {
-      // A retry of an accepted job is answered with its state, whatever its body says.
+      // A retry of an accepted job is answered with the job's state, even if the rest of its body is malformed.
       const id = decodeJobId(body);
       const answered = id === null ? null : await this.answerWithJobState(id, reply);
       return answered ?? sendMessagePack(reply, 400, { error: "malformed" });
@@ -215,14 +215,14 @@
       this.storeCancellation(id, reply),
     );
     if (answered !== null) return answered;
-    // How long machines take to stop the tasks says nothing about how busy this node is: the limit does not measure it.
+    // This wait is outside the concurrency limit: the time to stop tasks does not reflect the load of this node.
     const ended = await backend.waitForEnd(id, Math.max(0, deadlineAt - options.now()));
     if (ended !== null) return sendMessagePack(reply, 200, encodeJobView(ended, false));
     reply.header("retry-after", String(this.retryAfterS()));
     return sendMessagePack(reply, 503, { error: "not over yet" });
   }
 
-  /** Null: the cancellation is stored, and the job's end is to be waited for. */
+  /** Answers the request, or returns null once the cancellation is stored and only the job's end is awaited. */
   private async storeCancellation(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     if (!isValidJobId(id)) return sendMessagePack(reply, 404, { error: "no such job" });
     const read = await this.backend.readJob(id);
--- a/src/api/server.ts
+++ b/src/api/server.ts
@@ -1,4 +1,4 @@
-/** The server for users, workers and the load balancer: HTTP by fastify, bodies in MessagePack. */
+/** The HTTP server for users, workers and the load balancer: Fastify with MessagePack bodies. */
 import { createServer, type RequestListener, type Server } from "node:http";
 import type { Socket } from "node:net";
 import Fastify, { type FastifyInstance } from "fastify";
@@ -10,7 +10,7 @@
 
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** The server, which listens to nothing yet. */
+/** Builds the server without listening yet. */
 export function buildServer(backend: ApiBackend, options: ServerOptions): FastifyInstance {
   const heartbeats = new HeartbeatHandler(backend, options);
   let workers: WorkerConnections | null = null;
@@ -40,7 +40,7 @@
   readonly workers: WorkerConnections;
 }
 
-/** The HTTP server, with the workers' connections in front of it. */
+/** Creates the HTTP server, with `WorkerConnections` accepting every connection before it. */
 function createServerWithWorkers(
   handler: RequestListener,
   heartbeats: HeartbeatHandler,
--- a/src/api/submission-gate.ts
+++ b/src/api/submission-gate.ts
@@ -1,4 +1,4 @@
-/** The gate that admission control sets before the transactions of submissions. */
+/** The interface through which admission control takes part in the transactions that store submissions. */
 import type { JobSpec } from "../core/model/jobs.js";
 import type { Change, Precondition } from "../core/state/key-value.js";
 import type { SubmissionWriteResult } from "./outcomes.js";
@@ -10,18 +10,18 @@
   readonly change: Change;
   /** Size of the stored value, in bytes. */
   readonly bytes: number;
-  /** Steady time, in seconds, after which it is answered as unavailable. */
+  /** Monotonic time in seconds after which the request is answered with "unavailable". */
   readonly deadlineAt: number;
-  /** The job, if it is a submission. */
+  /** The job of a submission, or null for a cancellation. */
   readonly spec: JobSpec | null;
   resolve(result: SubmissionWriteResult): void;
 }
 
-/** What one transaction must hold beside its submissions, as they are admitted to it. */
+/** Collects the preconditions and changes that a transaction needs in addition to its admitted submissions. */
 export interface GateBatch {
-  /** Changes that admitting this job would add beside its own. */
+  /** Number of changes that admitting this job would add to the transaction, besides the job's own. */
   extraChanges(spec: JobSpec): number;
-  /** Admits the job to the transaction, or refuses it. */
+  /** Admits the job to the transaction and returns true, or refuses it and returns false. */
   tryAdmit(spec: JobSpec): boolean;
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
@@ -32,11 +32,11 @@
   /** The queue in which submissions and cancellations wait for their transaction. */
   createQueue(): PendingQueue<PendingWrite>;
   beginBatch(): GateBatch;
-  /** Reads what is stored now, after a precondition of the gate failed; false if that failed too. */
+  /** Reads the stored state again after a precondition of the gate failed; false if the read failed. */
   refresh(): Promise<boolean>;
 }
 
-/** Admits everything, first come, first served. */
+/** The gate without admission control: admits every job, in the order of arrival. */
 export const ADMIT_ALL_GATE: SubmissionGate = {
   createQueue: () => new FifoQueue(),
   beginBatch: () => ({
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -1,4 +1,4 @@
-/** A submission from the HTTP server to its transaction: the jobs that it depends on, admission, and the write. */
+/** Processes a submission: checks its dependencies, applies admission control and writes the job. */
 import type { AdmissionControl } from "../admission/index.js";
 import type { JobSpec } from "../core/model/jobs.js";
 import type { StateReplica } from "../core/state/state-replica.js";
@@ -7,18 +7,18 @@
 import type { SubmissionWriter } from "./submission-writer.js";
 
 /**
- * How often a submission is evaluated and written before its client is told to retry later. An attempt fails when another
+ * Attempts to admit and write a submission before the client is told to retry later. An attempt fails if another
  * node's write comes first.
  */
 const MAX_ATTEMPTS = 4;
 
-/** Takes submissions of users. */
+/** Handles the submissions of users. */
 export class SubmissionService {
   constructor(
     private readonly replica: StateReplica,
     private readonly watcher: StateWatcher,
     private readonly writer: SubmissionWriter,
-    /** Null: everything is admitted. */
+    /** Null if admission control is disabled, so that every job is admitted. */
     private readonly admission: AdmissionControl | null,
   ) {}
 
@@ -42,15 +42,16 @@
   }
 
   /**
-   * Null if all jobs that it depends on were accepted at some time. What the replica knows stays known; before a job is
-   * said never to have been accepted, the replica holds everything that was stored when this was called.
+   * Returns null if every job that `spec` depends on was accepted at some time, or else the outcome to answer with. A
+   * job known to the replica stays known. A dependency counts as never accepted only if it is missing after the
+   * replica has read everything that was stored when this method was called.
    */
   private async checkDependencies(spec: JobSpec): Promise<SubmissionOutcome | null> {
     const hasUnknownDependency = (): boolean =>
       spec.after?.some((id) => id === spec.id || !this.isKnown(id)) ?? false;
     if (!hasUnknownDependency()) return null;
     if (!(await this.watcher.readLatest())) return UNAVAILABLE;
-    // A repeated submission is answered with its state, whatever it depends on by now.
+    // A repeated submission is answered with the job's state, without a check of its dependencies.
     if (this.isKnown(spec.id)) return KNOWN;
     return hasUnknownDependency() ? NEVER : null;
   }
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes submissions and cancellations by compare-and-swap, which any node may do, leader or not. Many share one
- * transaction; one whose job is known already falls out of it and is answered by a read.
+ * Writes submissions and cancellations to the state service by compare-and-swap, so that any node can do it, leader
+ * or follower. Writes are batched into transactions. A write whose job is known already is removed from its batch,
+ * and its request is answered by a read.
  */
 import { assertNever } from "../core/assert-never.js";
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
@@ -32,29 +33,30 @@
   type SubmissionGate,
 } from "./submission-gate.js";
 
-/** The share of the largest value that a submission may take; the rest is for the job's tasks. */
+/** Share of the maximum value size that a submission may use; the rest is reserved for the state of its tasks. */
 const MAX_SUBMISSION_SHARE = 0.8;
+/** Estimated size of the stored value of a cancellation. */
 const CANCELLATION_BYTES = 100;
-/** Capacity in a transaction for the preconditions and keys of one write. */
+/** Estimated bytes that the preconditions and keys of one write take in a transaction. */
 const WRITE_OVERHEAD_BYTES = 400;
 
-/** What a `SubmissionWriter` works with. */
+/** Dependencies and limits of a `SubmissionWriter`. */
 export interface SubmissionWriterOptions {
   readonly keyValueClient: KeyValueClient;
-  /** Changes that this node may write, shared with the leader's transactions. */
+  /** Rate limit of the changes that this node writes, shared with the leader's transactions. */
   readonly writeBudget: TokenBucket;
-  /** Steady time, in seconds. */
+  /** The current monotonic time, in seconds. */
   readonly now: () => number;
   readonly maxChanges: number;
   readonly maxTransactionBytes: number;
   readonly maxValueBytes: number;
   /** How long a submission or cancellation may wait for its transaction, in seconds. */
   readonly maxWaitS: number;
-  /** Admits everything if it is left out. */
+  /** Every job is admitted if this is omitted. */
   readonly gate?: SubmissionGate | undefined;
 }
 
-/** What is stored of a job as it is submitted. */
+/** The value that is stored for a newly submitted job. */
 function storedSubmission(spec: JobSpec, wallMs: number): ReturnType<typeof encodeJobRecord> {
   return encodeJobRecord({
     spec,
@@ -71,12 +73,12 @@
 
 const keyDoesNotExist = (key: string): Precondition => ({ key, modRevision: 0 });
 
-/** The queue of submissions and cancellations, and the loop that writes them. */
+/** Queues submissions and cancellations and writes them in batches. */
 export class SubmissionWriter {
   private readonly gate: SubmissionGate;
   private readonly queue: PendingQueue<PendingWrite>;
   private isDraining = false;
-  /** Submissions in a transaction; fewer after one was refused for its size. */
+  /** Maximum changes per transaction at present; reduced after the state service refused a batch for its size. */
   private currentMaxChanges: number;
 
   constructor(private readonly options: SubmissionWriterOptions) {
@@ -89,12 +91,12 @@
     return this.queue.size;
   }
 
-  /** Does the job's value leave capacity for what its tasks will need? */
+  /** True if the job's value leaves enough of the maximum value size for the state of its tasks. */
   fitsValueLimit(spec: JobSpec): boolean {
     return this.isWithinSubmissionLimit(JSON.stringify(storedSubmission(spec, Date.now())).length);
   }
 
-  /** Resolves once the outcome is certain, or after `maxWaitS`. */
+  /** Resolves once the outcome is known, or after `maxWaitS` with "unavailable". */
   submit(spec: JobSpec, wallMs: number): Promise<SubmissionWriteResult> {
     const value = storedSubmission(spec, wallMs);
     const bytes = JSON.stringify(value).length;
@@ -105,8 +107,8 @@
   }
 
   /**
-   * For a job that is known to have been accepted. Once stored it binds the leader, and no user is told: they are told
-   * when the job's end is stored (`StateReplica.view`).
+   * Stores the cancellation of a job that is known to be accepted. The leader must then carry it out; users see the
+   * job as cancelled only once its final state is stored (`StateReplica.view`).
    */
   async cancel(id: string, wallMs: number): Promise<WriteResult> {
     const value = encodeCancellation(wallMs);
@@ -114,7 +116,7 @@
     const preconditions = [keyDoesNotExist(KEY.finalRecord(id)), keyDoesNotExist(key)];
     const change: Change = { op: "put", key, value };
     const result = await this.enqueue(preconditions, change, CANCELLATION_BYTES, null);
-    // Only submissions pass the gate.
+    // Cancellations do not pass the gate, so these two results are not expected.
     return result.kind === "refused" || result.kind === "never" ? UNAVAILABLE : result;
   }
 
@@ -156,7 +158,7 @@
     for (const write of overdue) write.resolve(UNAVAILABLE);
   }
 
-  /** Takes from the queue what goes into one transaction; what the gate refuses is answered. */
+  /** Takes the writes of one transaction from the queue, and answers submissions that the gate refuses. */
   private takeBatch(gateBatch: GateBatch): PendingWrite[] {
     const { writeBudget, now, maxTransactionBytes } = this.options;
     const available = Math.floor(writeBudget.available(now()));
@@ -167,7 +169,7 @@
     while (batch.length < maxChanges) {
       const next = this.queue.peek();
       if (next === undefined) break;
-      // The same job twice in one transaction: the second waits and finds it known.
+      // A second write of the same key waits for the next transaction, where it fails as known.
       if (keys.has(next.change.key)) break;
       if (batch.length > 0) {
         const changes = batch.length + gateBatch.changes.length + 1;
@@ -194,7 +196,7 @@
     if (batch.length === 0) return;
     const changes = [...batch.map((write) => write.change), ...gateBatch.changes];
     const batchPreconditions = batch.flatMap((write) => write.preconditions);
-    // A transaction of cancellations alone depends on no gate.
+    // A transaction with cancellations only must not fail on preconditions of the gate.
     const gatePreconditions = batch.some((write) => write.spec !== null)
       ? gateBatch.preconditions
       : [];
@@ -229,20 +231,21 @@
 
   private async handleRefusal(batch: readonly PendingWrite[], status: number): Promise<void> {
     if (status === 400 && batch.length > 1) {
-      // Larger than the state service takes by now, though not than the limits that are known.
+      // The batch is within the configured limits, but the state service now accepts less: halve the batch size.
       this.currentMaxChanges = Math.max(1, batch.length >> 1);
       this.queue.requeue(batch);
       return;
     }
     if (status === 429) return this.retry(batch, this.options.maxWaitS / 40);
-    // The state service takes nothing from this node now. Say so at once; the user comes back.
+    // The state service refuses all requests of this node now: answer at once, so that users can retry.
     for (const write of batch) write.resolve(UNAVAILABLE);
     for (const write of this.queue.removeWhere(() => true)) write.resolve(UNAVAILABLE);
   }
 
   /**
-   * Over the rate limit, or the outcome is unknown. Either way the same conditional write may be sent again: a copy that
-   * still arrives and one that was executed both make it fail as `known`.
+   * Writes the batch again after the rate limit was exceeded or the outcome is unknown. This is safe because the
+   * writes are conditional: if the first copy was executed, or arrives late, only one copy succeeds and the other one
+   * fails as `known`.
    */
   private async retry(batch: readonly PendingWrite[], delayS: number): Promise<void> {
     this.queue.requeue(batch);
@@ -250,7 +253,7 @@
     this.expireOverdue();
   }
 
-  /** Those whose own keys exist already are known; the others are tried again. */
+  /** Answers writes whose own preconditions failed with "known", and requeues the others. */
   private async handleFailedPreconditions(
     batch: readonly PendingWrite[],
     gatePreconditions: readonly Precondition[],
@@ -267,7 +270,7 @@
       return;
     }
     this.queue.requeue(retried);
-    // Another node charged the same ledger, or a new window began: they are evaluated again by what is stored now.
+    // Another node charged the same ledger, or a new window began: read the stored state and evaluate them again.
     if (hasGatePreconditionFailed && !(await this.gate.refresh())) {
       await sleepSeconds(this.options.maxWaitS / 20);
     }
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -1,10 +1,12 @@
 /**
- * Connections over which workers send heartbeats, in front of the HTTP server on the same port.
+ * Reads the connections over which workers send heartbeats. It accepts all connections before the HTTP server does,
+ * on the same port.
  *
- * Heartbeats are most of what a leader handles. Node's HTTP server takes twice the processor time of a heartbeat for
- * objects and streams around each request (docs/processor-and-memory.md), so connections whose first request is a
- * heartbeat are read here, with http-parser-js; every other one, and one on which other requests follow, goes to the
- * HTTP server. They are read by `data` events: an async iterator takes as much again as it saves.
+ * Most requests to a leader are heartbeats. Node's HTTP server spends twice the processor time of handling a
+ * heartbeat on the objects and streams of each request (docs/processor-and-memory.md). Connections whose first
+ * request is a heartbeat are therefore parsed here with http-parser-js. All other connections, and those on which
+ * another request follows, are passed to the HTTP server. Sockets are read by `data` events, because the overhead of
+ * an async iterator would cancel the saving.
  */
 import { STATUS_CODES } from "node:http";
 import type { Socket } from "node:net";
@@ -12,24 +14,24 @@
 import { PATH } from "../wire/names.js";
 import type { HeartbeatReply } from "./heartbeats.js";
 
-/** How a connection begins over which a worker sends heartbeats. */
+/** The request line that marks a new connection as one for heartbeats. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATH.heartbeat} HTTP/1.1\r\n`);
-/** Replies that a worker may leave unread, in bytes, before its connection is closed. */
+/** Maximum bytes of unread replies to a worker before its connection is closed. */
 const MAX_UNREAD_BYTES = 64 * 1024;
 
-/** What becomes of requests, and the limits of a connection. */
+/** Callbacks for requests, and limits of a connection. */
 export interface WorkerConnectionsOptions {
-  /** The reply to the body of a heartbeat. */
+  /** Returns the reply to the body of a heartbeat. */
   readonly onHeartbeat: (body: Buffer) => HeartbeatReply;
-  /** Takes a connection with requests that are no heartbeats. */
+  /** Takes over a connection with requests other than heartbeats. */
   readonly onOtherRequests: (socket: Socket) => void;
-  /** Largest body, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   readonly maxBodyBytes: number;
   /** Seconds after which an idle connection is closed. */
   readonly idleTimeoutS: number;
 }
 
-/** Head and body as Latin-1 text, which Node.js sends in one write. */
+/** Headers and body of a response as one Latin-1 string, which Node.js sends in a single write. */
 function responseText({ status, body, retryAfterS }: HeartbeatReply, close: boolean): string {
   return (
     `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\n` +
@@ -40,15 +42,15 @@
   );
 }
 
-/** All connections over which workers send heartbeats. */
+/** Accepts connections, and serves those over which workers send heartbeats. */
 export class WorkerConnections {
   private readonly openSockets = new Set<Socket>();
-  /** The text of the last reply that kept its connection: most are the same one. */
+  /** The last response that kept its connection open, reused because most replies are identical. */
   private lastResponse: { reply: HeartbeatReply; text: string } | null = null;
 
   constructor(readonly options: WorkerConnectionsOptions) {}
 
-  /** Takes a new connection, and decides by its first bytes who reads it. */
+  /** Accepts a connection, and decides by its first bytes whether to read it here or pass it to the HTTP server. */
   accept(socket: Socket): void {
     this.openSockets.add(socket);
     socket.on("error", ignoreError);
@@ -65,12 +67,12 @@
     });
   }
 
-  /** Closes all of them. */
+  /** Closes all connections that were not passed to the HTTP server. */
   close(): void {
     for (const socket of this.openSockets) socket.destroy();
   }
 
-  /** Passes a connection to the HTTP server, with the bytes that were read of it and not answered. */
+  /** Passes a connection to the HTTP server, together with the bytes read from it that were not answered. */
   passToHttpServer(socket: Socket, unanswered: Buffer): void {
     this.openSockets.delete(socket);
     socket.pause();
@@ -79,11 +81,11 @@
     socket.setTimeout(0);
     socket.unshift(unanswered);
     this.options.onOtherRequests(socket);
-    // The bytes are passed on only once the server listens to the socket.
+    // Resume only after the server has attached its listeners, so that it receives the bytes put back above.
     socket.resume();
   }
 
-  /** Sends a reply; `keepsAlive`: more heartbeats may follow. */
+  /** Sends a reply; `keepsAlive` is true if the worker may send more heartbeats on this connection. */
   send(socket: Socket, reply: HeartbeatReply, keepsAlive: boolean): void {
     if (!keepsAlive || reply.retryAfterS !== null || reply.status === 400) {
       socket.end(responseText(reply, true), "latin1");
@@ -99,20 +101,23 @@
 
 const ignoreError = (): void => {};
 
-/** The HTTP server leaves a socket open when its peer ends; a redirected worker would hold one until it idles out. */
+/**
+ * Closes a socket when its peer ends it. The HTTP server creates sockets that stay half-open, so a redirected worker
+ * would occupy one until the idle timeout.
+ */
 function endOnPeerEnd(this: Socket): void {
   this.end();
 }
 
-/** One connection, a request at a time. Heartbeats on it are answered in their order. */
+/** One heartbeat connection. Requests are answered one at a time, in order. */
 class WorkerConnection {
   private readonly parser: HTTPParserJS = new HTTPParser(HTTPParser.REQUEST);
-  /** What was read since the last request was complete. */
+  /** The bytes read since the last complete request. */
   private unansweredChunks: Buffer[] = [];
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
   private keepsAlive = true;
-  /** A request was received that is no heartbeat. */
+  /** True once a request other than a heartbeat was received. */
   private hasOtherRequest = false;
 
   constructor(
@@ -136,7 +141,7 @@
     socket.on("data", this.onData);
   }
 
-  /** Bytes from the worker. */
+  /** Handles bytes received from the worker. */
   readonly onData = (chunk: Buffer): void => {
     this.unansweredChunks.push(chunk);
     const parsed = this.parser.execute(chunk);
--- a/src/bundle/bundle.cts
+++ b/src/bundle/bundle.cts
@@ -1,10 +1,10 @@
 /**
  * Loads the program from a single script together with V8's code cache, which is written when the program is built.
- * Compilation takes a third of the processor time of a start, and on a machine with a few hundredths of a core that is
- * seconds.
+ * Without the cache, compilation takes a third of the processor time of a start; on a machine with a few hundredths
+ * of a core that takes seconds.
  *
- * V8 supports code caches for scripts but not for ES modules, which is why this folder and the bundle are CommonJS. V8
- * rejects a cache written by another version or under other flags, and compiles the script instead.
+ * This folder and the bundle are CommonJS because V8 supports code caches for scripts but not for ES modules. If the
+ * cache was written by another version of V8 or under other flags, V8 rejects it and compiles the script.
  */
 import { existsSync, readFileSync, renameSync, writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
@@ -15,7 +15,7 @@
 const BUNDLE = join(__dirname, "..", "bundle.cjs");
 const CODE_CACHE = join(__dirname, "..", "bundle.cache");
 
-/** What the bundle exports. */
+/** The exports of the bundle. */
 interface Program {
   runProgram(): Promise<void>;
 }
@@ -28,13 +28,13 @@
 ) => void;
 
 function compile(cachedData?: Buffer): Script {
-  // The bundle is ASCII, and reading it as Latin-1 skips the decoding of UTF-8.
+  // The bundle is ASCII; reading it as Latin-1 avoids decoding UTF-8.
   const source = readFileSync(BUNDLE, "latin1");
   const wrapped = `(function (exports, require, module) {${source}\n})`;
   return new Script(wrapped, { filename: BUNDLE, ...(cachedData && { cachedData }) });
 }
 
-/** Loads the program from its bundle, with the code cache if there is one; null: no bundle was built. */
+/** Loads the program from its bundle, with the code cache if it exists; null if no bundle was built. */
 export function loadBundle(): Program | null {
   if (!existsSync(BUNDLE)) return null;
   const script = compile(existsSync(CODE_CACHE) ? readFileSync(CODE_CACHE) : undefined);
@@ -45,8 +45,8 @@
 }
 
 /**
- * Writes the code cache. It contains all functions and not only those that a start runs: a failover needs the others within
- * seconds.
+ * Writes the code cache. It contains all functions, not only those that run at the start, because a failover runs the
+ * others within seconds.
  */
 export function writeCodeCache(): void {
   setFlagsFromString("--no-lazy");
@@ -58,7 +58,7 @@
   renameSync(temporaryFile, CODE_CACHE);
 }
 
-/** Does V8 accept the code cache under the flags of this process? */
+/** True if V8 accepts the code cache under the flags of this process. */
 export function isCodeCacheAccepted(): boolean {
   return compile(readFileSync(CODE_CACHE)).cachedDataRejected === false;
 }
--- a/src/bundle/write-code-cache.cts
+++ b/src/bundle/write-code-cache.cts
@@ -1,4 +1,4 @@
-/** The last step of `npm run bundle`; it has to run with the flags that the program is started with. */
+/** The last step of `npm run bundle`. It must run with the Node.js flags that the program is started with. */
 import { writeCodeCache } from "./bundle.cjs";
 
 writeCodeCache();
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: reads the settings and runs one controller, or one of the subcommands. */
+/** The command-line interface: reads the settings, and runs a controller or one of the subcommands. */
 import { readFileSync } from "node:fs";
 import { Command, InvalidArgumentError } from "commander";
 import { pino } from "pino";
@@ -11,9 +11,9 @@
 import { decodeSettings, type NodeSettings } from "./wire/settings.js";
 
 const VERSION = "0.1.0";
-/** Exit code for unusable settings or arguments, and for a state service that does not answer. */
+/** Exit code for invalid settings or arguments, and for a state service that does not answer. */
 const EXIT_BAD_SETTINGS = 2;
-/** Longest wait for an answer of the state service. */
+/** Timeout of requests to the state service. */
 const STATE_TIMEOUT_MS = 5000;
 
 /** Options of the program and of all subcommands. */
@@ -26,7 +26,7 @@
 interface Configuration {
   readonly settings: NodeSettings;
   readonly operator: OperatorSettings;
-  /** Keys of the operators' file that are not known, and ignored. */
+  /** Unknown keys in the operators' file, which are ignored. */
   readonly unknown: readonly string[];
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** Reads both files; ends the program with one line per fault if they cannot be used. */
+/** Reads both files, or prints one line per fault and exits if they are invalid. */
 function loadConfiguration(flags: Flags): Configuration {
   if (flags.config === undefined) exitWithErrors(["--config: missing"]);
   const decoded = decodeSettings(readFileSync(flags.config, "utf8"));
@@ -62,7 +62,9 @@
     { level: process.env.LOG_LEVEL ?? "info", base: { member: settings.member } },
     pino.destination({ fd: 2, sync: true }),
   );
-  process.on("unhandledRejection", (error) => log.error({ err: error }, "unhandled fault"));
+  process.on("unhandledRejection", (error) =>
+    log.error({ err: error }, "unhandled promise rejection"),
+  );
   for (const key of unknown) log.warn({ key }, "unknown operator setting");
   await new Controller(settings, operator, log).start();
 }
@@ -78,7 +80,7 @@
   const client = new KeyValueClient(address, steadyNowS, STATE_TIMEOUT_MS);
   const stored = await client.readAll();
   client.close();
-  if (stored.kind === "failed") exitWithErrors([`${address}: the state service gives no answer`]);
+  if (stored.kind === "failed") exitWithErrors([`${address}: the state service does not answer`]);
   const replica = new AdmissionReplica();
   replica.reset(stored.items, stored.revision);
   const status = admissionStatus(replica);
@@ -88,25 +90,25 @@
 const program = new Command("peatsaddle")
   .description("A cluster scheduler whose job dependencies are expressions over events")
   .version(VERSION)
-  .option("--config <file>", "settings handed over by the platform (JSON)", existingFile)
-  .option("--operator <file>", "operators' own settings (INI)", existingFile)
+  .option("--config <file>", "settings file provided by the platform (JSON)", existingFile)
+  .option("--operator <file>", "settings file of the operators (INI)", existingFile)
   .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_BAD_SETTINGS))
   .action(runController);
 
 program
   .command("check")
-  .description("validate both files and print what would be in force")
+  .description("validate both files and print the effective settings")
   .action((_: unknown, command: Command) => checkConfiguration(command.optsWithGlobals<Flags>()));
 
 program
   .command("admission")
-  .description("print the admission window that is in force, and what was used and refused of it")
-  .option("--json", "as JSON")
+  .description("print the current admission window, with the amounts used and refused in it")
+  .option("--json", "print as JSON")
   .action((own: { json?: boolean }, command: Command) =>
     printAdmissionStatus(command.optsWithGlobals<Flags>(), own.json ?? false),
   );
 
-/** Runs what the arguments of this process ask for. */
+/** Runs the program with the command-line arguments of this process. */
 export async function runProgram(): Promise<void> {
   await program.parseAsync();
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,4 +1,4 @@
-/** The cloud's client: the catalog of machine types, the list of machines, scaling out and in. */
+/** Client of the cloud API: the catalog of machine types, the list of machines, scale-out and scale-in. */
 import type { ScaleOutResult } from "../core/effects.js";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { HttpConnectionPool, type HttpResponse } from "../net/http-connection-pool.js";
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS = 8;
 const MACHINES_PER_PAGE = 500;
 
-/** No method rejects when the cloud does not answer. */
+/** Requests to the cloud. No method rejects when the cloud does not answer. */
 export class CloudClient {
   private readonly connections: HttpConnectionPool;
 
@@ -27,13 +27,13 @@
     this.connections = new HttpConnectionPool(address, MAX_CONNECTIONS);
   }
 
-  /** The machine types that the cloud offers; null if it did not answer. */
+  /** Fetches the machine types that the cloud offers; null if that failed. */
   async fetchCatalog(): Promise<MachineType[] | null> {
     const response = await this.call("GET", PATH.catalog);
     return response?.status === 200 ? decodeCatalog(decode(response.body)) : null;
   }
 
-  /** All machines, page by page; null if a page is missing. */
+  /** Fetches all pages of the list of machines; null if one of them failed. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let since = "";
@@ -64,13 +64,13 @@
     return { kind: response.status === 400 ? "no capacity" : "failed" };
   }
 
-  /** False if the cloud did not confirm it: they may be released all the same. */
+  /** Releases machines. False if the cloud did not confirm it, although it may have released them. */
   async releaseMachines(machines: readonly string[]): Promise<boolean> {
     const response = await this.call("POST", PATH.releaseMachines, encodeRelease(machines));
     return response?.status === 200;
   }
 
-  /** Null if there was no answer. */
+  /** Sends a request; null if there was no response. */
   private async call(method: string, path: string, body?: unknown): Promise<HttpResponse | null> {
     try {
       const bytes = body === undefined ? null : encode(body);
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The interface for programs that embed peatsaddle: a controller with the settings that it takes, the types of the core,
- * and the algebra of job dependencies. Admission control by itself is exported as `peatsaddle/admission`.
+ * The public API for programs that embed peatsaddle: the controller and its settings, the types of the core, and the
+ * algebra of job dependencies. Admission control alone is exported as `peatsaddle/admission`.
  */
 export * from "./algebra/expression.js";
 export {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point from the modules; the deployed program starts from its bundle (`peatsaddle.cts`). */
+/** Entry point that runs the ES modules directly; the deployed program runs its bundle (`peatsaddle.cts`). */
 import { runProgram } from "./cli.js";
 
 await runProgram();
--- a/src/net/address.ts
+++ b/src/net/address.ts
@@ -5,7 +5,7 @@
   readonly port: number;
 }
 
-/** The host may hold colons itself: the port comes after the last. */
+/** Splits at the last colon, because the host may contain colons itself. */
 export function parseAddress(address: string): HostAndPort {
   const colon = address.lastIndexOf(":");
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/net/errors.ts
+++ b/src/net/errors.ts
@@ -1,10 +1,10 @@
 /** Errors of the HTTP client. */
 
-/** A request was not answered. */
+/** A request that received no response. */
 export class RequestError extends Error {
   constructor(
     message: string,
-    /** False only if not a byte of the request was written: it certainly did not reach the other side. */
+    /** False only if no byte of the request was written, so that it certainly did not reach the server. */
     readonly mayHaveArrived: boolean,
   ) {
     super(message);
@@ -12,7 +12,7 @@
   }
 }
 
-/** What was received is no HTTP response. */
+/** The bytes received are not a valid HTTP response. */
 export class MalformedResponseError extends Error {
   constructor(message: string) {
     super(message);
@@ -23,7 +23,7 @@
 /** The connection was closed before it was established. */
 export class ConnectionClosedError extends Error {
   constructor() {
-    super("closed");
+    super("connection closed before it was established");
     this.name = "ConnectionClosedError";
   }
 }
--- a/src/net/http-connection-pool.ts
+++ b/src/net/http-connection-pool.ts
@@ -1,8 +1,8 @@
 /**
- * A small HTTP/1.1 client: persistent connections to one address, one request at a time on each (the protocol rules out
- * pipelining).
+ * A small HTTP/1.1 client with persistent connections to one address. Each connection carries one request at a time,
+ * because the protocol of the cluster rules out pipelining.
  *
- * What a caller most needs to know about a failure is whether the request may have arrived: `RequestError` tells.
+ * A `RequestError` reports whether the failed request may have reached the server, which decides how callers react.
  */
 import { type HostAndPort, parseAddress } from "./address.js";
 import { RequestError } from "./errors.js";
@@ -12,7 +12,7 @@
 export { RequestError } from "./errors.js";
 export type { HttpResponse } from "./response-reader.js";
 
-/** How far an exchange has come. */
+/** Progress of one request. */
 interface ExchangeProgress {
   isWritten: boolean;
 }
@@ -34,7 +34,7 @@
   /**
    * Rejects with a `RequestError` if no response arrives within `timeoutMs`, or if all connections are in use.
    *
-   * The timeout is a timer and no `AbortSignal.timeout`, as that one cannot be cleared once the response is there.
+   * The timeout is a timer instead of an `AbortSignal.timeout`, which could not be cleared after the response.
    */
   async request(
     method: string,
@@ -47,13 +47,13 @@
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_, reject) => {
       timer = setTimeout(() => {
-        reject(new RequestError("no response in time", progress.isWritten));
+        reject(new RequestError("request timed out", progress.isWritten));
         connection.close();
       }, timeoutMs);
     });
     try {
       const exchange = this.exchange(connection, this.encodeRequest(method, path, body), progress);
-      // If the timeout comes first, no caller awaits the exchange.
+      // If the timeout comes first, nothing awaits the exchange; this avoids an unhandled rejection.
       exchange.catch(() => {});
       return await Promise.race([exchange, timeout]);
     } finally {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Closes idle connections now, and those in use once they are answered. */
+  /** Closes idle connections now, and those in use after their responses. */
   close(): void {
     this.isClosing = true;
     for (const connection of this.idleConnections) connection.close();
@@ -75,7 +75,7 @@
       if (!idle.isClosed) return idle;
     }
     if (this.openCount >= this.maxConnections) {
-      throw new RequestError("too many connections", false);
+      throw new RequestError("all connections are in use", false);
     }
     return this.open();
   }
@@ -103,7 +103,8 @@
     } catch (error) {
       throw new RequestError((error as Error).message, false);
     }
-    if (connection.isClosed) throw new RequestError("closed", false);
+    if (connection.isClosed)
+      throw new RequestError("connection closed before the request was sent", false);
     progress.isWritten = true;
     return connection.send(request);
   }
--- a/src/net/http-connection.ts
+++ b/src/net/http-connection.ts
@@ -1,4 +1,4 @@
-/** One HTTP/1.1 connection on `net`, read with an async iterator; one request at a time. */
+/** One HTTP/1.1 connection over a TCP socket, with one request at a time. Responses are read by an async iterator. */
 import { connect, type Socket } from "node:net";
 import type { HostAndPort } from "./address.js";
 import { ConnectionClosedError, RequestError } from "./errors.js";
@@ -9,10 +9,10 @@
   reject(error: Error): void;
 }
 
-/** Connects at once; `connected` settles with the outcome. */
+/** Starts to connect when constructed; `connected` settles with the result. */
 export class HttpConnection {
   readonly socket: Socket;
-  /** Rejects if the connection can't be established. */
+  /** Resolves once the connection is established, or rejects if it can't be. */
   readonly connected: Promise<void>;
   private closed = false;
   private pendingRequest: PendingRequest | null = null;
@@ -20,7 +20,7 @@
 
   constructor(
     { host, port }: HostAndPort,
-    /** The connection was answered and may be used again. */
+    /** Called when a response was received and the connection may be reused. */
     private readonly onIdle: (connection: HttpConnection) => void,
   ) {
     this.socket = connect({ host, port, noDelay: true });
@@ -29,7 +29,7 @@
       this.socket.once("error", reject);
       this.socket.once("close", () => reject(new ConnectionClosedError()));
     });
-    // Whoever sends a request awaits it; a connection without a request must not end the process.
+    // Avoids an unhandled rejection, which would end the process, if no request awaits the connection.
     this.connected.catch(() => {});
     this.socket.on("error", () => {});
     void this.readResponses();
@@ -39,7 +39,7 @@
     return this.closed;
   }
 
-  /** Rejects with a `RequestError` if the connection ends first. */
+  /** Resolves to the response, or rejects with a `RequestError` if the connection ends first. */
   send(request: Buffer): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       this.pendingRequest = { resolve, reject };
@@ -52,7 +52,7 @@
     this.socket.destroy();
   }
 
-  /** Never rejects: what ends the connection is told to its request. */
+  /** Reads until the connection ends, and rejects the pending request with the cause. Never rejects itself. */
   private async readResponses(): Promise<void> {
     let cause = "connection closed";
     try {
--- a/src/net/response-reader.ts
+++ b/src/net/response-reader.ts
@@ -1,10 +1,10 @@
-/** Reads HTTP/1.1 responses from the bytes of a connection. */
+/** Parses HTTP/1.1 responses from the bytes of a connection. */
 import { MalformedResponseError } from "./errors.js";
 
 /** A complete response. */
 export interface HttpResponse {
   readonly status: number;
-  /** By their names in lower case. */
+  /** Header values by lower-case name. */
   readonly headers: ReadonlyMap<string, string>;
   readonly body: Buffer;
 }
@@ -12,18 +12,21 @@
 const HEADER_END = Buffer.from("\r\n\r\n");
 const CRLF_BYTES = 2;
 
-/** Collects one response at a time, and keeps the bytes that follow it. */
+/** Parses one response at a time, and keeps the bytes that follow it. */
 export class ResponseReader {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** The response if it is complete with this chunk, or null. Throws a `MalformedResponseError`. */
+  /**
+   * Returns the response if this chunk completes it, or else null. Throws a `MalformedResponseError` if the bytes are
+   * invalid.
+   */
   feed(chunk: Buffer): HttpResponse | null {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const headerEnd = this.pending.indexOf(HEADER_END);
     if (headerEnd < 0) return null;
     const lines = this.pending.toString("latin1", 0, headerEnd).split("\r\n");
     const status = Number(lines[0]!.split(" ")[1]);
-    if (!Number.isInteger(status)) throw new MalformedResponseError("not an HTTP response");
+    if (!Number.isInteger(status)) throw new MalformedResponseError("invalid HTTP status line");
     const headers = parseHeaders(lines);
     const bodyStart = headerEnd + HEADER_END.length;
     if ((headers.get("transfer-encoding") ?? "").toLowerCase().includes("chunked")) {
@@ -47,7 +50,8 @@
       const sizeEnd = this.pending.indexOf("\r\n", sizeAt);
       if (sizeEnd < 0) return null;
       const size = Number.parseInt(this.pending.toString("latin1", sizeAt, sizeEnd), 16);
-      if (!Number.isInteger(size) || size < 0) throw new MalformedResponseError("bad chunk");
+      if (!Number.isInteger(size) || size < 0)
+        throw new MalformedResponseError("invalid HTTP chunk size");
       const chunkStart = sizeEnd + CRLF_BYTES;
       const chunkEnd = chunkStart + size;
       const next = chunkEnd + CRLF_BYTES;
@@ -62,7 +66,7 @@
   }
 }
 
-/** Of the lines of a response's head; the first is its status line. */
+/** Parses the headers from the lines of a response's head, whose first line is the status line. */
 function parseHeaders(lines: readonly string[]): Map<string, string> {
   const headers = new Map<string, string>();
   for (const line of lines.slice(1)) {
--- a/src/peatsaddle.cts
+++ b/src/peatsaddle.cts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point of the deployed program: runs the bundle, or the modules if no bundle was built. */
+/** Entry point of the deployed program: runs the bundle, or the ES modules if no bundle was built. */
 import { loadBundle } from "./bundle/bundle.cjs";
 
 const program = loadBundle();
--- a/src/time/steady-clock.ts
+++ b/src/time/steady-clock.ts
@@ -1,4 +1,4 @@
-/** The steady clock, which no change of the time of day moves. */
+/** The monotonic clock, which changes of the system time do not affect. */
 
-/** Steady time in seconds, from an arbitrary origin. */
+/** Monotonic time in seconds since an arbitrary origin. */
 export const steadyNowS = (): number => performance.now() / 1000;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,8 +1,9 @@
-/** The cloud's messages: the catalog of machine types, the list of machines, provisioning and release. */
+/** Codecs of the cloud API: the catalog of machine types, the list of machines, provisioning and release. */
 import * as z from "zod";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { decodeList, isObject, nonNegativeNumber } from "./fields.js";
 
+/** Image download rate of machine types whose catalog entry has none. */
 const DEFAULT_FETCH_GB_PER_S = 1;
 
 const machineTypeSchema = z
@@ -35,7 +36,7 @@
 
 const catalogSchema = z.object({ breeds: z.array(machineTypeSchema) });
 
-/** The machine types that the cloud offers, or null if the body is malformed. */
+/** Decodes the machine types that the cloud offers; null if the body is malformed. */
 export function decodeCatalog(body: unknown): MachineType[] | null {
   const parsed = catalogSchema.safeParse(body);
   return parsed.success ? parsed.data.breeds : null;
@@ -44,7 +45,10 @@
 const machineListSchema = z.object({ mounts: z.array(z.unknown()), more: z.boolean().nullish() });
 const LISTED_STATES = new Set<unknown>(["booting", "running", "failed"]);
 
-/** Lists of many hundred machines arrive every few seconds, so their entries are validated field by field. */
+/**
+ * Validates an entry field by field instead of with a schema, because lists of many hundred machines arrive every few
+ * seconds.
+ */
 function decodeListedMachine(entry: unknown): ListedMachine | null {
   if (!isObject(entry)) return null;
   const { nameId, address, breed, paddock, loaners, stance, ageS } = entry;
@@ -67,11 +71,11 @@
 /** One page of the list of machines. */
 export interface MachineListPage {
   readonly machines: readonly ListedMachine[];
-  /** More machines follow after the last of this page. */
+  /** True if another page follows. */
   readonly more: boolean;
 }
 
-/** A page of the list of machines, or null if the body is malformed. */
+/** Decodes a page of the list of machines; null if the body is malformed. */
 export function decodeMachineList(body: unknown): MachineListPage | null {
   const parsed = machineListSchema.safeParse(body);
   if (!parsed.success) return null;
@@ -81,7 +85,7 @@
 
 const provisionedSchema = z.object({ mounts: z.array(z.string()) });
 
-/** The names of the machines that a scale-out provisioned, or null if the body is malformed. */
+/** Decodes the names of the machines that a scale-out provisioned; null if the body is malformed. */
 export function decodeProvisionedMachines(body: unknown): string[] | null {
   const parsed = provisionedSchema.safeParse(body);
   return parsed.success ? parsed.data.mounts : null;
@@ -89,7 +93,7 @@
 
 /** A request to provision machines. */
 export interface ScaleOutRequest {
-  /** The name of the request: the cloud answers a repeated one with the same machines. */
+  /** Idempotency key of the request: the cloud answers a repeated request with the same machines. */
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -97,7 +101,7 @@
   readonly count: number;
 }
 
-/** The body of a request to provision machines. */
+/** Encodes a request to provision machines. */
 export const encodeScaleOut = ({ name, type, zone, spot, count }: ScaleOutRequest) => ({
   hire: name,
   breed: type,
@@ -106,5 +110,5 @@
   howMany: count,
 });
 
-/** A request to release machines. */
+/** Encodes a request to release machines. */
 export const encodeRelease = (machines: readonly string[]) => ({ mounts: machines });
--- a/src/wire/commands.ts
+++ b/src/wire/commands.ts
@@ -1,14 +1,14 @@
-/** Commands to workers on the wire, in the answers to their heartbeats and in direct requests. */
+/** Codecs of commands to workers, sent in the replies to their heartbeats and in direct requests. */
 import * as z from "zod";
 import type { WorkerCommand } from "../core/model/workers.js";
 import { mappedEnum, nonNegativeInteger, nonNegativeNumber } from "./fields.js";
 import { COMMAND_FROM_WIRE, WIRE_COMMAND } from "./names.js";
 import { formatTaskName, parseTaskName } from "./task-name.js";
 
-/** Commands, and what a worker checks before it executes them. */
+/** Commands, with the fencing token and incarnation that a worker checks before it executes them. */
 export interface CommandBatch {
   readonly fencingToken: number;
-  /** The worker's incarnation that they are for; null: whichever receives them. */
+  /** The incarnation of the worker that the commands are for, or null for any incarnation. */
   readonly incarnation: number | null;
   readonly commands: readonly WorkerCommand[];
 }
@@ -22,7 +22,7 @@
   return command.op === "stop" ? { ...encoded, easeS: command.graceS } : encoded;
 }
 
-/** The body of an answer or a request with commands; `incarnation` null: whichever receives it. */
+/** Encodes a reply or a request with commands; `incarnation` is null for any incarnation of the worker. */
 export const encodeCommands = (
   fencingToken: number,
   incarnation: number | null,
@@ -55,7 +55,7 @@
     : { op: command.call, ...task };
 }
 
-/** What a worker reads, or null if the body is malformed. The simulated worker of the tests decodes with it. */
+/** Decodes commands as a worker does; null if the body is malformed. Used by the simulated workers of the tests. */
 export function decodeCommands(body: unknown): CommandBatch | null {
   const parsed = commandsSchema.safeParse(body);
   if (!parsed.success) return null;
@@ -69,6 +69,6 @@
   return { fencingToken: rein, incarnation: stint ?? null, commands };
 }
 
-/** Where a worker is redirected to: the leader's member name, if it is known. */
+/** Encodes a redirect of a worker: the leader's member name, or an empty body if it is not known. */
 export const encodeRedirect = (leader: string | null): Record<string, unknown> =>
   leader === null ? {} : { groom: leader };
--- a/src/wire/counterpart.ts
+++ b/src/wire/counterpart.ts
@@ -1,13 +1,13 @@
 /**
- * The other side of the protocol: what users, workers, the state service and the cloud send and read. Stand-ins and
- * tests speak through it in the field's terms; the controller itself needs none of it.
+ * The inverses of the controller's codecs: they encode and decode messages as users, workers, the state service and
+ * the cloud do. Only the tests and their stand-ins use them, not the controller.
  */
 import type { JobSpec } from "../core/model/jobs.js";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import { WIRE_KIND, WIRE_PRIORITY } from "./names.js";
 
-/** A submission, as a user sends it. */
+/** Encodes a submission, as users do. */
 export const encodeJob = (spec: JobSpec): Record<string, unknown> => ({
   nameId: spec.id,
   herd: spec.class,
@@ -32,12 +32,12 @@
   ...(spec.after === undefined ? {} : { follows: spec.after }),
 });
 
-/** The state of a job that an answer to a user tells; undefined if it tells none. */
+/** Decodes the state of a job from a response to a user; undefined if the response contains none. */
 export function decodeJobState(body: unknown): string | undefined {
   return (body as { stance?: string } | null)?.stance;
 }
 
-/** The leader that a redirected worker is sent to; null if the answer names none. */
+/** Decodes the leader's member name from a redirect; null if the reply names no leader. */
 export function decodeRedirect(body: unknown): string | null {
   return (body as { groom?: string } | null)?.groom ?? null;
 }
@@ -52,13 +52,13 @@
   }[];
 }
 
-/** What a transaction demands and changes. */
+/** A compare-and-swap of the state service. */
 export interface Transaction {
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
 }
 
-/** A transaction, as the state service reads it. */
+/** Decodes a transaction, as the state service does. */
 export function decodeTransaction(body: unknown): Transaction {
   const { if: conditions = [], then: writes = [] } = body as WireTransaction;
   const changes: Change[] = [];
@@ -71,14 +71,14 @@
   return { preconditions, changes };
 }
 
-/** The state service's answer to a transaction, with the keys whose preconditions did not hold. */
+/** Encodes the response to a transaction, with the keys whose preconditions did not hold. */
 export const encodeTransactionResult = (
   revision: number,
   failedKeys: readonly string[],
 ): Record<string, unknown> =>
   failedKeys.length === 0 ? { ledger: revision } : { failed: failedKeys, ledger: revision };
 
-/** A page of keys. */
+/** Encodes a page of keys. */
 export const encodeRange = (
   items: readonly KeyValueItem[],
   hasMore: boolean,
@@ -89,7 +89,7 @@
   ledger: revision,
 });
 
-/** Changes in their order, as a watch is answered. */
+/** Encodes the response to a watch: changes in the order of their revisions. */
 export const encodeWatchResponse = (
   events: readonly ChangeEvent[],
   revision: number,
@@ -100,10 +100,10 @@
   ),
 });
 
-/** A lease that was granted. */
+/** Encodes the response to a granted lease. */
 export const encodeLease = (id: number): Record<string, unknown> => ({ tether: id });
 
-/** The machine types on offer. */
+/** Encodes the catalog of machine types. */
 export const encodeCatalog = (types: readonly MachineType[]): Record<string, unknown> => ({
   breeds: types.map((type) => ({
     sku: type.name,
@@ -119,7 +119,7 @@
   })),
 });
 
-/** A page of provisioned machines. */
+/** Encodes a page of the list of machines. */
 export const encodeMachineList = (
   machines: readonly ListedMachine[],
   hasMore: boolean,
@@ -136,7 +136,7 @@
   more: hasMore,
 });
 
-/** Names of the machines that a request to the cloud releases. */
+/** Decodes the names of the machines that a request releases. */
 export function decodeRelease(body: unknown): readonly string[] {
   return (body as { mounts: readonly string[] }).mounts;
 }
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs on the wire: what users submit, and the state that they are told. */
+/** Codecs of submitted jobs and of the job states returned to users. */
 import * as z from "zod";
 import type { JobSpec, JobView } from "../core/model/jobs.js";
 import {
@@ -12,6 +12,7 @@
 } from "./fields.js";
 import { KIND_FROM_WIRE, PRIORITY_FROM_WIRE } from "./names.js";
 
+/** Maximum length of the name of a container image, in bytes. */
 const MAX_IMAGE_BYTES = 512;
 /** The protocol's limit on the tasks of one job. */
 export const MAX_TASKS_PER_JOB = 100_000;
@@ -41,7 +42,7 @@
     follows: z.array(jobIdSchema).nullish(),
   })
   .refine((job) => job.cpus > 0 || job.cards > 0 || job.memoryGb > 0)
-  // All tasks in one zone and at most half of them in any: only one task can obey both.
+  // `together` puts all tasks in one zone, `apart` at most half of them in any: only a single task satisfies both.
   .refine((job) => !(job.together && job.apart && job.strides > 1));
 
 type WireJob = z.infer<typeof jobSchema>;
@@ -73,20 +74,20 @@
   };
 }
 
-/** A submitted job, or null if the body is malformed. */
+/** Decodes a submitted job; null if the body is malformed. */
 export function decodeJob(body: unknown): JobSpec | null {
   const parsed = jobSchema.safeParse(body);
   return parsed.success ? toJobSpec(parsed.data) : null;
 }
 
-/** The valid job id in a body that need not be a whole job, or null. */
+/** Decodes only the job id of a submission, which may otherwise be malformed; null if there is no valid id. */
 export function decodeJobId(body: unknown): string | null {
   if (!isObject(body)) return null;
   const { nameId } = body;
   return typeof nameId === "string" && isValidJobId(nameId) ? nameId : null;
 }
 
-/** A job's state as users are told it, with the numbers of its tasks if `withTaskCounts`. */
+/** Encodes a job's state for users, with the numbers of done and running tasks if `withTaskCounts` is set. */
 export const encodeJobView = (view: JobView, withTaskCounts: boolean): Record<string, unknown> =>
   withTaskCounts
     ? { nameId: view.id, stance: view.state, done: view.done, running: view.running }
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -1,8 +1,9 @@
 /**
- * Messages of the state service: the codec between its names and the core's terms (`core/state/key-value.ts`). A key's
- * `modRevision` is its `mark` on the wire, and the store's `revision` is the `ledger`.
+ * Codecs of the state service's API, between its field names and the types of `core/state/key-value.ts`. On the wire,
+ * the `modRevision` of a key is called `mark`, and the `revision` of the store `ledger`.
  *
- * Pages of keys and changes are validated field by field, as heartbeats are: every node reads each change of the service.
+ * Pages of keys and changes are validated field by field instead of with a schema, as heartbeats are, because every
+ * node reads every change of the store.
  */
 import * as z from "zod";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
@@ -17,13 +18,13 @@
       }
     : { remove: change.key };
 
-/** A compare-and-swap: the changes are made together, and only if all preconditions hold. */
+/** Encodes a compare-and-swap: the changes are made atomically, and only if all preconditions hold. */
 export const encodeTransaction = (
   preconditions: readonly Precondition[],
   changes: readonly Change[],
 ) => ({
   if: preconditions.map(({ key, modRevision }) => ({ k: key, mark: modRevision })),
-  // biome-ignore lint/suspicious/noThenProperty: the protocol's name; it holds a list, no function
+  // biome-ignore lint/suspicious/noThenProperty: the protocol's field name; its value is an array, not a function
   then: changes.map(encodeChange),
 });
 
@@ -34,16 +35,16 @@
   return { key: k, value: data, modRevision: mark };
 }
 
-/** A page of keys in their order. */
+/** A page of keys, in the order of the keys. */
 export interface KeyPage {
   readonly items: readonly KeyValueItem[];
-  /** More keys follow after the last of this page. */
+  /** True if another page follows. */
   readonly more: boolean;
-  /** The store's revision as the page was read. */
+  /** The store's revision when the page was read. */
   readonly revision: number;
 }
 
-/** Null if the body is malformed. */
+/** Decodes a page of keys; null if the body is malformed. */
 export function decodeRange(body: unknown): KeyPage | null {
   if (!isObject(body)) return null;
   const { ledger } = body;
@@ -63,13 +64,13 @@
   return { key, value: removed ? null : data, removed, modRevision: mark };
 }
 
-/** Changes in their order, and the store's revision after them. */
+/** Changes in the order of their revisions, and the store's revision after them. */
 export interface WatchBatch {
   readonly revision: number;
   readonly events: readonly ChangeEvent[];
 }
 
-/** Null if the body is malformed. */
+/** Decodes the response to a watch; null if the body is malformed. */
 export function decodeWatchResponse(body: unknown): WatchBatch | null {
   if (!isObject(body) || typeof body.ledger !== "number") return null;
   const events = decodeList(body.log, decodeEvent);
@@ -81,13 +82,13 @@
   failed: z.array(z.string()).nullish(),
 });
 
-/** The answer to a transaction: the store's revision, and the keys whose preconditions did not hold. */
+/** The response to a transaction: the store's revision, and the keys whose preconditions did not hold. */
 export interface TransactionResult {
   readonly revision: number;
   readonly failedKeys: readonly string[];
 }
 
-/** Null if the body is malformed. */
+/** Decodes the response to a transaction; null if the body is malformed. */
 export function decodeTransactionResult(body: unknown): TransactionResult | null {
   const parsed = transactionResultSchema.safeParse(body);
   if (!parsed.success) return null;
@@ -96,7 +97,7 @@
 
 const leaseSchema = z.object({ tether: z.number() });
 
-/** The id of a granted lease, or null if the body is malformed. */
+/** Decodes the id of a granted lease; null if the body is malformed. */
 export function decodeLease(body: unknown): number | null {
   const parsed = leaseSchema.safeParse(body);
   return parsed.success ? parsed.data.tether : null;
--- a/src/wire/msgpack.ts
+++ b/src/wire/msgpack.ts
@@ -1,15 +1,15 @@
-/** MessagePack as the protocol uses it: plain maps keyed by text, integers as numbers. */
+/** MessagePack as the protocol uses it: maps with string keys, and 64-bit integers decoded as numbers. */
 import { Packr } from "msgpackr";
 
 const packr = new Packr({ useRecords: false, int64AsType: "number", encodeUndefinedAsNil: true });
 
-/** The bytes of one value. */
+/** Encodes one value. */
 export const encode = (value: unknown): Buffer => packr.pack(value);
 
-/** Throws on bytes that are no MessagePack. */
+/** Decodes one value; throws if the bytes are not valid MessagePack. */
 export const decode = (bytes: Buffer): unknown => packr.unpack(bytes);
 
-/** The body of a request; undefined if it is empty or no MessagePack. */
+/** Decodes the body of a request; undefined if it is empty or not valid MessagePack. */
 export function decodeBody(body: Buffer): unknown {
   if (body.length === 0) return undefined;
   try {
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -1,8 +1,8 @@
 /**
- * What this deployment calls values and paths on the wire; the names of fields stand in the codecs beside this module.
- * Outside of `wire/` only the field's terms are used.
+ * The enum values and paths of the protocol. Its field names are in the codecs of this folder. Code outside `wire/`
+ * uses the terms of the model instead of the names of the protocol.
  *
- * Each `WIRE_...` maps a term to its name on the wire, each `..._FROM_WIRE` a name to its term.
+ * Each `WIRE_...` maps a term of the model to its name on the wire, and each `..._FROM_WIRE` maps a name to its term.
  */
 
 import type { JobKind, Priority } from "../core/model/jobs.js";
@@ -11,7 +11,7 @@
 const invert = <Term extends string>(names: Record<Term, string>): Record<string, Term> =>
   Object.fromEntries(Object.entries(names).map(([term, name]) => [name as string, term as Term]));
 
-/** Kinds of jobs. */
+/** The wire names of job kinds. */
 export const WIRE_KIND: Record<JobKind, string> = {
   array: "array",
   gang: "ensemble",
@@ -21,7 +21,7 @@
 /** The inverse of `WIRE_KIND`. */
 export const KIND_FROM_WIRE = invert(WIRE_KIND);
 
-/** Priorities of jobs. */
+/** The wire names of job priorities. */
 export const WIRE_PRIORITY: Record<Priority, string> = {
   production: "production",
   high: "high",
@@ -32,7 +32,7 @@
 /** The inverse of `WIRE_PRIORITY`. */
 export const PRIORITY_FROM_WIRE = invert(WIRE_PRIORITY);
 
-/** States of tasks. */
+/** The wire names of task states. */
 export const WIRE_TASK_STATE: Record<TaskState, string> = {
   "pulling image": "pulling",
   waiting: "waiting",
@@ -44,7 +44,7 @@
 /** The inverse of `WIRE_TASK_STATE`. */
 export const TASK_STATE_FROM_WIRE = invert(WIRE_TASK_STATE);
 
-/** Why tasks exited. */
+/** The wire names of the causes for which tasks exit. */
 export const WIRE_EXIT_CAUSE: Record<ExitCause, string> = {
   done: "done",
   stopped: "halted",
@@ -59,13 +59,13 @@
 /** The inverse of `WIRE_EXIT_CAUSE`. */
 export const EXIT_CAUSE_FROM_WIRE = invert(WIRE_EXIT_CAUSE);
 
-/** Commands to workers. */
+/** The wire names of commands to workers. */
 export const WIRE_COMMAND = { start: "run", stop: "halt", forget: "forget" } as const;
 
 /** The inverse of `WIRE_COMMAND`. */
 export const COMMAND_FROM_WIRE = invert(WIRE_COMMAND);
 
-/** Paths of all services, and the last segments of some. */
+/** URL paths of all services, and the last segments of some paths. */
 export const PATH = {
   jobs: "/api/jobs",
   cancel: "withdraw",
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,4 +1,4 @@
-/** The settings file that the platform hands over. Fields that this version does not know are ignored. */
+/** Decodes the settings file that the platform provides. Fields that this version does not know are ignored. */
 import * as z from "zod";
 import type { ClusterSettings, Objective, Team } from "../core/model/settings.js";
 
@@ -49,7 +49,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: z.number().int().positive(),
-      // Limits that take effect at some later time, without notice.
+      // Limits that will replace those above at an unannounced time.
       next: z
         .object({
           rps: positive.nullish(),
@@ -69,7 +69,7 @@
 export interface PeerNode {
   readonly member: string;
   readonly zone: string;
-  /** Where it listens for peer heartbeats. */
+  /** The address on which it listens for peer heartbeats. */
   readonly address: string;
 }
 
@@ -77,9 +77,9 @@
 export interface NodeSettings {
   readonly member: string;
   readonly zone: string;
-  /** Where users and workers reach this controller. */
+  /** The address on which this controller listens for users and workers. */
   readonly listenAddress: string;
-  /** Where this controller listens for peer heartbeats. */
+  /** The address on which this controller listens for peer heartbeats. */
   readonly peerAddress: string;
   readonly peers: readonly PeerNode[];
   readonly cloudAddress: string;
@@ -87,7 +87,7 @@
   readonly cluster: ClusterSettings;
 }
 
-/** `invalid`: one line for each fault, beginning with the path of its field. */
+/** The decoded settings, or one line for each invalid field, beginning with the path of the field. */
 export type DecodedSettings =
   | { readonly kind: "ok"; readonly settings: NodeSettings }
   | { readonly kind: "invalid"; readonly faults: readonly string[] };
@@ -162,7 +162,7 @@
   share: objective.share,
 });
 
-/** The smaller of the present and the next limits from the start: so nothing need be noticed when they change. */
+/** The smaller of the present and the next limit, from the start, so that no change has to be detected later. */
 const stateLimits = ({ next, ...present }: WireClusterSettings["state"]) => ({
   stateRps: Math.min(present.rps, next?.rps ?? Infinity),
   stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
--- a/src/wire/task-name.ts
+++ b/src/wire/task-name.ts
@@ -1,4 +1,4 @@
-/** The name of a task on the wire: `JOB/NUMBER`, A job's id holds no slash. */
+/** The name of a task on the wire, `JOB/NUMBER`. A job id contains no slash. */
 
 /** One task of a job. */
 export interface TaskName {
@@ -6,10 +6,10 @@
   readonly task: number;
 }
 
-/** The inverse of `parseTaskName`. */
+/** Formats the name that `parseTaskName` parses. */
 export const formatTaskName = ({ job, task }: TaskName): string => `${job}/${task}`;
 
-/** Null for a text that names no task. */
+/** Parses the name of a task; null if the text is not one. */
 export function parseTaskName(name: string): TaskName | null {
   const slash = name.lastIndexOf("/");
   const task = Number(name.slice(slash + 1));
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -1,8 +1,8 @@
 /**
- * Worker heartbeats on the wire.
+ * Codecs of worker heartbeats.
  *
- * They are most of what a leader handles, and validating one by a zod schema cost three quarters of the time that its
- * answer cost; so they are validated field by field.
+ * Most requests to a leader are heartbeats. They are validated field by field, because validation with a zod schema
+ * took three quarters of the time that answering a heartbeat took.
  */
 import type { ExitCause, TaskStatus, WorkerHeartbeat } from "../core/model/workers.js";
 import { isObject } from "./fields.js";
@@ -51,13 +51,13 @@
   };
 }
 
-/** An exit for a cause that this version does not know is an exit all the same. */
+/** A cause that this version does not know is treated as an error, so that the exit itself is not lost. */
 const decodeExitCause = (cause: unknown): ExitCause =>
   typeof cause === "string" && Object.hasOwn(EXIT_CAUSE_FROM_WIRE, cause)
     ? EXIT_CAUSE_FROM_WIRE[cause]!
     : "error";
 
-/** Its own loop, not `decodeList`: this runs for every heartbeat, and a direct call can be inlined. */
+/** Repeats the loop of `decodeList`, because this runs for every heartbeat and a direct call can be inlined. */
 function decodeTaskStatuses(list: unknown): TaskStatus[] | null {
   if (!Array.isArray(list)) return null;
   const statuses: TaskStatus[] = [];
@@ -69,7 +69,7 @@
   return statuses;
 }
 
-/** A heartbeat, or null if the body is malformed. */
+/** Decodes a heartbeat; null if the body is malformed. */
 export function decodeWorkerHeartbeat(body: unknown): WorkerHeartbeat | null {
   if (!isObject(body)) return null;
   const { mount, address, breed, paddock, loaners, stint, tally, rein } = body;
@@ -105,7 +105,7 @@
   ...(status.checkpointed ? { saved: true } : {}),
 });
 
-/** What a worker sends. The simulated workers of the tests encode with it. */
+/** Encodes a heartbeat, as workers do. Used by the simulated workers of the tests. */
 export const encodeWorkerHeartbeat = (heartbeat: WorkerHeartbeat): Record<string, unknown> => ({
   mount: heartbeat.machine,
   address: heartbeat.address,
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -1,8 +1,8 @@
 /**
- * Direct requests to workers: commands and probes.
+ * Sends commands and probes to workers.
  *
- * Connections are kept to the workers that were used most recently, within a share of this node's sockets: every worker
- * holds a connection of its own to the leader besides.
+ * It keeps connections only to the most recently used workers, within a share of this node's sockets, because every
+ * worker also opens a connection to the leader.
  */
 import type { CommandOutcome } from "../core/effects.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../core/model/workers.js";
@@ -14,9 +14,9 @@
 
 const MAX_CONNECTIONS_PER_WORKER = 2;
 
-/** Connections to workers, by address. */
+/** The HTTP client for all workers. */
 export class WorkerClient {
-  /** In the order in which they were last used. */
+  /** Connection pools by the worker's address, the least recently used first. */
   private readonly pools = new Map<string, HttpConnectionPool>();
 
   constructor(
@@ -24,7 +24,7 @@
     private maxConnections: number,
   ) {}
 
-  /** Changes how many workers connections are kept to; the least recently used are closed first. */
+  /** Changes the number of workers to which connections are kept; the least recently used are closed first. */
   setMaxConnections(maxConnections: number): void {
     this.maxConnections = maxConnections;
     this.closeLeastRecentlyUsed();
@@ -58,7 +58,7 @@
     }
   }
 
-  /** The worker's present status, or null if it does not answer. Never rejects. */
+  /** Requests the worker's present status; null if it does not answer. Never rejects. */
   async probe(address: string): Promise<WorkerHeartbeat | null> {
     try {
       const pool = this.poolFor(address);
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Closes the connections to machines that were terminated. */
+  /** Closes the connections to all other addresses, which belong to terminated machines. */
   closeAllExcept(addresses: ReadonlySet<string>): void {
     for (const [address, pool] of this.pools) {
       if (addresses.has(address)) continue;
@@ -80,7 +80,7 @@
 
   private poolFor(address: string): HttpConnectionPool {
     let pool = this.pools.get(address);
-    // Deleted and set again, it is the most recently used.
+    // Deleting and setting the entry moves it to the end of the map, as the most recently used.
     if (pool !== undefined) this.pools.delete(address);
     pool ??= new HttpConnectionPool(address, MAX_CONNECTIONS_PER_WORKER);
     this.pools.set(address, pool);
--- a/src/workers/sockets.ts
+++ b/src/workers/sockets.ts
@@ -1,14 +1,17 @@
-/** How many of a node's sockets go to connections that it opens to workers. */
+/** The limit on the connections that a node opens to workers. */
 
-/** Share of the sockets that is left after those for users, the state service, the cloud, other controllers and closing ones. */
+/**
+ * Share of the sockets for connections from and to workers. The rest is for users, the state service, the cloud,
+ * other controllers and connections that are closing.
+ */
 const SHARE_FOR_WORKERS = 5 / 6;
-/** Every worker holds one connection of its own to the leader, some twice for a moment. */
+/** Every worker opens one connection to the leader, and some workers briefly have two. */
 const CONNECTIONS_PER_MACHINE = 1.05;
 const MIN_CONNECTIONS = 4;
 
 /**
- * The largest number of connections to workers for a node with `sockets` sockets and `machines` machines. (A fixed fifth
- * of the sockets left none for users when there were half as many machines again.)
+ * The maximum number of connections that a node with `sockets` sockets opens to `machines` workers. With a fixed
+ * fifth of the sockets, no sockets were left for users when the number of machines grew by half.
  */
 export function maxWorkerConnections(sockets: number, machines: number): number {
   const remaining = SHARE_FOR_WORKERS * sockets - CONNECTIONS_PER_MACHINE * machines;
