--- a/src/wire/commands.ts
+++ b/src/wire/commands.ts
@@ -69,6 +69,6 @@
   return { fencingToken: rein, incarnation: stint ?? null, commands };
 }
 
-/** Encodes a redirect of a worker: the leader's member name, or an empty body if it is not known. */
+/** Encodes a redirect of a worker: the leader's member name, or an empty map if it is not known. */
 export const encodeRedirect = (leader: string | null): Record<string, unknown> =>
   leader === null ? {} : { groom: leader };
