--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -1,14 +1,14 @@
-/** Worker heartbeats: from the bytes of one to the reply, whichever server received it. */
+/** Handles the body of a worker heartbeat and returns the reply, independently of the server that received it. */
 import type { WorkerHeartbeat } from "../core/model/workers.js";
 import { encodeCommands, encodeRedirect } from "../wire/commands.js";
 import { decodeBody, encode } from "../wire/msgpack.js";
 import { decodeWorkerHeartbeat } from "../wire/worker-heartbeat.js";
 import type { HeartbeatAnswer } from "./outcomes.js";
 
-/** What the heartbeats ask of the controller. */
+/** The parts of the controller that handle heartbeats. */
 export interface HeartbeatBackend {
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer;
-  /** The member that heartbeats go to, if it is certain without decoding one that it is another. */
+  /** The other member that leads, if it is known without decoding the heartbeat; otherwise null. */
   redirectTarget(): string | null;
 }
 
@@ -16,74 +16,74 @@
 export interface HeartbeatReply {
   readonly status: number;
   readonly body: Buffer;
-  /** Seconds after which a refused worker may come back; it does so over a new connection. */
+  /** Seconds after which a refused worker may retry, over a new connection; null if it was not refused. */
   readonly retryAfterS: number | null;
 }
 
-/** What a `HeartbeatHandler` refuses by and tells. */
+/** Options of a `HeartbeatHandler`. */
 export interface HeartbeatHandlerOptions {
-  /** Seconds after which a refused worker may come back. */
+  /** Seconds after which a refused worker may retry. */
   readonly retryAfterS: number;
-  /** An error of this program's own. */
+  /** Called with errors of this program, not of the request. */
   readonly onFault: (error: Error) => void;
 }
 
-const replyOf = (status: number, body: unknown): HeartbeatReply => ({
+const createReply = (status: number, body: unknown): HeartbeatReply => ({
   status,
   body: encode(body),
   retryAfterS: null,
 });
 
-/** Turns the body of a heartbeat into the reply. */
+/** Decodes heartbeats, passes them to the controller and encodes the replies. */
 export class HeartbeatHandler {
-  /** The last reply without commands, as most are the same. */
-  private emptyReply: { fencingToken: number; reply: HeartbeatReply } | null = null;
-  /** The last redirect, as most are the same. */
-  private redirect: { leader: string | null; reply: HeartbeatReply } | null = null;
+  /** The last reply without commands, reused because most replies are identical. */
+  private lastEmptyReply: { fencingToken: number; reply: HeartbeatReply } | null = null;
+  /** The last redirect, reused because most redirects are identical. */
+  private lastRedirect: { leader: string | null; reply: HeartbeatReply } | null = null;
 
   constructor(
     private readonly backend: HeartbeatBackend,
     private readonly options: HeartbeatHandlerOptions,
   ) {}
 
-  /** The reply to a heartbeat whose body was received whole. */
+  /** Returns the reply to a heartbeat whose complete body was received. */
   handle(body: Buffer): HeartbeatReply {
     try {
-      // After a failover every worker comes here once: it is redirected before its heartbeat is decoded.
+      // After a failover every worker contacts the previous leader once, so redirects skip the decoding.
       const leader = this.backend.redirectTarget();
       if (leader !== null) return this.redirectTo(leader);
       const heartbeat = decodeWorkerHeartbeat(decodeBody(body));
-      if (heartbeat === null) return replyOf(400, { error: "malformed" });
+      if (heartbeat === null) return createReply(400, { error: "malformed" });
       return this.replyTo(heartbeat);
     } catch (error) {
       this.options.onFault(error as Error);
-      return this.refusal("trouble");
+      return this.createRefusal("trouble");
     }
   }
 
   private replyTo(heartbeat: WorkerHeartbeat): HeartbeatReply {
     const answer = this.backend.handleHeartbeat(heartbeat);
-    if (answer.kind === "unavailable") return this.refusal("unavailable");
+    if (answer.kind === "unavailable") return this.createRefusal("unavailable");
     if (answer.kind === "redirect") return this.redirectTo(answer.leader);
     const { fencingToken, commands } = answer;
-    if (commands.length > 0) return replyOf(200, encodeCommands(fencingToken, null, commands));
-    if (this.emptyReply?.fencingToken !== fencingToken) {
-      const reply = replyOf(200, encodeCommands(fencingToken, null, []));
-      this.emptyReply = { fencingToken, reply };
+    if (commands.length > 0) return createReply(200, encodeCommands(fencingToken, null, commands));
+    if (this.lastEmptyReply?.fencingToken !== fencingToken) {
+      const reply = createReply(200, encodeCommands(fencingToken, null, []));
+      this.lastEmptyReply = { fencingToken, reply };
     }
-    return this.emptyReply.reply;
+    return this.lastEmptyReply.reply;
   }
 
   private redirectTo(leader: string | null): HeartbeatReply {
-    if (this.redirect === null || this.redirect.leader !== leader) {
-      this.redirect = { leader, reply: replyOf(421, encodeRedirect(leader)) };
+    if (this.lastRedirect === null || this.lastRedirect.leader !== leader) {
+      this.lastRedirect = { leader, reply: createReply(421, encodeRedirect(leader)) };
     }
-    return this.redirect.reply;
+    return this.lastRedirect.reply;
   }
 
-  /** Refuses at once, with a Retry-After. */
-  private refusal(error: string): HeartbeatReply {
+  /** A 503 reply with a Retry-After header. */
+  private createRefusal(error: string): HeartbeatReply {
     const retryAfterS = Math.max(1, Math.ceil(this.options.retryAfterS));
-    return { ...replyOf(503, { error }), retryAfterS };
+    return { ...createReply(503, { error }), retryAfterS };
   }
 }
