--- a/tests/support/admission-model.ts
+++ b/tests/support/admission-model.ts
@@ -1,7 +1,7 @@
 /**
- * Model of several controllers' admission replicas over one simulated state service: reads lag, transactions are delayed,
- * lose their answer, or fail on their preconditions. The checks replay what was answered and stored, and do not rely on the
- * replicas.
+ * Model of the admission replicas of several controllers that share one simulated state service. Reads lag behind;
+ * transactions are delayed, lose their answers, or fail on their preconditions. The checks replay the recorded
+ * answers and the stored changes and do not rely on the replicas.
  */
 import assert from "node:assert/strict";
 import {
@@ -27,13 +27,13 @@
 import { compareDecisionLogs } from "./decision-logs.js";
 import { SimulatedKeyValueStore } from "./simulated-key-value-store.js";
 
-/** Fate of a transaction: answered, committed without an answer, or delivered later or never. */
+/** How a transaction is delivered: answered, committed with its answer lost, or delivered later or never. */
 export type TransactionFate = "answered" | "answer lost" | "late";
 
-/** Answer to a submission. */
+/** Answer to a submission; `uncertain`: the user does not learn whether the job was stored. */
 export type SubmissionAnswer = "accepted" | "rejected" | "uncertain";
 
-/** Faults injected to verify that the checks detect them. */
+/** Implementation faults, each of which the checks must detect. */
 export interface InjectedFaults {
   readonly omitsLedgerPreconditions?: boolean;
   readonly rejectsWithoutReading?: boolean;
@@ -42,6 +42,7 @@
   readonly appliesOutOfOrder?: boolean;
 }
 
+/** A controller with its admission replica, its decision log and its rejections that are not stored yet. */
 interface SimulatedController {
   readonly name: string;
   replica: AdmissionReplica;
@@ -50,19 +51,21 @@
   sequence: number;
 }
 
+/** A transaction that has not reached the state service. */
 interface DelayedTransaction {
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
 }
 
+/** Transactions per submission before the answer is `uncertain`. */
 const MAX_ATTEMPTS = 4;
-const REJECTION_BYTES = 300;
+const MAX_REJECTION_BYTES = 300;
 
 /** Several controllers that share one state service, under injected delays and faults. */
 export class AdmissionModel {
   readonly store = new SimulatedKeyValueStore();
   readonly controllers: SimulatedController[];
-  /** The answers to users, in order. */
+  /** The answers given to users, in order, each with the window version and epoch that the controller had read. */
   readonly answers: {
     readonly job: string;
     readonly accepted: boolean;
@@ -78,21 +81,21 @@
       name: `n${index}`,
       replica: new AdmissionReplica(),
       log: [],
-      rejections: new RejectionLog(`n${index}`, REJECTION_BYTES),
+      rejections: new RejectionLog(`n${index}`, MAX_REJECTION_BYTES),
       sequence: 0,
     }));
     this.acquireLeadership();
     for (const { log, replica } of this.controllers) log.push(...replica.reset([], 0));
   }
 
-  /** A controller acquires leadership, under a new epoch. */
+  /** Stores the next epoch, as a controller that acquires leadership does. */
   acquireLeadership(): void {
     const { value, modRevision } = this.store.replica.epoch;
     const change: Change = { op: "put", key: KEY.epoch, value: { n: value + 1 } };
     assert.ok(this.store.commit([{ key: KEY.epoch, modRevision }], [change]));
   }
 
-  /** A controller reads all changes since its last read. */
+  /** Applies all changes since the controller's last read to its replica. */
   read(index: number): void {
     const controller = this.controllers[index]!;
     const events = this.store.changesSince(controller.replica.revision);
@@ -106,16 +109,20 @@
     return { window: decodeWindow(stored?.value), modRevision: stored?.modRevision ?? 0 };
   }
 
-  /** The leader stores a window, with the next version. */
-  writeWindow(make: (version: number, epoch: number) => AdmissionWindow): void {
+  /** Stores a window with the next version, as the leader does. */
+  writeWindow(makeWindow: (version: number, epoch: number) => AdmissionWindow): void {
     const { window, modRevision } = this.storedWindow;
     const { epoch } = this.store.replica;
-    const next = make((window?.version ?? 0) + 1, epoch.value);
+    const nextWindow = makeWindow((window?.version ?? 0) + 1, epoch.value);
     const preconditions = [
       { key: KEY.epoch, modRevision: epoch.modRevision },
       { key: ADMISSION_KEY.window, modRevision },
     ];
-    const change: Change = { op: "put", key: ADMISSION_KEY.window, value: encodeWindow(next) };
+    const change: Change = {
+      op: "put",
+      key: ADMISSION_KEY.window,
+      value: encodeWindow(nextWindow),
+    };
     assert.ok(this.store.commit(preconditions, [change]));
   }
 
@@ -123,7 +130,7 @@
     return this.store.replica.view(job.id) !== null;
   }
 
-  /** A controller restarts: it begins with a full read. */
+  /** Restarts a controller: its new replica starts with a full read of the state. */
   restart(index: number): void {
     const controller = this.controllers[index]!;
     const replica = new AdmissionReplica();
@@ -131,8 +138,8 @@
     controller.replica = replica;
   }
 
-  /** A user submits to a controller, which accepts, rejects, or gives no certain answer. */
-  submit(index: number, job: JobSpec, fate: TransactionFate): SubmissionAnswer {
+  /** Submits a job to a controller as a user does. `delivery` applies to each of its transactions. */
+  submit(index: number, job: JobSpec, delivery: TransactionFate): SubmissionAnswer {
     const { replica, rejections } = this.controllers[index]!;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (!replica.decide(job).admitted) {
@@ -145,7 +152,7 @@
           return this.recordAnswer(index, job, false);
         }
       }
-      const outcome = this.writeSubmission(index, job, fate);
+      const outcome = this.writeSubmission(index, job, delivery);
       if (outcome === "committed") return this.recordAnswer(index, job, true);
       if (outcome === "uncertain") return "uncertain";
       this.read(index);
@@ -167,7 +174,7 @@
   private writeSubmission(
     index: number,
     job: JobSpec,
-    fate: TransactionFate,
+    delivery: TransactionFate,
   ): "committed" | "failed" | "uncertain" {
     const batch = new ClaimBatch(this.controllers[index]!.replica);
     assert.ok(batch.tryAdmit(job));
@@ -192,23 +199,23 @@
     });
     const claims = this.injected.omitsClaims ? [] : batch.changes;
     const changes: Change[] = [{ op: "put", key: KEY.activeJob(job.id), value }, ...claims];
-    if (fate === "late") {
+    if (delivery === "late") {
       this.delayed.push({ preconditions, changes });
       return "uncertain";
     }
     const isCommitted = this.store.commit(preconditions, changes);
-    if (fate === "answer lost") return "uncertain";
+    if (delivery === "answer lost") return "uncertain";
     return isCommitted ? "committed" : "failed";
   }
 
-  /** One of the delayed transactions reaches the state service. */
-  deliverDelayed(choice: number): void {
+  /** Delivers one of the delayed transactions to the state service. */
+  deliverDelayed(selector: number): void {
     if (this.delayed.length === 0) return;
-    const [transaction] = this.delayed.splice(choice % this.delayed.length, 1);
+    const [transaction] = this.delayed.splice(selector % this.delayed.length, 1);
     this.store.commit(transaction!.preconditions, transaction!.changes);
   }
 
-  /** A controller stores its rejections. */
+  /** Stores the controller's oldest record of rejections, if there is one. */
   flushRejections(index: number): void {
     const controller = this.controllers[index]!;
     const record = controller.rejections.nextRecord(++controller.sequence);
@@ -218,7 +225,7 @@
     controller.rejections.markStored();
   }
 
-  /** Lets all controllers read everything, and checks logs, answers and shares. */
+  /** Reads all changes on every controller, then checks the logs, the answers and the shares. */
   check(): void {
     for (const index of this.controllers.keys()) this.read(index);
     this.checkLogs();
@@ -226,24 +233,30 @@
     this.checkShares();
   }
 
-  /** All controllers log the same lines, as does one that applies everything at once. */
+  /** The logs must agree with each other and with that of a replica that applies all changes at once. */
   private checkLogs(): void {
     const reference = new AdmissionReplica();
     const expected = reference.reset([], 0);
     expected.push(...reference.apply(this.store.changesSince(0), this.store.revision));
     for (const controller of this.controllers) {
       compareDecisionLogs([expected, controller.log]);
-      // A controller that never restarted has every line.
+      // The log of a controller that never restarted contains every line.
       const rereads = controller.log.filter((decision) => decision.kind === "reread").length;
       if (rereads === 1) assert.deepEqual(controller.log, expected, controller.name);
     }
     const admitted = expected.flatMap((decision) =>
       decision.kind === "admit" ? [decision.job] : [],
     );
-    assert.equal(new Set(admitted).size, admitted.length, "a job is logged as admitted once");
+    assert.equal(
+      new Set(admitted).size,
+      admitted.length,
+      "a job is logged as admitted more than once",
+    );
   }
 
-  /** An accepted job is never rejected later; in one window a job gets one answer, whichever controller is asked. */
+  /**
+   * An accepted job must not be rejected later; all controllers must give a job the same answer within one window.
+   */
   private checkAnswers(): void {
     const accepted = new Set<string>();
     const rejectedIn = new Set<string>();
@@ -251,19 +264,19 @@
       if (isAccepted) {
         accepted.add(job);
       } else {
-        assert.ok(!accepted.has(job), `${job} was accepted and is refused`);
+        assert.ok(!accepted.has(job), `${job} was accepted and now is refused`);
         rejectedIn.add(`${job} in ${window}`);
       }
     }
     for (const { job, window, epoch } of this.admissions()) {
       assert.ok(
         !rejectedIn.has(`${job.id} in ${window?.version ?? 0}/${epoch}`),
-        `${job.id}: two answers`,
+        `${job.id}: two answers in one window, rejected and stored`,
       );
     }
   }
 
-  /** Replays the store: every job that was stored, with the window and epoch at that revision. */
+  /** Replays the stored changes: yields every stored job with the window and the epoch at its revision. */
   private *admissions(): Generator<{
     job: JobSpec;
     window: AdmissionWindow | null;
@@ -282,18 +295,18 @@
     }
   }
 
-  /** No class is admitted a job once its grant is used up: the excess is less than one job. */
+  /** No job may be admitted to a class whose grant is used up, so that a grant is exceeded by less than one job. */
   private checkShares(): void {
     const used = new Map<string, number>();
     for (const { job, window, epoch } of this.admissions()) {
       if (!isLimiting(window, epoch)) continue;
       const lane = laneOf(job);
       const key = `${window.version} ${job.team} ${chargedClass(window, job)} ${lane}`;
-      const before = used.get(key) ?? 0;
+      const usedBefore = used.get(key) ?? 0;
       const grant = grantFor(window, job.team, job.class)?.lanes[lane] ?? 0;
-      assert.ok(before < grant, `${key}: ${before} of ${grant} was used before ${job.id}`);
+      assert.ok(usedBefore < grant, `${key}: ${usedBefore} of ${grant} was used before ${job.id}`);
       const claim = Math.max(1, dominantShare(resourcesOf(job, job.tasks), window.capacity));
-      used.set(key, before + claim);
+      used.set(key, usedBefore + claim);
     }
   }
 }
--- a/tests/support/decision-logs.ts
+++ b/tests/support/decision-logs.ts
@@ -1,21 +1,21 @@
-/** Compares the decision logs of several controllers, which must decide alike. */
+/** Compares the admission decision logs of several controllers, which must reach the same decisions. */
 import assert from "node:assert/strict";
 
 /** One line of a decision log, as parsed from JSON. */
 export type DecisionLine = Readonly<Record<string, unknown>>;
 
-/** A section of a log between two re-reads of the state, in which the controller applied change by change. */
-interface Section {
-  /** Revision of the re-read, whose own decisions are not in the section. */
+/** The part of a log between two full reads of the state, in which the controller applied individual changes. */
+interface LogSection {
+  /** Revision of the full read that starts the section; the decisions up to this revision are not in the section. */
   readonly fromRevision: number;
   toRevision: number;
-  /** Rejections of windows up to this one are not in the section. */
+  /** Rejections of windows up to this version are not in the section. */
   readonly window: number;
   readonly linesByRevision: Map<number, DecisionLine[]>;
 }
 
-function sectionsOf(log: readonly DecisionLine[]): Section[] {
-  const sections: Section[] = [];
+function sectionsOf(log: readonly DecisionLine[]): LogSection[] {
+  const sections: LogSection[] = [];
   for (const line of log) {
     const revision = Number(line.revision);
     if (line.kind === "reread") {
@@ -28,7 +28,7 @@
       continue;
     }
     const section = sections.at(-1);
-    assert.ok(section !== undefined, "a log begins with a reread");
+    assert.ok(section !== undefined, "the decision log does not start with a reread");
     section.toRevision = revision;
     const { linesByRevision } = section;
     linesByRevision.set(revision, [...(linesByRevision.get(revision) ?? []), line]);
@@ -36,7 +36,7 @@
   return sections;
 }
 
-/** The lines of one revision as text, without rejections of windows up to this one. */
+/** The lines of one revision as text, without rejections of windows up to version `window`. */
 const textAfterWindow = (lines: readonly DecisionLine[] | undefined, window: number): string =>
   (lines ?? [])
     .filter((line) => line.kind !== "reject" || Number(line.window) > window)
@@ -44,30 +44,33 @@
     .join("\n");
 
 /**
- * Asserts that the lines of any two controllers are the same wherever both applied change by change. Returns how many
- * revisions with any decision were compared.
+ * Asserts that the lines of any two controllers are equal at all revisions at which both applied individual changes.
+ * Returns the number of compared revisions, each of which has at least one decision.
  */
 export function compareDecisionLogs(logs: readonly (readonly DecisionLine[])[]): number {
   const sectionsByLog = logs.map(sectionsOf);
   const compared = new Set<number>();
   for (const [index, sections] of sectionsByLog.entries()) {
     for (const otherSections of sectionsByLog.slice(index + 1)) {
-      for (const a of sections) {
-        for (const b of otherSections) compareSections(a, b, compared);
+      for (const section of sections) {
+        for (const otherSection of otherSections) compareSections(section, otherSection, compared);
       }
     }
   }
   return compared.size;
 }
 
-function compareSections(a: Section, b: Section, compared: Set<number>): void {
-  const from = Math.max(a.fromRevision, b.fromRevision);
-  const to = Math.min(a.toRevision, b.toRevision);
-  const window = Math.max(a.window, b.window);
-  for (const revision of new Set([...a.linesByRevision.keys(), ...b.linesByRevision.keys()])) {
+function compareSections(first: LogSection, second: LogSection, compared: Set<number>): void {
+  const from = Math.max(first.fromRevision, second.fromRevision);
+  const to = Math.min(first.toRevision, second.toRevision);
+  const window = Math.max(first.window, second.window);
+  for (const revision of new Set([
+    ...first.linesByRevision.keys(),
+    ...second.linesByRevision.keys(),
+  ])) {
     if (revision <= from || revision > to) continue;
-    const expected = textAfterWindow(a.linesByRevision.get(revision), window);
-    const actual = textAfterWindow(b.linesByRevision.get(revision), window);
+    const expected = textAfterWindow(first.linesByRevision.get(revision), window);
+    const actual = textAfterWindow(second.linesByRevision.get(revision), window);
     assert.equal(actual, expected, `revision ${revision}`);
     compared.add(revision);
   }
--- a/tests/support/fair-share-solver.ts
+++ b/tests/support/fair-share-solver.ts
@@ -1,26 +1,27 @@
-/** Weighted max-min shares by a linear-programming solver, to compare progressive filling with. */
+/** Computes weighted max-min shares with a linear-programming solver, as a reference for progressive filling. */
 import assert from "node:assert/strict";
 import fc from "fast-check";
 import highsModule from "highs";
 import { type FairShareInput, RESOURCES, type ResourceVector } from "../../src/admission/index.js";
 
-// Its types describe an ES module; Node.js sees the CommonJS one, whose export is the function.
+// The package's types describe an ES module; Node.js loads the CommonJS module, whose export is the function itself.
 const loadHighs = highsModule as unknown as typeof highsModule.default;
 const highs = await loadHighs();
+/** Largest difference at which two shares count as equal. */
 const TOLERANCE = 1e-5;
-/** Rows hold with this slack, so that rounding does not make a program infeasible. */
+/** Slack of the constraints, so that rounding does not make a program infeasible. */
 const SLACK = 1e-9;
 
-/** A problem with one class per team, so that the solver's problem has no hierarchy. */
+/** A fair-share problem with one class per team: the linear programs then have no hierarchy. */
 export interface FlatProblem {
   readonly weights: readonly number[];
   readonly demands: readonly ResourceVector[];
-  /** Limit on the CPUs of each team. */
+  /** CPU limit of each team. */
   readonly limits: readonly number[];
   readonly capacity: ResourceVector;
 }
 
-const anyResources = (min: number, max: number): fc.Arbitrary<ResourceVector> =>
+const arbitraryResources = (min: number, max: number): fc.Arbitrary<ResourceVector> =>
   fc.record({
     cpus: fc.integer({ min, max }),
     gpus: fc.integer({ min: 0, max }),
@@ -34,9 +35,9 @@
     const perTeam = { minLength: teams, maxLength: teams };
     return fc.record({
       weights: fc.array(fc.integer({ min: 1, max: 9 }), perTeam),
-      demands: fc.array(anyResources(1, 60), perTeam),
+      demands: fc.array(arbitraryResources(1, 60), perTeam),
       limits: fc.array(fc.integer({ min: 5, max: 80 }), perTeam),
-      capacity: anyResources(10, 100).map(({ cpus, gpus, memoryGb }) => ({
+      capacity: arbitraryResources(10, 100).map(({ cpus, gpus, memoryGb }) => ({
         cpus,
         gpus: gpus + 10,
         memoryGb: memoryGb + 10,
@@ -46,7 +47,7 @@
 
 const teamName = (team: number): string => `team${team}`;
 
-/** The same problem for progressive filling. */
+/** Converts the problem to the input of progressive filling. */
 export function fairShareInputOf(problem: FlatProblem): FairShareInput {
   const infinite = { gpus: Number.POSITIVE_INFINITY, memoryGb: Number.POSITIVE_INFINITY };
   return {
@@ -63,7 +64,7 @@
   };
 }
 
-/** Asserts that the fractions of the demands are those that the solver finds. */
+/** Asserts that the granted fractions of the demands agree with the solver's result. */
 export function assertAgreesWithSolver(problem: FlatProblem, fractions: readonly number[]): void {
   for (const [team, expected] of sharesByLinearPrograms(problem).entries()) {
     const actual = fractions[team]! * dominantShareOf(problem, team);
@@ -72,12 +73,14 @@
   }
 }
 
-/** Dominant share of the whole demand of a team. */
+/** Dominant share of a team's full demand. */
 function dominantShareOf({ demands, capacity }: FlatProblem, team: number): number {
   return Math.max(...RESOURCES.map((resource) => demands[team]![resource] / capacity[resource]));
 }
 
-/** Lexicographic max-min by a sequence of linear programs: raises the level, and fixes the teams that cannot rise. */
+/**
+ * Lexicographic max-min by a sequence of linear programs: each raises the level and fixes the teams that cannot gain.
+ */
 function sharesByLinearPrograms(problem: FlatProblem): number[] {
   const teams = [...problem.demands.keys()];
   const fixed = new Map<number, number>();
@@ -85,37 +88,41 @@
     const level = solve(problem, "t", levelRows(problem, fixed), true);
     for (const team of teams) {
       if (fixed.has(team)) continue;
-      const atLevel = problem.weights[team]! * level;
+      const shareAtLevel = problem.weights[team]! * level;
       const objective = `${dominantShareOf(problem, team)} x${team}`;
-      const most = solve(problem, objective, minimumRows(problem, fixed, level), false);
-      if (most <= atLevel + TOLERANCE) fixed.set(team, atLevel);
+      const maxShare = solve(problem, objective, minimumRows(problem, fixed, level), false);
+      if (maxShare <= shareAtLevel + TOLERANCE) fixed.set(team, shareAtLevel);
     }
   }
   return teams.map((team) => fixed.get(team)!);
 }
 
-/** Fixed teams keep their share; the shares of the others are at least their weight times the level `t`. */
+/**
+ * Constraints: fixed teams keep their share; the shares of the others are at least their weight times the level `t`.
+ */
 function levelRows(problem: FlatProblem, fixed: ReadonlyMap<number, number>): string[] {
   return problem.weights.map((weight, team) => {
     const share = `${dominantShareOf(problem, team)} x${team}`;
-    const held = fixed.get(team);
-    return held === undefined ? `${share} - ${weight} t >= 0` : `${share} >= ${held - SLACK}`;
+    const fixedShare = fixed.get(team);
+    return fixedShare === undefined
+      ? `${share} - ${weight} t >= 0`
+      : `${share} >= ${fixedShare - SLACK}`;
   });
 }
 
-/** All teams keep at least what they have at this level. */
+/** Constraints: every team keeps at least its share at this level. */
 function minimumRows(
   problem: FlatProblem,
   fixed: ReadonlyMap<number, number>,
   level: number,
 ): string[] {
   return problem.weights.map((weight, team) => {
-    const held = fixed.get(team) ?? weight * level;
-    return `${dominantShareOf(problem, team)} x${team} >= ${held - SLACK}`;
+    const minimumShare = fixed.get(team) ?? weight * level;
+    return `${dominantShareOf(problem, team)} x${team} >= ${minimumShare - SLACK}`;
   });
 }
 
-/** Solves one linear program; `rows` are its constraints beside capacity and limits. */
+/** Solves one linear program. `rows`: its constraints in addition to capacity and limits. */
 function solve(
   problem: FlatProblem,
   objective: string,
--- a/tests/support/fault-injection.ts
+++ b/tests/support/fault-injection.ts
@@ -1,4 +1,4 @@
-/** What users do in a simulation, and what goes wrong in it, in each step. */
+/** Performs the actions of users and injects faults in each step of a simulation. */
 import type { SimulatedEffects } from "./simulated-effects.js";
 import type { SimulatedHeartbeats } from "./simulated-heartbeats.js";
 import type { SimulatedLeadership } from "./simulated-leadership.js";
@@ -7,10 +7,10 @@
 import type { SimulatedUsers } from "./simulated-users.js";
 import type { SimulationContext } from "./simulation-context.js";
 
-/** One machine in so many, times the steps, crashes. */
+/** Each machine crashes in one of this many steps on average. */
 const CRASH_ODDS = 2000;
 
-/** What faults are caused on. */
+/** The parts of a simulation that users act on and into which faults are injected. */
 export interface FaultTargets {
   readonly users: SimulatedUsers;
   readonly machines: SimulatedMachines;
@@ -19,61 +19,64 @@
   readonly effects: SimulatedEffects;
 }
 
-export class FaultInjection {
+/** Draws user actions and faults in each step. */
+export class FaultInjector {
   constructor(
     private readonly context: SimulationContext,
     private readonly targets: FaultTargets,
   ) {}
 
+  /** Performs the user actions and faults of one step; a machine fault affects one randomly drawn machine. */
   step(): void {
-    const { choices, clock, faults } = this.context;
+    const { random, clock, faults } = this.context;
     const { effects, heartbeats, machines } = this.targets;
-    const machine = [...machines.byName.values()][choices.below(machines.byName.size)];
-    const until = clock.now + choices.oneOf([3, 12, 30, 60]);
-    this.actAsUsers();
-    this.disturbLeader();
-    heartbeats.replayOne();
-    if (choices.isOneIn(faults.odds.machine)) effects.cloudUnavailableUntil = until;
+    const machine = [...machines.byName.values()][random.integerBelow(machines.byName.size)];
+    const until = clock.now + random.oneOf([3, 12, 30, 60]);
+    this.performUserActions();
+    this.injectLeaderFaults();
+    heartbeats.replayEarlierHeartbeat();
+    if (random.isOneIn(faults.odds.machine)) effects.cloudUnavailableUntil = until;
     if (machine === undefined) return;
-    this.disturbMachine(machine, until);
-    // As many in a minute for each machine, however many there are.
-    if (choices.isOneIn(Math.ceil(CRASH_ODDS / machines.byName.size))) this.crash(machine);
+    this.injectMachineFaults(machine, until);
+    // The crash rate per machine does not depend on the number of machines.
+    if (random.isOneIn(Math.ceil(CRASH_ODDS / machines.byName.size))) this.crash(machine);
   }
 
-  private actAsUsers(): void {
-    const { choices, jobs } = this.context;
+  private performUserActions(): void {
+    const { random, jobs } = this.context;
     const { users } = this.targets;
-    if (choices.isOneIn(9)) users.submit();
+    if (random.isOneIn(9)) users.submit();
     const unfinished = [...jobs.accepted.keys()].filter((id) => !jobs.reportedFinalStates.has(id));
     for (const id of jobs.submitted.keys()) {
-      if (choices.isOneIn(40)) users.confirmSubmission(id);
+      if (random.isOneIn(40)) users.confirmSubmission(id);
     }
-    if (unfinished.length > 0 && choices.isOneIn(25)) users.cancel(choices.oneOf(unfinished));
+    if (unfinished.length > 0 && random.isOneIn(25)) users.cancel(random.oneOf(unfinished));
   }
 
-  private disturbLeader(): void {
-    const { choices, faults } = this.context;
+  private injectLeaderFaults(): void {
+    const { random, faults } = this.context;
     const { leadership } = this.targets;
-    if (choices.isOneIn(faults.odds.leader)) leadership.end("ends");
-    if (choices.isOneIn(faults.odds.leader)) leadership.end("refused alone", true);
+    if (random.isOneIn(faults.odds.leader)) leadership.endTerm("leader process stopped");
+    if (random.isOneIn(faults.odds.leader))
+      leadership.endTerm("rejected by the state service only", true);
   }
 
-  private disturbMachine(machine: SimulatedMachine, until: number): void {
-    const { choices, faults } = this.context;
-    const isHit = (): boolean => choices.isOneIn(faults.odds.machine);
+  private injectMachineFaults(machine: SimulatedMachine, until: number): void {
+    const { random, faults } = this.context;
+    const isFaultDrawn = (): boolean => random.isOneIn(faults.odds.machine);
     const hasFormerLeader = this.targets.leadership.formerLeaders.length > 0;
-    if (hasFormerLeader && isHit()) machine.partitionedUntil = until;
-    if (isHit()) machine.dropsOutboundUntil = until;
-    if (isHit()) machine.dropsInboundUntil = until;
-    if (isHit()) machine.hungUntil = until;
+    if (hasFormerLeader && isFaultDrawn()) machine.partitionedUntil = until;
+    if (isFaultDrawn()) machine.dropsOutboundUntil = until;
+    if (isFaultDrawn()) machine.dropsInboundUntil = until;
+    if (isFaultDrawn()) machine.hungUntil = until;
   }
 
-  /** Another one of its kind comes up later. */
+  /** Removes a machine. A machine of the same type and zone boots later. */
   private crash({ name, type, zone, spot }: SimulatedMachine): void {
-    const { choices, clock, trace } = this.context;
+    const { random, clock, trace } = this.context;
     const { machines } = this.targets;
-    trace.add(`${name} dies`);
+    trace.addLine(`${name} crashes`);
     machines.byName.delete(name);
-    clock.schedule(5 + choices.below(30), () => machines.boot(type, zone, spot));
+    clock.schedule(5 + random.integerBelow(30), () => machines.boot(type, zone, spot));
   }
 }
--- a/tests/support/heartbeat-builder.ts
+++ b/tests/support/heartbeat-builder.ts
@@ -1,40 +1,43 @@
-/** Heartbeats of workers whose kind of machine stays what they first said. */
+/** Builds the heartbeats of workers, and keeps the attributes of each worker's machine from one to the next. */
 import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 
+/** Sequence number of the first heartbeat. */
 const FIRST_SEQUENCE = 100;
 
-type MachineKind = Pick<WorkerHeartbeat, "type" | "zone" | "spot">;
+type MachineAttributes = Pick<WorkerHeartbeat, "type" | "zone" | "spot">;
 
-/** Builds heartbeats with rising sequence numbers: on a small machine, unless a change says otherwise. */
+/**
+ * Builds heartbeats with increasing sequence numbers. A machine has type `small` unless `overrides` set another one.
+ */
 export class HeartbeatBuilder {
   private nextSequence = FIRST_SEQUENCE;
-  private readonly machineKinds = new Map<string, MachineKind>();
+  private readonly attributesByMachine = new Map<string, MachineAttributes>();
 
-  /** `change` replaces fields; what it says of the kind of machine holds for later heartbeats too. */
+  /** `overrides` replace fields; machine attributes among them also apply to the machine's later heartbeats. */
   build(
     machine: string,
     fencingToken: number,
     tasks: TaskStatus[],
-    change: Partial<WorkerHeartbeat>,
+    overrides: Partial<WorkerHeartbeat>,
   ): WorkerHeartbeat {
     const heartbeat = {
       machine,
       address: `${machine}:9000`,
-      ...(this.machineKinds.get(machine) ?? defaultKind(machine)),
+      ...(this.attributesByMachine.get(machine) ?? defaultAttributes(machine)),
       incarnation: 1,
       sequence: this.nextSequence++,
       fencingToken,
       interruptionNoticeS: null,
       tasks,
-      ...change,
+      ...overrides,
     };
     const { type, zone, spot } = heartbeat;
-    this.machineKinds.set(machine, { type, zone, spot });
+    this.attributesByMachine.set(machine, { type, zone, spot });
     return heartbeat;
   }
 }
 
-/** The last letter of a machine's name is its zone. */
-function defaultKind(machine: string): MachineKind {
+/** The last letter of a machine's name determines its zone: `b`, or `a` for all others. */
+function defaultAttributes(machine: string): MachineAttributes {
   return { type: "small", zone: machine.endsWith("b") ? "b" : "a", spot: false };
 }
--- a/tests/support/job-builders.ts
+++ b/tests/support/job-builders.ts
@@ -1,10 +1,10 @@
-/** Jobs, submissions and task statuses with ordinary values, of which a test gives only what matters to it. */
+/** Builds jobs, submissions and task statuses with default values; a test overrides only the relevant fields. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { encodeJob } from "../../src/wire/counterpart.js";
 
 /** A job of one small task that may run anywhere. */
-export const jobSpec = (id: string, change: Partial<JobSpec> = {}): JobSpec => ({
+export const jobSpec = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id,
   class: "batch",
   team: "vision",
@@ -25,22 +25,22 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  ...change,
+  ...overrides,
 });
 
-/** The job that users of a test submit: an array of four tasks. */
-export const submittedJob = (change: Partial<JobSpec> = {}): JobSpec =>
-  jobSpec("run-1", { class: "train", tasks: 4, memoryGb: 2, image: "img-1", ...change });
+/** The default job for submissions by users: an array of four tasks. */
+export const submittedJob = (overrides: Partial<JobSpec> = {}): JobSpec =>
+  jobSpec("run-1", { class: "train", tasks: 4, memoryGb: 2, image: "img-1", ...overrides });
 
-/** A job that users of a whole cluster submit: their team may use all that is free, but no spot machines. */
-export const clusterJob = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
-  submittedJob({ id, team: "maps", spot: false, ...change });
+/** A job for tests of whole clusters. Its team has no CPU limit, and it does not run on spot machines. */
+export const clusterJob = (id: string, overrides: Partial<JobSpec> = {}): JobSpec =>
+  submittedJob({ id, team: "maps", spot: false, ...overrides });
 
-/** The body of a submission. */
-export const jobBody = (change: Partial<JobSpec> = {}): Record<string, unknown> =>
-  encodeJob(submittedJob(change));
+/** The body of a submission request. */
+export const jobBody = (overrides: Partial<JobSpec> = {}): Record<string, unknown> =>
+  encodeJob(submittedJob(overrides));
 
-/** A task's status in a heartbeat: running, unless said otherwise. */
+/** A task's status in a heartbeat, by default `running`. */
 export const taskStatus = (
   job: string,
   task: number,
--- a/tests/support/leader-trace.ts
+++ b/tests/support/leader-trace.ts
@@ -1,18 +1,19 @@
-/** How the lines of a test leader's trace describe what goes in and out. */
+/** Formats heartbeats, commands and transactions for the trace of a test leader. */
 import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Change } from "../../src/core/state/key-value.js";
 import { storedPlacementRanges } from "../../src/core/state/stored-placements.js";
 import type { StoredPlacements } from "../../src/core/state/stored-values.js";
 
+/** Key prefix of the shards of machine records. */
 const MACHINE_SHARD_PREFIX = "g/";
 
-/** The worker's incarnation, and the state or exit cause of each of its tasks. */
+/** Formats the worker's incarnation and the state or exit cause of each of its tasks. */
 export const describeHeartbeat = ({ incarnation, tasks }: WorkerHeartbeat): string =>
   `s${incarnation} [${tasks
     .map(({ job, task, attempt, cause, state }) => `${job}/${task}#${attempt} ${cause ?? state}`)
     .join(", ")}]`;
 
-/** Operation, task and attempt. */
+/** Formats a command's operation, task and attempt. */
 export const describeCommand = ({ op, job, task, attempt }: WorkerCommand): string =>
   `${op} ${job}/${task}#${attempt}`;
 
@@ -26,7 +27,7 @@
   return `${change.key} done=${value.done} at=${JSON.stringify(placements)}`;
 }
 
-/** Changes of a transaction, without those of machine records; null if no others are in it. */
+/** Formats the changes of a transaction except those of machine records; null if there are no others. */
 export function describeChanges(changes: readonly Change[]): string | null {
   const described = changes
     .filter(({ key }) => !key.startsWith(MACHINE_SHARD_PREFIX))
--- a/tests/support/machine-types.ts
+++ b/tests/support/machine-types.ts
@@ -1,9 +1,9 @@
-/** The machine types of the tests' catalog. */
+/** The machine types in the catalog that the tests use. */
 import type { MachineType } from "../../src/core/model/machines.js";
 
 const ZONES = ["a", "b"];
 
-/** A type without GPUs, and one with. */
+/** One machine type without GPUs and one with GPUs. */
 export const MACHINE_TYPES: MachineType[] = [
   {
     name: "small",
--- a/tests/support/overload-simulation.ts
+++ b/tests/support/overload-simulation.ts
@@ -1,4 +1,7 @@
-/** Simulation of overload over time: sources submit and retry, a cluster of a fixed size runs what was admitted. */
+/**
+ * Simulates overload: sources submit jobs and retry rejected ones, and a cluster of fixed size runs the admitted
+ * jobs.
+ */
 import {
   type AdmissionWindow,
   type ClassUsage,
@@ -11,11 +14,11 @@
 import type { Team } from "../../src/core/model/settings.js";
 import { AdmissionModel } from "./admission-model.js";
 
-/** Length of a window, in seconds. */
+/** Length of an admission window, in seconds. */
 export const WINDOW_S = 3;
-/** Duration of each task, in seconds. */
+/** Run time of each task on all CPUs that it requests, in seconds. */
 export const TASK_S = 10;
-/** Capacity of the simulated cluster. */
+/** Number of CPUs of the simulated cluster. */
 export const CPUS = 100;
 const CONTROLLERS = 3;
 const TEAMS: readonly Team[] = [
@@ -26,10 +29,11 @@
 /** Submits copies of one job at a fixed rate. */
 export interface Source {
   readonly job: JobSpec;
-  /** Seconds between two submissions; below one second several jobs arrive each second. */
+  /** Seconds between two submissions; if below 1, several jobs are submitted in each second. */
   readonly everyS: number;
 }
 
+/** A submitted job with its time of admission and the CPU time that it still needs. */
 interface SubmittedJob {
   readonly spec: JobSpec;
   readonly submittedAt: number;
@@ -37,7 +41,9 @@
   remainingCpuSeconds: number;
 }
 
-/** Runs in steps of one second; the cluster serves the classes in equal shares, and of each the oldest job first. */
+/**
+ * Runs in steps of one second. The classes get equal shares of the cluster; within a class, older jobs come first.
+ */
 export class OverloadSimulation {
   readonly model = new AdmissionModel(CONTROLLERS);
   readonly jobs: SubmittedJob[] = [];
@@ -51,21 +57,23 @@
     public cpus = CPUS,
   ) {}
 
+  /** Runs the steps from time `from` up to, not including, `to`. */
   run(from: number, to: number, sources = this.sources): void {
     for (let now = from; now < to; now++) {
-      for (const [index, source] of sources.entries()) this.submit(source, index, now);
-      this.retry(now);
-      this.serve();
-      this.plan(now);
+      for (const [index, source] of sources.entries()) this.submitFrom(source, index, now);
+      this.retryPendingJobs(now);
+      this.runAdmittedJobs();
+      this.planWindow(now);
     }
   }
 
-  /** The longest wait for admission of a class, in seconds; jobs that are not admitted have waited until `until`. */
+  /** The longest wait for admission in a class, in seconds; a job that is not admitted has waited until `until`. */
   longestWaitS(className: string, until: number): number {
     const waits = this.jobsOf(className).map((job) => (job.admittedAt ?? until) - job.submittedAt);
     return Math.max(...waits);
   }
 
+  /** CPU seconds that the jobs of a class have used. */
   servedCpuSeconds(className: string): number {
     return this.jobsOf(className).reduce(
       (sum, { spec, remainingCpuSeconds }) =>
@@ -78,17 +86,17 @@
     return this.jobs.filter(({ spec }) => spec.class === className);
   }
 
-  private submit(source: Source, index: number, now: number): void {
+  private submitFrom(source: Source, index: number, now: number): void {
     if (now % source.everyS >= 1) return;
     const perSecond = Math.max(1, Math.round(1 / source.everyS));
-    for (let number = 0; number < perSecond; number++) {
-      const spec = { ...source.job, id: `${index}-${now}-${number}` };
+    for (let copy = 0; copy < perSecond; copy++) {
+      const spec = { ...source.job, id: `${index}-${now}-${copy}` };
       const remainingCpuSeconds = spec.cpus * spec.tasks * TASK_S;
       this.jobs.push({ spec, submittedAt: now, admittedAt: null, remainingCpuSeconds });
     }
   }
 
-  private retry(now: number): void {
+  private retryPendingJobs(now: number): void {
     for (const [index, job] of this.jobs.entries()) {
       if (job.admittedAt !== null || (now - job.submittedAt) % WINDOW_S !== 0) continue;
       const answer = this.model.submit(index % CONTROLLERS, job.spec, "answered");
@@ -106,23 +114,27 @@
     this.rejectedAt = now;
   }
 
-  private serve(): void {
+  private runAdmittedJobs(): void {
     const running = this.jobs.filter(
       (job) => job.admittedAt !== null && job.remainingCpuSeconds > 0,
     );
     const classes = new Set(running.map(({ spec }) => spec.class));
     for (const name of classes) {
-      let cpus = this.cpus / classes.size;
+      let freeCpus = this.cpus / classes.size;
       for (const job of running) {
         if (job.spec.class !== name) continue;
-        const given = Math.min(cpus, job.remainingCpuSeconds, job.spec.cpus * job.spec.tasks);
-        job.remainingCpuSeconds -= given;
-        cpus -= given;
+        const allocatedCpus = Math.min(
+          freeCpus,
+          job.remainingCpuSeconds,
+          job.spec.cpus * job.spec.tasks,
+        );
+        job.remainingCpuSeconds -= allocatedCpus;
+        freeCpus -= allocatedCpus;
       }
     }
   }
 
-  private plan(now: number): void {
+  private planWindow(now: number): void {
     const next = this.planner.nextWindow({
       now,
       stored: this.windows.at(-1) ?? null,
--- a/tests/support/placement-checker.ts
+++ b/tests/support/placement-checker.ts
@@ -1,10 +1,10 @@
 /**
- * Checks the protocol rule on placement (`wrong_place`) against what simulated workers do. It counts independently and
- * never reads the scheduler's state.
+ * Checks the placements of tasks on simulated workers against the protocol rule `wrong_place`. The check evaluates
+ * the constraints independently and does not read the scheduler's state.
  */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 
-/** Where a task is, as its worker knows it. */
+/** The machine of a task, with the attributes that placement constraints refer to, as its worker reports them. */
 export interface Place {
   readonly machine: string;
   readonly type: string;
@@ -12,48 +12,56 @@
   readonly spot: boolean;
 }
 
-/** The placement constraints of a job. */
+/** The fields of a job that constrain the placement of its tasks. */
 export const CONSTRAINTS = ["types", "zone", "spot", "oneZone", "spread"] as const;
+/** One of the placement constraints. */
 export type Constraint = (typeof CONSTRAINTS)[number];
 
-export interface PlaceFault {
+/** A violated constraint, with a description for the report. */
+export interface PlacementViolation {
   readonly constraint: Constraint;
-  readonly what: string;
+  readonly description: string;
 }
 
-/** The constraints that a task at a place violates, given the places of the job's other tasks at that moment. */
-export function placeFaults(spec: JobSpec, place: Place, others: readonly Place[]): PlaceFault[] {
-  const faults: PlaceFault[] = [];
-  const add = (constraint: Constraint, what: string): void => {
-    faults.push({
+/** The constraints that a task at `place` violates, given the places of the job's other tasks at the same time. */
+export function placeFaults(
+  spec: JobSpec,
+  place: Place,
+  others: readonly Place[],
+): PlacementViolation[] {
+  const violations: PlacementViolation[] = [];
+  const add = (constraint: Constraint, description: string): void => {
+    violations.push({
       constraint,
-      what: `on ${place.machine} (${place.type}, ${place.zone}): ${what}`,
+      description: `on ${place.machine} (${place.type}, ${place.zone}): ${description}`,
     });
   };
   if (spec.types !== null && !spec.types.includes(place.type)) {
-    add("types", `not of ${spec.types}`);
+    add("types", `machine type is not one of ${spec.types}`);
   }
-  if (spec.zone !== null && spec.zone !== place.zone) add("zone", `zone is not ${spec.zone}`);
-  if (!spec.spot && place.spot) add("spot", "a spot machine");
+  if (spec.zone !== null && spec.zone !== place.zone)
+    add("zone", `the required zone is ${spec.zone}`);
+  if (!spec.spot && place.spot) add("spot", "the job does not allow spot machines");
   if (spec.oneZone) {
     const elsewhere = others.find((other) => other.zone !== place.zone);
     if (elsewhere !== undefined) add("oneZone", `another task is in ${elsewhere.zone}`);
   }
   if (spec.spread) {
-    const here = 1 + others.filter((other) => other.zone === place.zone).length;
-    if (here > Math.ceil(spec.tasks / 2)) add("spread", `${here} of ${spec.tasks} in one zone`);
+    const tasksInZone = 1 + others.filter((other) => other.zone === place.zone).length;
+    if (tasksInZone > Math.ceil(spec.tasks / 2))
+      add("spread", `${tasksInZone} of ${spec.tasks} tasks are in one zone`);
   }
-  return faults;
+  return violations;
 }
 
-/** The job as a planner sees it that ignores one constraint. */
+/** A copy of the job without one constraint, to simulate a planner that ignores the constraint. */
 export function without(spec: JobSpec, constraint: Constraint): JobSpec {
-  const ignored: Record<Constraint, Partial<JobSpec>> = {
+  const overridesByConstraint: Record<Constraint, Partial<JobSpec>> = {
     types: { types: null },
     zone: { zone: null },
     spot: { spot: true },
     oneZone: { oneZone: false },
     spread: { spread: false },
   };
-  return { ...spec, ...ignored[constraint] };
+  return { ...spec, ...overridesByConstraint[constraint] };
 }
--- a/tests/support/protocol-rule-checker.ts
+++ b/tests/support/protocol-rule-checker.ts
@@ -1,37 +1,41 @@
-/** What users and workers were told or did, checked against the rules of the protocol. */
+/** Checks the answers to users and the starts and ends of tasks against the rules of the protocol. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 
-/** Answers by which a node would deny an accepted job. */
-const DENIALS: ReadonlySet<number> = new Set([400, 404, 422]);
-const ACCEPTANCES: ReadonlySet<number> = new Set([200, 201]);
+/** Response statuses by which a node denies that a job was accepted. */
+const DENIAL_STATUSES: ReadonlySet<number> = new Set([400, 404, 422]);
+/** Response statuses by which a node confirms that a job was accepted. */
+const ACCEPTANCE_STATUSES: ReadonlySet<number> = new Set([200, 201]);
 
+/** A submitted job with the observed answers, completed tasks and running tasks. */
 interface ObservedJob {
   readonly spec: JobSpec;
   isAccepted: boolean;
   isCancelRequested: boolean;
-  /** The final state that some user was told. */
+  /** The final state that was reported to a user. */
   reportedFinalState: "done" | "cancelled" | null;
   readonly completedTasks: Set<number>;
   readonly machinesByTask: Map<number, Set<string>>;
 }
 
-/** Told of machines, jobs, answers and tasks as they come; keeps the rules that were broken. */
+/**
+ * Receives machines, jobs, answers and task changes in the order of their occurrence, and collects rule violations.
+ */
 export class ProtocolRuleChecker {
-  /** Broken rules, in words. */
+  /** Rule violations: the name of the rule and a description. */
   readonly violations: string[] = [];
-  /** Tasks that were started, repeated starts included. */
+  /** Number of task starts, including repeated ones. */
   startCount = 0;
   private readonly jobs = new Map<string, ObservedJob>();
-  private readonly places = new Map<string, Place>();
+  private readonly placesByMachine = new Map<string, Place>();
 
-  /** Where a machine is, and of what kind. */
+  /** Adds a machine with its type and zone. */
   addMachine(place: Place): void {
-    this.places.set(place.machine, place);
+    this.placesByMachine.set(place.machine, place);
   }
 
-  /** A user submits a job, perhaps once more. */
+  /** Records that a user submits a job; repeated submissions are ignored. */
   jobSubmitted(spec: JobSpec): void {
     if (this.jobs.has(spec.id)) return;
     this.jobs.set(spec.id, {
@@ -44,22 +48,22 @@
     });
   }
 
-  /** A user asks to cancel a job. */
+  /** Records that a user requests a job's cancellation. */
   cancelRequested(id: string): void {
     this.jobs.get(id)!.isCancelRequested = true;
   }
 
-  /** An answer about a job, by any node. */
+  /** Checks the response of any node to a request on a job. */
   answerReceived(id: string, status: number, state: string | undefined): void {
     const job = this.jobs.get(id)!;
-    if (job.isAccepted && DENIALS.has(status)) {
-      this.violations.push(`forgotten: ${id} is answered ${status}`);
+    if (job.isAccepted && DENIAL_STATUSES.has(status)) {
+      this.violations.push(`forgotten: accepted job ${id} is answered with status ${status}`);
     }
-    if (!ACCEPTANCES.has(status)) return;
+    if (!ACCEPTANCE_STATUSES.has(status)) return;
     job.isAccepted = true;
-    const { reportedFinalState: before } = job;
-    if (before !== null && state !== before) {
-      this.violations.push(`went_back: ${id} was ${before} and is ${state}`);
+    const { reportedFinalState: previousState } = job;
+    if (previousState !== null && state !== previousState) {
+      this.violations.push(`went_back: ${id} was ${previousState} and is ${state}`);
     }
     if (state !== "done" && state !== "cancelled") return;
     job.reportedFinalState = state;
@@ -67,7 +71,7 @@
     else this.checkCancelled(job);
   }
 
-  /** A task starts on a machine, or has exited there. */
+  /** Records that a task starts on a machine or has exited there. */
   taskChanged(name: string, machine: string, isRunning: boolean, cause: TaskStatus["cause"]): void {
     const slash = name.lastIndexOf("/");
     const task = Number(name.slice(slash + 1));
@@ -83,13 +87,13 @@
     }
   }
 
-  /** Tasks of the job that are on a machine. */
+  /** Number of the job's tasks that are on at least one machine. */
   runningTaskCount(id: string): number {
     const machines = [...this.jobs.get(id)!.machinesByTask.values()];
     return machines.filter(({ size }) => size > 0).length;
   }
 
-  /** Machines that any task of the job is on. */
+  /** The machines on which any task of the job is. */
   machinesOf(id: string): Set<string> {
     const machines = [...this.jobs.get(id)!.machinesByTask.values()];
     return new Set(machines.flatMap((names) => [...names]));
@@ -97,24 +101,30 @@
 
   private checkDone({ spec, completedTasks }: ObservedJob): void {
     if (completedTasks.size >= spec.tasks) return;
-    this.violations.push(`not_done: ${spec.id} with ${completedTasks.size} of ${spec.tasks} tasks`);
+    this.violations.push(
+      `not_done: ${spec.id} with ${completedTasks.size} of ${spec.tasks} tasks done`,
+    );
   }
 
-  /** A cancellation is confirmed with the stored end: nothing may be left of the job by then. */
+  /** A cancellation is confirmed when the job's end is stored: no task of the job may be on a machine by then. */
   private checkCancelled(job: ObservedJob): void {
     const { id } = job.spec;
-    if (!this.mayBeCancelled(job)) this.violations.push(`went_back: nobody cancelled ${id}`);
+    if (!this.hasCancellationCause(job))
+      this.violations.push(`went_back: ${id} was cancelled without a request`);
     for (const [task, machines] of job.machinesByTask) {
-      if (machines.size > 0) this.violations.push(`ran_cancelled: ${id}/${task} is on a machine`);
+      if (machines.size > 0)
+        this.violations.push(
+          `ran_cancelled: ${id}/${task} is on a machine when the cancellation is confirmed`,
+        );
     }
   }
 
-  /** Its user cancelled it, or a job that it depends on. */
-  private mayBeCancelled({ isCancelRequested, spec }: ObservedJob): boolean {
+  /** Whether a user cancelled the job or a job that it depends on, directly or indirectly. */
+  private hasCancellationCause({ isCancelRequested, spec }: ObservedJob): boolean {
     const dependencies = spec.after ?? [];
     return (
       isCancelRequested ||
-      dependencies.some((dependency) => this.mayBeCancelled(this.jobs.get(dependency)!))
+      dependencies.some((dependency) => this.hasCancellationCause(this.jobs.get(dependency)!))
     );
   }
 
@@ -124,17 +134,18 @@
     this.startCount++;
     this.checkPlacement(job, task, machine);
     if ([...machinesByTask.get(task)!].some((other) => other !== machine)) {
-      this.violations.push(`ran_twice: ${name}`);
+      this.violations.push(`ran_twice: ${name} starts while it is on another machine`);
     }
-    if (reportedFinalState === "cancelled") this.violations.push(`ran_cancelled: ${name} starts`);
+    if (reportedFinalState === "cancelled")
+      this.violations.push(`ran_cancelled: ${name} starts after the cancellation was confirmed`);
     for (const dependency of spec.after ?? []) {
-      const needed = this.jobs.get(dependency)!;
-      if (needed.completedTasks.size >= needed.spec.tasks) continue;
-      this.violations.push(`too_early: ${name} before ${dependency}`);
+      const dependencyJob = this.jobs.get(dependency)!;
+      if (dependencyJob.completedTasks.size >= dependencyJob.spec.tasks) continue;
+      this.violations.push(`too_early: ${name} starts before ${dependency} is done`);
     }
   }
 
-  /** A task that starts where the job's other tasks, as they are on machines now, do not allow it. */
+  /** Checks the placement of a starting task, given the places of the job's other tasks at this time. */
   private checkPlacement(
     { spec, machinesByTask }: ObservedJob,
     task: number,
@@ -143,10 +154,10 @@
     const others: Place[] = [];
     for (const [other, machines] of machinesByTask) {
       if (other === task) continue;
-      for (const name of machines) others.push(this.places.get(name)!);
+      for (const name of machines) others.push(this.placesByMachine.get(name)!);
     }
-    for (const { what } of placeFaults(spec, this.places.get(machine)!, others)) {
-      this.violations.push(`wrong_place: ${spec.id}/${task} ${what}`);
+    for (const { description } of placeFaults(spec, this.placesByMachine.get(machine)!, others)) {
+      this.violations.push(`wrong_place: ${spec.id}/${task} ${description}`);
     }
   }
 }
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -1,29 +1,29 @@
-/** The clusters of simulations: zones, machine types, machines and the kinds of jobs that users submit. */
+/** The clusters for simulations: zones, machine types, machines and the jobs that users submit. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { MachineType } from "../../src/core/model/machines.js";
 import type { ClusterSettings } from "../../src/core/model/settings.js";
 import { MACHINE_TYPES } from "./machine-types.js";
 import { readSettings, settingsText, sharedSettings } from "./node-settings.js";
 
-/** What a machine is and where. */
-export interface MachineKind {
+/** Type and zone of a machine, and whether it is a spot machine. */
+export interface MachineAttributes {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Settings, machines and users of one simulation. */
+/** Settings, machines and job templates of one simulation. */
 export interface SimulatedCluster {
   readonly settings: ClusterSettings;
   readonly types: readonly MachineType[];
-  readonly machines: readonly MachineKind[];
-  /** Machines that scaling out never exceeds; 0: it provisions none. */
+  readonly machines: readonly MachineAttributes[];
+  /** Limit on the number of machines when the scheduler scales out; 0: it provisions none. */
   readonly maxMachines: number;
   readonly jobs: readonly Partial<JobSpec>[];
 }
 
-/** Jobs of every kind without a constraint, and those that the first searches had. */
-const UNCONSTRAINED_JOBS: readonly Partial<JobSpec>[] = [
+/** Jobs of every kind with few placement constraints, the original job set of the searches. */
+const BASIC_JOBS: readonly Partial<JobSpec>[] = [
   { tasks: 1 },
   { tasks: 3 },
   { tasks: 2, cpus: 2, zone: "b" },
@@ -32,7 +32,7 @@
   { tasks: 4, priority: "low" },
 ];
 
-/** Each constraint on jobs of each kind. */
+/** Jobs of every kind with each of the placement constraints. */
 const CONSTRAINED_JOBS: readonly Partial<JobSpec>[] = [
   { kind: "array", tasks: 5, oneZone: true },
   { kind: "array", tasks: 5, spread: true },
@@ -51,7 +51,7 @@
   { kind: "service", tasks: 2, spot: false },
 ];
 
-/** Larger ones for clusters of tens of machines: some are stored in shards. */
+/** Larger jobs for clusters of tens of machines; some are stored in shards. */
 const LARGE_JOBS: readonly Partial<JobSpec>[] = [
   { kind: "array", tasks: 16, oneZone: true },
   { kind: "array", tasks: 70, oneZone: true, team: "maps" },
@@ -62,7 +62,7 @@
   { kind: "service", tasks: 6, oneZone: true, spot: false },
 ];
 
-/** Values of this size divide jobs of some tens of tasks into shards. */
+/** Maximum size of stored values at which jobs of some tens of tasks are divided into shards. */
 const SHARDING_VALUE_KB = 2;
 
 function clusterSettings(zones: readonly string[], valueKb: number): ClusterSettings {
@@ -74,7 +74,7 @@
 const machineTypesIn = (zones: readonly string[]): MachineType[] =>
   MACHINE_TYPES.map((type) => ({ ...type, zones: [...zones] }));
 
-/** Five ordinary machines of one type in two zones. */
+/** Five non-spot machines of one type in two zones. */
 function minimalCluster(jobs: readonly Partial<JobSpec>[]): SimulatedCluster {
   const zones = ["a", "b"];
   const machines = ["a", "a", "a", "b", "b"].map((zone) => ({ type: "small", zone, spot: false }));
@@ -87,28 +87,28 @@
   };
 }
 
-/** Machines of two types in three zones, a third of them spot machines. */
+/** Machines of two types in three zones; one third are spot machines. */
 function mixedCluster(
   count: number,
   maxMachines: number,
   jobs: readonly Partial<JobSpec>[],
 ): SimulatedCluster {
   const zones = ["a", "b", "c"];
-  const machines = Array.from({ length: count }, (_, i) => ({
-    type: i % 4 === 3 ? "big" : "small",
-    zone: zones[i % 3]!,
-    spot: Math.floor(i / 3) % 3 === 1,
+  const machines = Array.from({ length: count }, (_, index) => ({
+    type: index % 4 === 3 ? "big" : "small",
+    zone: zones[index % 3]!,
+    spot: Math.floor(index / 3) % 3 === 1,
   }));
   const settings = clusterSettings(zones, SHARDING_VALUE_KB);
   return { settings, types: machineTypesIn(zones), machines, maxMachines, jobs };
 }
 
-/** Clusters of several sizes in turn; `choose` draws a whole number below its argument. */
+/** Selects one of four kinds of clusters by the seed. `choose` draws a whole number below its argument. */
 export function clusterForSeed(seed: number, choose: (limit: number) => number): SimulatedCluster {
-  const jobs = [...UNCONSTRAINED_JOBS, ...CONSTRAINED_JOBS];
+  const jobs = [...BASIC_JOBS, ...CONSTRAINED_JOBS];
   switch (seed % 4) {
     case 0:
-      return minimalCluster(UNCONSTRAINED_JOBS);
+      return minimalCluster(BASIC_JOBS);
     case 1:
       return minimalCluster(jobs.filter((job) => !requiresBigMachine(job)));
     case 2:
@@ -123,6 +123,6 @@
 const requiresBigMachine = (job: Partial<JobSpec>): boolean =>
   job.types?.includes("small") === false;
 
-/** A cluster for one sort of job, with little else in its way. */
+/** A cluster whose users submit the given job and a small unconstrained one. */
 export const clusterForJob = (job: Partial<JobSpec>): SimulatedCluster =>
   mixedCluster(18, 0, [job, { tasks: 2 }]);
--- a/tests/support/simulated-effects.ts
+++ b/tests/support/simulated-effects.ts
@@ -1,4 +1,4 @@
-/** What a simulated leader asks for: requests to workers and to the cloud, each with its faults, and log lines. */
+/** Performs the effects of a simulated leader: requests to workers and to the cloud, with faults, and log lines. */
 import { assertNever } from "../../src/core/assert-never.js";
 import type { Effect } from "../../src/core/effects.js";
 import type { WorkerHeartbeat } from "../../src/core/model/workers.js";
@@ -9,11 +9,12 @@
 
 type EffectOf<Kind extends Effect["kind"]> = Extract<Effect, { kind: Kind }>;
 
-/** Log lines of the leader that help to read a trace. */
+/** Log messages of the leader that are added to the trace. */
 const TRACED_LOG_MESSAGES = new Set(["task lost", "scale in", "orphaned task", "job finished"]);
 
+/** Performs effects, and delivers their results to the leader that requested them. */
 export class SimulatedEffects {
-  /** The cloud releases nothing until then. */
+  /** Until this time the cloud releases no machines. */
   cloudUnavailableUntil = 0;
 
   constructor(
@@ -47,7 +48,7 @@
         this.advanceFencingToken(leader);
         break;
       case "step down":
-        this.leadership.end(effect.why);
+        this.leadership.endTerm(effect.why);
         break;
       case "log":
         this.log(effect);
@@ -61,11 +62,11 @@
 
   private log({ message, fields }: EffectOf<"log">): void {
     if (!TRACED_LOG_MESSAGES.has(message)) return;
-    this.context.trace.add(`${message} ${Object.values(fields).join(" ")}`);
+    this.context.trace.addLine(`${message} ${Object.values(fields).join(" ")}`);
   }
 
-  /** Hands a result to the leader; results for one that leads no more are dropped. */
-  private hand(leader: SimulatedLeader, result: () => Effect[]): void {
+  /** Delivers a result to the leader; results for a former leader are dropped. */
+  private deliverResult(leader: SimulatedLeader, result: () => Effect[]): void {
     if (this.leadership.leader === leader) this.perform(leader, result());
   }
 
@@ -73,7 +74,9 @@
     const { clock } = this.context;
     clock.schedule(0.05, () => {
       const heartbeat = this.machines.probe(machine);
-      this.hand(leader, () => leader.scheduler.probeAnswered(machine, heartbeat, clock.now));
+      this.deliverResult(leader, () =>
+        leader.scheduler.probeAnswered(machine, heartbeat, clock.now),
+      );
     });
   }
 
@@ -85,94 +88,109 @@
     const isReleased = clock.now >= this.cloudUnavailableUntil && !faults.occurs(4);
     clock.schedule(0.3, () => {
       if (isReleased) for (const name of names) this.terminate(name);
-      this.hand(leader, () => leader.scheduler.releaseAnswered(names, isReleased, clock.now));
+      this.deliverResult(leader, () =>
+        leader.scheduler.releaseAnswered(names, isReleased, clock.now),
+      );
     });
   }
 
-  /** Another one of its kind comes up a little later, so that the simulation does not run out of machines. */
+  /**
+   * Removes a machine. A machine of the same type and zone boots soon, so that the simulation does not run out of
+   * machines.
+   */
   private terminate(name: string): void {
     const { clock, trace } = this.context;
     const machine = this.machines.byName.get(name);
     if (machine === undefined) return;
     this.machines.byName.delete(name);
-    trace.add(`${name} is returned`);
+    trace.addLine(`${name} is terminated`);
     clock.schedule(1, () => this.machines.boot(machine.type, machine.zone, machine.spot));
   }
 
   private listMachines(leader: SimulatedLeader): void {
     const { clock } = this.context;
     clock.schedule(0.2, () =>
-      this.hand(leader, () =>
+      this.deliverResult(leader, () =>
         leader.scheduler.machineListAnswered(this.machines.list(), clock.now),
       ),
     );
   }
 
-  /** Machines come up at once or later; the request may be carried out late, its answer lost. */
+  /**
+   * Provisions machines, or answers that there is no capacity. If the answer is lost, the request may be executed
+   * late.
+   */
   private scaleOut(leader: SimulatedLeader, request: EffectOf<"scale out">): void {
-    const { choices, clock, cluster, faults } = this.context;
+    const { random, clock, cluster, faults } = this.context;
     const { scheduler } = leader;
-    if (this.machines.byName.size >= cluster.maxMachines || choices.isOneIn(4)) {
+    if (this.machines.byName.size >= cluster.maxMachines || random.isOneIn(4)) {
       clock.schedule(0.2, () =>
-        this.hand(leader, () =>
+        this.deliverResult(leader, () =>
           scheduler.scaleOutAnswered(request, { kind: "no capacity" }, clock.now),
         ),
       );
       return;
     }
     const isAnswerLost = faults.occurs(faults.odds.message);
-    clock.schedule(isAnswerLost ? choices.below(40) : 0.2, () => {
+    clock.schedule(isAnswerLost ? random.integerBelow(40) : 0.2, () => {
       const machines = this.provision(request);
       if (isAnswerLost) return;
-      this.hand(leader, () =>
+      this.deliverResult(leader, () =>
         scheduler.scaleOutAnswered(request, { kind: "provisioned", machines }, clock.now),
       );
     });
     if (!isAnswerLost) return;
     clock.schedule(1, () =>
-      this.hand(leader, () => scheduler.scaleOutAnswered(request, { kind: "failed" }, clock.now)),
+      this.deliverResult(leader, () =>
+        scheduler.scaleOutAnswered(request, { kind: "failed" }, clock.now),
+      ),
     );
   }
 
-  /** As many as there may be; each boots after a while. Returns their names. */
+  /** Boots as many of the requested machines as `maxMachines` allows, each after a delay. Returns their names. */
   private provision({ type, zone, spot, count }: EffectOf<"scale out">): string[] {
-    const { choices, clock, cluster } = this.context;
-    const granted = Math.max(0, Math.min(count, cluster.maxMachines - this.machines.byName.size));
-    const names = Array.from({ length: granted }, () => this.machines.newName(zone));
+    const { random, clock, cluster } = this.context;
+    const grantedCount = Math.max(
+      0,
+      Math.min(count, cluster.maxMachines - this.machines.byName.size),
+    );
+    const names = Array.from({ length: grantedCount }, () => this.machines.newName(zone));
     for (const name of names) {
-      const bootS = choices.oneOf([1, 2, 15]);
+      const bootS = random.oneOf([1, 2, 15]);
       clock.schedule(bootS, () => this.machines.boot(type, zone, spot, name));
     }
     return names;
   }
 
   private sendCommands(leader: SimulatedLeader, request: EffectOf<"send">): void {
-    const { choices, clock, faults } = this.context;
+    const { random, clock, faults } = this.context;
     const { scheduler, epoch } = leader;
     const { machine, commands } = request;
-    const lost = (): void =>
-      this.hand(leader, () =>
+    const reportNoAnswer = (): void =>
+      this.deliverResult(leader, () =>
         scheduler.commandsAnswered(machine, commands, { kind: "lost", mayArrive: true }, clock.now),
       );
     if (faults.occurs(faults.odds.message)) {
-      // Held up on the way, for seconds or minutes; the sender has given it up meanwhile.
-      clock.schedule(1 + choices.below(90), () => this.deliver(request, epoch));
-      clock.schedule(1, lost);
+      // The request is delayed by seconds or minutes, and the sender times out before it arrives.
+      clock.schedule(1 + random.integerBelow(90), () => this.deliverCommands(request, epoch));
+      clock.schedule(1, reportNoAnswer);
       return;
     }
     const isAnswerLost = faults.occurs(faults.odds.message);
     clock.schedule(0.05, () => {
-      const delivered = this.deliver(request, epoch);
-      if (delivered === null || isAnswerLost) return clock.schedule(1, lost);
+      const delivered = this.deliverCommands(request, epoch);
+      if (delivered === null || isAnswerLost) return clock.schedule(1, reportNoAnswer);
       const outcome = { kind: "answered" as const, ...delivered };
       clock.schedule(0.05, () =>
-        this.hand(leader, () => scheduler.commandsAnswered(machine, commands, outcome, clock.now)),
+        this.deliverResult(leader, () =>
+          scheduler.commandsAnswered(machine, commands, outcome, clock.now),
+        ),
       );
     });
   }
 
-  /** Null: the machine is not reached. A worker refuses an older token and commands for another incarnation. */
-  private deliver(
+  /** Null: the machine is not reachable. A worker rejects commands with an older token or for another incarnation. */
+  private deliverCommands(
     { machine: name, incarnation, commands }: EffectOf<"send">,
     token: number,
   ): { readonly executed: boolean; readonly heartbeat: WorkerHeartbeat } | null {
@@ -190,20 +208,20 @@
     leader.isAdvancingToken = true;
     clock.schedule(0.1, () => {
       if (this.leadership.leader !== leader) return;
-      const n = leader.epoch + 1;
+      const nextEpoch = leader.epoch + 1;
       const preconditions = [{ key: KEY.epoch, modRevision: leader.epochRevision }];
       const isCommitted = store.commit(preconditions, [
-        { op: "put", key: KEY.epoch, value: { n } },
+        { op: "put", key: KEY.epoch, value: { n: nextEpoch } },
       ]);
       this.leadership.catchUpReplica(leader);
       leader.isAdvancingToken = false;
       if (isCommitted) {
-        leader.epoch = n;
+        leader.epoch = nextEpoch;
         leader.epochRevision = leader.replica.epoch.modRevision;
-        trace.add(`token ${n}`);
+        trace.addLine(`fencing token ${nextEpoch}`);
       }
-      const advanced = isCommitted ? { epoch: n, modRevision: leader.epochRevision } : null;
-      this.hand(leader, () => leader.scheduler.fencingTokenAdvanced(advanced, clock.now));
+      const advanced = isCommitted ? { epoch: nextEpoch, modRevision: leader.epochRevision } : null;
+      this.deliverResult(leader, () => leader.scheduler.fencingTokenAdvanced(advanced, clock.now));
     });
   }
 }
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Workers' heartbeats in a simulation, on their way to whichever controller answers them. */
+/** Delivers the heartbeats of simulated workers to the controllers, and the answers to the workers. */
 import type { WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { SimulatedEffects } from "./simulated-effects.js";
 import type { SimulatedLeadership } from "./simulated-leadership.js";
@@ -6,17 +6,21 @@
 import type { SimulatedMachines } from "./simulated-machines.js";
 import type { SimulationContext } from "./simulation-context.js";
 
+/** Time to deliver a heartbeat or its answer without a fault, in seconds. */
 const DELIVERY_S = 0.02;
+/** Seconds after which a worker no longer accepts the answer to a heartbeat. */
 const REQUEST_TIMEOUT_S = 4;
 
+/** A controller's answer: its fencing token and the commands for the worker. */
 interface HeartbeatAnswer {
   readonly token: number;
   readonly commands: readonly WorkerCommand[];
 }
 
+/** Sends heartbeats and answers, some of them delayed, lost or repeated. */
 export class SimulatedHeartbeats {
-  /** Copies that may arrive once more. */
-  private readonly replayable: WorkerHeartbeat[] = [];
+  /** Copies of sent heartbeats that may be delivered again. */
+  private readonly replayableHeartbeats: WorkerHeartbeat[] = [];
 
   constructor(
     private readonly context: SimulationContext,
@@ -25,24 +29,28 @@
     private readonly effects: SimulatedEffects,
   ) {}
 
+  /** Sends the machine's next heartbeat; it may be lost or delayed. */
   send(machine: SimulatedMachine): void {
-    const { choices, clock, faults } = this.context;
-    machine.nextHeartbeatAt = clock.now + 2.3 + choices.below(15) / 10;
+    const { random, clock, faults } = this.context;
+    machine.nextHeartbeatAt = clock.now + 2.3 + random.integerBelow(15) / 10;
     const sentAt = clock.now;
     const heartbeat = machine.heartbeat();
-    if (faults.occurs(4)) this.replayable.push(heartbeat);
+    if (faults.occurs(4)) this.replayableHeartbeats.push(heartbeat);
     if (clock.now < machine.dropsOutboundUntil) return;
     const isDelayed = faults.occurs(faults.odds.message);
-    clock.schedule(isDelayed ? 1 + choices.below(40) : DELIVERY_S, () =>
+    clock.schedule(isDelayed ? 1 + random.integerBelow(40) : DELIVERY_S, () =>
       this.deliver(heartbeat, machine, sentAt),
     );
   }
 
-  /** An earlier heartbeat arrives again, and nobody reads the answer. */
-  replayOne(): void {
-    const { choices } = this.context;
-    if (this.replayable.length === 0 || !choices.isOneIn(8)) return;
-    const [heartbeat] = this.replayable.splice(choices.below(this.replayable.length), 1);
+  /** May deliver an earlier heartbeat again; its answer is dropped. */
+  replayEarlierHeartbeat(): void {
+    const { random } = this.context;
+    if (this.replayableHeartbeats.length === 0 || !random.isOneIn(8)) return;
+    const [heartbeat] = this.replayableHeartbeats.splice(
+      random.integerBelow(this.replayableHeartbeats.length),
+      1,
+    );
     this.answer(heartbeat!);
   }
 
@@ -62,31 +70,36 @@
     });
   }
 
-  /** As the nodes do: the leader, a former one that cannot know better, or anyone between two. */
+  /**
+   * Answers as the nodes do: the leader answers, or a former leader that does not know of a later one (always if the
+   * machine is partitioned with it or there is no leader), or, while there is no leader, any node. Null: no answer.
+   */
   private answer(heartbeat: WorkerHeartbeat): HeartbeatAnswer | null {
-    const { choices, clock } = this.context;
+    const { random, clock } = this.context;
     const { leader } = this.leadership;
-    const former = this.leadership.formerLeaderFor(heartbeat);
+    const formerLeader = this.leadership.formerLeaderFor(heartbeat);
     const partitionedUntil = this.machines.byName.get(heartbeat.machine)?.partitionedUntil ?? 0;
     const isPartitioned = clock.now < partitionedUntil;
-    if (former !== undefined && (isPartitioned || leader === null || choices.isOneIn(2))) {
-      former.scheduler.noteGracePeriodAnswer(heartbeat, clock.now);
-      return { token: former.epoch, commands: [] };
+    if (formerLeader !== undefined && (isPartitioned || leader === null || random.isOneIn(2))) {
+      formerLeader.scheduler.noteGracePeriodAnswer(heartbeat, clock.now);
+      return { token: formerLeader.epoch, commands: [] };
     }
     if (isPartitioned) return null;
-    if (leader === null) return this.answerBetweenLeaders(heartbeat);
+    if (leader === null) return this.answerWithoutLeader(heartbeat);
     const { commands, effects } = leader.scheduler.handleHeartbeat(heartbeat, clock.now);
     const token = leader.epoch;
     this.effects.perform(leader, effects);
     return { token, commands };
   }
 
-  /** For part of a lease any node answers, so that workers do not all come back at once. */
-  private answerBetweenLeaders({ fencingToken }: WorkerHeartbeat): HeartbeatAnswer | null {
+  /**
+   * Without a leader, any node answers for a third of a worker lease, so that the workers do not all retry at once.
+   */
+  private answerWithoutLeader({ fencingToken }: WorkerHeartbeat): HeartbeatAnswer | null {
     const { clock, store } = this.context;
     const epoch = store.replica.epoch.value;
-    const vacantForS = clock.now - this.leadership.leaderlessSince;
-    const mayAnswer = epoch > 0 && fencingToken <= epoch && vacantForS < WORKER_LEASE_S / 3;
+    const leaderlessForS = clock.now - this.leadership.leaderlessSince;
+    const mayAnswer = epoch > 0 && fencingToken <= epoch && leaderlessForS < WORKER_LEASE_S / 3;
     return mayAnswer ? { token: epoch, commands: [] } : null;
   }
 }
--- a/tests/support/simulated-jobs.ts
+++ b/tests/support/simulated-jobs.ts
@@ -1,21 +1,22 @@
-/** What users of a simulation submitted, were told and cancelled, and the tasks that were done. */
+/** Records submissions, cancellations, reported states and completed tasks of a simulation. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 
-/** A job's final state, as a user was told it. */
+/** A job's final state, as reported to a user. */
 export type FinalState = "done" | "cancelled";
 
+/** The jobs of a simulation as users and workers know them, independent of the scheduler's state. */
 export class SimulatedJobs {
-  /** Submitted, whether or not the user has had an answer. */
+  /** All submitted jobs, including those whose submission was not answered yet. */
   readonly submitted = new Map<string, JobSpec>();
-  /** A user was told that the job is accepted, and counts on it. */
+  /** Jobs whose acceptance was confirmed to a user; they must not be lost. */
   readonly accepted = new Map<string, JobSpec>();
   readonly cancelRequested = new Set<string>();
-  /** Final states that users were told. */
+  /** Final states that were reported to users. */
   readonly reportedFinalStates = new Map<string, FinalState>();
-  /** Tasks, as `job/number`, that were done on some machine. */
+  /** Tasks, as `job/number`, that were completed on a machine. */
   readonly completedTasks = new Set<string>();
 
-  /** Its user cancelled it, or a job that it depends on, directly or through others. */
+  /** Whether a user cancelled the job or a job that it depends on, directly or indirectly. */
   isCancelledByUser(id: string): boolean {
     if (this.cancelRequested.has(id)) return true;
     const dependencies = this.submitted.get(id)?.after ?? [];
--- a/tests/support/simulated-key-value-store.ts
+++ b/tests/support/simulated-key-value-store.ts
@@ -1,4 +1,4 @@
-/** The state service of the simulation: conditional transactions and what changed since a revision. */
+/** Simulated state service with conditional transactions and the changes since a revision. */
 import type {
   Change,
   ChangeEvent,
@@ -7,19 +7,19 @@
 } from "../../src/core/state/key-value.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
 
-/** A key-value store in memory, without leases; it never fails. */
+/** An in-memory key-value store without leases. It never fails. */
 export class SimulatedKeyValueStore {
   private readonly entries = new Map<string, { value: unknown; modRevision: number }>();
   private readonly changeLog: ChangeEvent[] = [];
   revision = 1;
-  /** What is stored now, as an up-to-date node sees it. */
+  /** Replica that is always up to date. */
   readonly replica = new StateReplica();
 
   constructor() {
     this.replica.reset([], 0);
   }
 
-  /** Carries the changes out if all preconditions hold, and says whether they did. */
+  /** Commits the changes if all preconditions hold. Returns whether they were committed. */
   commit(preconditions: readonly Precondition[], changes: readonly Change[]): boolean {
     for (const { key, modRevision } of preconditions) {
       if ((this.entries.get(key)?.modRevision ?? 0) !== modRevision) return false;
@@ -31,14 +31,14 @@
     return true;
   }
 
-  /** Changes after the revision, in their order. */
+  /** The changes after a revision, in order. */
   changesSince(revision: number): ChangeEvent[] {
     let from = this.changeLog.length;
     while (from > 0 && this.changeLog[from - 1]!.modRevision > revision) from--;
     return this.changeLog.slice(from);
   }
 
-  /** All that is stored. */
+  /** All stored items. */
   items(): KeyValueItem[] {
     return [...this.entries].map(([key, entry]) => ({ key, ...entry }));
   }
@@ -50,7 +50,7 @@
       this.entries.delete(key);
       return { key, value: null, removed: true, modRevision };
     }
-    // Readers have a copy, as over a connection.
+    // Stores a copy, as a store behind a network connection does.
     const value: unknown = JSON.parse(JSON.stringify(change.value));
     this.entries.set(key, { value, modRevision });
     return { key, value, removed: false, modRevision };
--- a/tests/support/simulated-leader-loop.ts
+++ b/tests/support/simulated-leader-loop.ts
@@ -1,4 +1,4 @@
-/** What a simulated leader does by itself: it is elected, follows the stored state, plans and writes. */
+/** The loop of a simulated leader: election, replication of the stored state, scheduling cycles and transactions. */
 import type { TransactionOutcome } from "../../src/core/effects.js";
 import { Scheduler } from "../../src/core/scheduler.js";
 import { StateReplica } from "../../src/core/state/state-replica.js";
@@ -16,8 +16,10 @@
 const MAX_CHANGES = 32;
 const MAX_TRANSACTION_BYTES = 60_000;
 
-type TransactionEnd = (outcome: TransactionOutcome) => void;
+/** Called with the outcome of a transaction, as far as the leader learns it. */
+type TransactionCallback = (outcome: TransactionOutcome) => void;
 
+/** Runs the current leader, or elects a new one if there is none. */
 export class SimulatedLeaderLoop {
   constructor(
     private readonly context: SimulationContext,
@@ -25,17 +27,17 @@
     private readonly effects: SimulatedEffects,
   ) {}
 
-  /** The leader's part of a step; without one, a successor comes after some seconds. */
+  /** Runs one step of the leader; without a leader, a new one is elected after some seconds. */
   step(): void {
-    const { choices, clock } = this.context;
+    const { random, clock } = this.context;
     const { leadership } = this;
     const { leader } = leadership;
     if (leader === null) {
-      const vacantForS = clock.now - leadership.leaderlessSince;
-      if (vacantForS > 1 + choices.below(4)) this.electLeader();
+      const leaderlessForS = clock.now - leadership.leaderlessSince;
+      if (leaderlessForS > 1 + random.integerBelow(4)) this.electLeader();
       return;
     }
-    if (!choices.isOneIn(3)) leadership.catchUpReplica(leader);
+    if (!random.isOneIn(3)) leadership.catchUpReplica(leader);
     if (leadership.leader !== leader) return;
     this.effects.perform(leader, leader.scheduler.tick(clock.now, clock.now * 1000));
     if (leadership.leader === leader) this.writeNext(leader);
@@ -74,11 +76,11 @@
       replica,
       epoch,
       epochRevision,
-      actsUntil: Number.POSITIVE_INFINITY,
+      termEndedAt: Number.POSITIVE_INFINITY,
       isWriting: false,
       isAdvancingToken: false,
     };
-    this.leadership.begin(leader);
+    this.leadership.beginTerm(leader);
     this.effects.perform(leader, scheduler.takeOver(replica, clock.now));
   }
 
@@ -88,7 +90,7 @@
     const transaction = scheduler.nextTransaction(MAX_CHANGES, MAX_TRANSACTION_BYTES);
     if (transaction === null) return;
     leader.isWriting = true;
-    this.carryOut(transaction, (outcome) => {
+    this.executeTransaction(transaction, (outcome) => {
       const { leadership } = this;
       leader.isWriting = false;
       if (leadership.leader !== leader) return;
@@ -100,27 +102,33 @@
     });
   }
 
-  /** Refused, held up while the writer gives it up, or carried out, with its answer or without. */
-  private carryOut({ preconditions, changes }: LeaderTransaction, onEnd: TransactionEnd): void {
-    const { choices, clock, faults, store, trace } = this.context;
+  /**
+   * Executes a transaction with one of these results: rejected; delayed until after the writer's time-out; executed
+   * with its answer lost; executed and answered.
+   */
+  private executeTransaction(
+    { preconditions, changes }: LeaderTransaction,
+    onOutcome: TransactionCallback,
+  ): void {
+    const { random, clock, faults, store, trace } = this.context;
     if (faults.occurs(faults.odds.write)) {
-      clock.schedule(0.1, () => onEnd({ kind: "refused" }));
+      clock.schedule(0.1, () => onOutcome({ kind: "refused" }));
       return;
     }
     if (faults.occurs(faults.odds.write)) {
-      trace.add("a write is held up");
-      clock.schedule(2 + choices.below(11), () => store.commit(preconditions, changes));
-      clock.schedule(1, () => onEnd({ kind: "unknown" }));
+      trace.addLine("a transaction is delayed");
+      clock.schedule(2 + random.integerBelow(11), () => store.commit(preconditions, changes));
+      clock.schedule(1, () => onOutcome({ kind: "unknown" }));
       return;
     }
     const isAnswerLost = faults.occurs(faults.odds.write);
     clock.schedule(0.03, () => {
       const isCommitted = store.commit(preconditions, changes);
       const { revision } = store;
-      if (isAnswerLost) clock.schedule(1, () => onEnd({ kind: "unknown" }));
+      if (isAnswerLost) clock.schedule(1, () => onOutcome({ kind: "unknown" }));
       else
         clock.schedule(0.02, () =>
-          onEnd(isCommitted ? { kind: "committed", revision } : { kind: "conflict" }),
+          onOutcome(isCommitted ? { kind: "committed", revision } : { kind: "conflict" }),
         );
     });
   }
--- a/tests/support/simulated-machine.ts
+++ b/tests/support/simulated-machine.ts
@@ -1,18 +1,18 @@
-/** A machine of the simulation with its worker: incarnation, lease, tasks and heartbeats. Times are simulated seconds. */
+/** A simulated machine with its worker: incarnation, lease, tasks and heartbeats. Times are in simulated seconds. */
 import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import type { Place } from "./placement-checker.js";
 
 /** A worker's lease, in seconds. */
 export const WORKER_LEASE_S = 21;
 
-/** A task on a machine: its image is pulled until `imagePulledAt`. */
+/** A task on a machine. Its image pull takes until `imagePulledAt`. */
 export interface SimulatedTask {
   status: TaskStatus;
   endsAt: number;
   readonly imagePulledAt: number;
 }
 
-/** The worker's own state; faults are set on it from outside. */
+/** The state of a machine and its worker. Fault injection sets the times until which faults last. */
 export class SimulatedMachine {
   readonly name: string;
   readonly type: string;
@@ -23,18 +23,21 @@
   fencingToken = 0;
   leaseExpiresAt: number;
   nextHeartbeatAt: number;
-  /** Its heartbeats reach nobody until then. */
+  /** Until this time the worker's heartbeats are lost. */
   dropsOutboundUntil = 0;
-  /** Nothing that is sent to it arrives until then. */
+  /** Until this time messages to the worker are lost. */
   dropsInboundUntil = 0;
-  /** It is paused until then. */
+  /** Until this time the machine is unresponsive: its worker is paused. */
   hungUntil = 0;
-  /** It is partitioned off with former leaders until then: the present one gets nothing from it and does not reach it. */
+  /**
+   * Until this time a network partition separates the machine and the former leaders from the current leader: no
+   * message passes between the machine and the current leader.
+   */
   partitionedUntil = 0;
   readonly tasks = new Map<string, SimulatedTask>();
   private sequence = 0;
 
-  /** Its name, machine type and zone, as its job's placement constraints see them. */
+  /** `place`: the machine's name and the attributes that placement constraints refer to. */
   constructor(
     readonly place: Place,
     now: number,
@@ -47,12 +50,12 @@
     this.nextHeartbeatAt = now;
   }
 
-  /** A direct request arrives, and its answer too. */
+  /** Whether a direct request to the worker arrives and is answered. */
   isReachable(now: number): boolean {
     return now >= Math.max(this.dropsInboundUntil, this.hungUntil, this.partitionedUntil);
   }
 
-  /** Ends the incarnation if its lease has expired, and says whether tasks ended with it. */
+  /** Ends the incarnation and its tasks if the lease has expired. Returns whether tasks ended. */
   expireLease(now: number): boolean {
     if (now <= this.leaseExpiresAt) return false;
     const hasTasks = this.tasks.size > 0;
@@ -62,7 +65,7 @@
     return hasTasks;
   }
 
-  /** The next heartbeat; its statuses are copies. */
+  /** Builds the next heartbeat, with copies of the task statuses. */
   heartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -1,4 +1,6 @@
-/** The machines of a simulation and the tasks on them. What they run is checked by the protocol's rules. */
+/**
+ * The machines of a simulation and the tasks on them. Task starts and placements are checked by the protocol rules.
+ */
 import type { ListedMachine } from "../../src/core/model/machines.js";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { taskStatus } from "./job-builders.js";
@@ -6,10 +8,14 @@
 import type { SimulationContext } from "./simulation-context.js";
 import { checkPlacement, checkStart, type MachineTasks } from "./simulation-rules.js";
 
-const AGE_AT_LISTING_S = 900;
+/** Simulated time at which all listed machines count as requested. */
+const REQUESTED_AT = 900;
+/** Possible durations of an image pull, in seconds. */
 const IMAGE_PULL_S = [0, 0, 2, 9];
+/** Possible run times of a task, in seconds. */
 const RUN_S = [2, 8, 40];
 
+/** Boots machines and executes the commands of their workers. */
 export class SimulatedMachines implements MachineTasks {
   readonly byName = new Map<string, SimulatedMachine>();
   startCount = 0;
@@ -19,18 +25,19 @@
     for (const { type, zone, spot } of context.cluster.machines) this.boot(type, zone, spot);
   }
 
+  /** Adds a running machine. */
   boot(type: string, zone: string, spot: boolean, name = this.newName(zone)): void {
     const { clock, trace } = this.context;
     this.byName.set(name, new SimulatedMachine({ machine: name, type, zone, spot }, clock.now));
-    trace.add(`${name} is up: ${type}, ${zone}${spot ? ", spot" : ""}`);
+    trace.addLine(`${name} is running: ${type}, ${zone}${spot ? ", spot" : ""}`);
   }
 
-  /** A machine that boots later has its name now. */
+  /** Reserves a name; a machine that boots later gets its name when it is requested. */
   newName(zone: string): string {
     return `m${this.nextNumber++}${zone}`;
   }
 
-  /** As the cloud lists them: they all run, and have for long. */
+  /** The machine list of the cloud. All machines are listed as running, with a high age. */
   list(): ListedMachine[] {
     return [...this.byName.values()].map(({ name, type, zone, spot }) => ({
       name,
@@ -39,11 +46,11 @@
       zone,
       spot,
       state: "running",
-      ageS: this.context.clock.now - AGE_AT_LISTING_S,
+      ageS: this.context.clock.now - REQUESTED_AT,
     }));
   }
 
-  /** Tasks of the job that are on machines, with the machine's name. */
+  /** Yields the job's tasks that are on machines, each with the machine's name. */
   *tasksOf(job: string): Generator<[string, TaskStatus]> {
     for (const { name, tasks } of this.byName.values()) {
       for (const { status } of tasks.values()) {
@@ -52,12 +59,13 @@
     }
   }
 
+  /** Ends the worker's incarnation if its lease has expired. */
   expireLease(machine: SimulatedMachine): void {
     const { clock, trace } = this.context;
-    if (machine.expireLease(clock.now)) trace.add(`${machine.name}: lease over`);
+    if (machine.expireLease(clock.now)) trace.addLine(`${machine.name}: lease expired`);
   }
 
-  /** The heartbeat that a probe of the machine is answered with; null if none comes. */
+  /** The heartbeat with which the machine's worker answers a probe; null: no answer. */
   probe(name: string): WorkerHeartbeat | null {
     const machine = this.byName.get(name);
     if (machine === undefined || !machine.isReachable(this.context.clock.now)) return null;
@@ -65,21 +73,23 @@
     return machine.heartbeat();
   }
 
+  /** Executes the commands of a controller, as the machine's worker does. */
   execute(machine: SimulatedMachine, commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.task}#${command.attempt}`;
-      const known = machine.tasks.get(key);
+      const existing = machine.tasks.get(key);
       if (command.op === "forget") {
-        if (known?.status.state === "exited") machine.tasks.delete(key);
+        if (existing?.status.state === "exited") machine.tasks.delete(key);
       } else if (command.op === "stop") {
-        if (known !== undefined && known.status.state !== "exited") exitTask(known, "stopped");
-      } else if (known === undefined) {
+        if (existing !== undefined && existing.status.state !== "exited")
+          exitTask(existing, "stopped");
+      } else if (existing === undefined) {
         this.startTask(machine, command, key);
       }
     }
   }
 
-  /** Images arrive, and tasks whose time has come are done: those of a gang all together. */
+  /** Completes image pulls and the tasks whose run time is over; the tasks of a gang are completed together. */
   runTasks(machine: SimulatedMachine): void {
     const { clock, jobs } = this.context;
     this.completeImagePulls(machine);
@@ -96,27 +106,27 @@
   }
 
   private startTask(machine: SimulatedMachine, command: WorkerCommand, key: string): void {
-    const { choices, clock, jobs } = this.context;
+    const { random, clock, jobs } = this.context;
     const job = jobs.submitted.get(command.job);
     if (job === undefined) return;
-    const imagePulledAt = clock.now + choices.oneOf(IMAGE_PULL_S);
+    const imagePulledAt = clock.now + random.oneOf(IMAGE_PULL_S);
     const task: SimulatedTask = {
       status: taskStatus(command.job, command.task, command.attempt, "pulling image"),
       endsAt: Number.POSITIVE_INFINITY,
       imagePulledAt,
     };
     machine.tasks.set(key, task);
-    this.refuseIfNotFitting(machine, task, job.cpus);
+    this.rejectIfNotFitting(machine, task, job.cpus);
     if (task.status.state === "exited") return;
     this.startCount++;
     checkStart(this.context, this, machine, task);
     if (job.kind === "service") return;
     const isCompleted = jobs.completedTasks.has(`${command.job}/${command.task}`);
-    task.endsAt = imagePulledAt + (isCompleted ? 0 : choices.oneOf(RUN_S));
+    task.endsAt = imagePulledAt + (isCompleted ? 0 : random.oneOf(RUN_S));
   }
 
-  /** As a worker does that has the task already, or not the CPUs for it. */
-  private refuseIfNotFitting(
+  /** Rejects a task, as a worker does, if the task is already on the machine or there are too few free CPUs. */
+  private rejectIfNotFitting(
     machine: SimulatedMachine,
     task: SimulatedTask,
     ownCpus: number,
@@ -134,7 +144,7 @@
     if (cpus > type.cpus) exitTask(task, "no_room");
   }
 
-  /** From now on the task counts as being on its machine. */
+  /** Starts the tasks whose image pull is complete, and checks their placement. */
   private completeImagePulls(machine: SimulatedMachine): void {
     for (const task of machine.tasks.values()) {
       const isPulled = this.context.clock.now >= task.imagePulledAt;
@@ -142,20 +152,21 @@
       task.status = { ...task.status, state: "running" };
       checkPlacement(this.context, this, {
         machine,
-        placed: task,
-        event: "has its image",
-        counts: ({ state }) => state !== "pulling image",
+        placedTask: task,
+        event: "has finished its image pull",
+        isCounted: ({ state }) => state !== "pulling image",
       });
     }
   }
 
-  /** Completes all tasks of a gang if all of its attempt are on machines, and says whether they are. */
+  /** Completes all tasks of a gang if all tasks of the attempt are on machines. Returns whether they are. */
   private completeGang({ job, attempt }: TaskStatus): boolean {
     const { jobs } = this.context;
     const { tasks } = jobs.submitted.get(job)!;
-    const present = new Set<number>();
-    for (const [, peer] of this.tasksOf(job)) if (peer.attempt === attempt) present.add(peer.task);
-    if (present.size < tasks) return false;
+    const presentTasks = new Set<number>();
+    for (const [, peer] of this.tasksOf(job))
+      if (peer.attempt === attempt) presentTasks.add(peer.task);
+    if (presentTasks.size < tasks) return false;
     for (let task = 0; task < tasks; task++) jobs.completedTasks.add(`${job}/${task}`);
     return true;
   }
--- a/tests/support/simulated-users.ts
+++ b/tests/support/simulated-users.ts
@@ -1,4 +1,4 @@
-/** Users of a simulation: they submit, ask and cancel, and their writes may be late or unanswered. */
+/** Simulated users: they submit, query and cancel jobs. Their transactions may be delayed or unanswered. */
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { Change } from "../../src/core/state/key-value.js";
@@ -8,11 +8,13 @@
 import type { SimulationContext } from "./simulation-context.js";
 import { checkView } from "./simulation-rules.js";
 
-/** What the leader is told of a job. */
+/** Maps a submitted job to the specification that is stored for the leader. */
 export type SpecSeenByLeader = (spec: JobSpec) => JobSpec;
 
-const RECENT_JOBS = 6;
+/** Number of the latest accepted jobs from which dependencies are drawn. */
+const RECENT_JOB_COUNT = 6;
 
+/** Performs the requests of users on the stored state. */
 export class SimulatedUsers {
   private nextNumber = 0;
 
@@ -22,16 +24,16 @@
     private readonly specSeenByLeader: SpecSeenByLeader,
   ) {}
 
-  /** A new job. Some depend on others that were accepted, in whatever state these are. */
+  /** Submits a new job. Some jobs depend on accepted jobs, which may be in any state. */
   submit(): void {
-    const { choices, clock, cluster, jobs } = this.context;
+    const { random, clock, cluster, jobs } = this.context;
     const id = `j${this.nextNumber++}`;
-    const team = choices.isOneIn(3) ? "maps" : "vision";
-    const shape = choices.oneOf(cluster.jobs);
-    const after = shape.kind === "service" || !choices.isOneIn(3) ? [] : this.someRecentJobs();
-    const image = `i${choices.below(3)}`;
+    const team = random.isOneIn(3) ? "maps" : "vision";
+    const template = random.oneOf(cluster.jobs);
+    const after = template.kind === "service" || !random.isOneIn(3) ? [] : this.drawDependencies();
+    const image = `i${random.integerBelow(3)}`;
     const dependencies = after.length > 0 ? { after } : {};
-    const spec = jobSpec(id, { ...shape, team, image, ...dependencies });
+    const spec = jobSpec(id, { ...template, team, image, ...dependencies });
     const value = encodeJobRecord({
       spec: this.specSeenByLeader(spec),
       submittedAtMs: clock.now * 1000,
@@ -44,32 +46,33 @@
       shardSize: null,
     });
     jobs.submitted.set(id, spec);
-    const absent = [KEY.activeJob(id), KEY.finalRecord(id)];
+    const absentKeys = [KEY.activeJob(id), KEY.finalRecord(id)];
     const change: Change = { op: "put", key: KEY.activeJob(id), value };
-    this.write(absent, change, () => this.confirmSubmission(id));
+    this.writeIfAbsent(absentKeys, change, () => this.confirmSubmission(id));
   }
 
-  /** The submission again, or its answer: from now on the user counts on the job. */
+  /** Confirms that a stored job is accepted, by the answer to its submission or to a repeated one. */
   confirmSubmission(id: string): void {
     const { jobs, store, trace } = this.context;
     if (jobs.accepted.has(id) || store.replica.view(id) === null) return;
     const spec = jobs.submitted.get(id)!;
     jobs.accepted.set(id, spec);
-    trace.add(`accepted ${id} ${spec.kind} of ${spec.tasks}`);
+    trace.addLine(`accepted ${id} ${spec.kind} of ${spec.tasks}`);
   }
 
+  /** Requests a job's cancellation and, if it is answered, queries the job. */
   cancel(id: string): void {
     const { jobs, store, trace } = this.context;
     jobs.cancelRequested.add(id);
-    trace.add(`cancel ${id}`);
+    trace.addLine(`cancel ${id}`);
     if (!store.replica.activeJobs.has(id)) return;
-    const absent = [KEY.finalRecord(id), KEY.cancellation(id)];
+    const absentKeys = [KEY.finalRecord(id), KEY.cancellation(id)];
     const value = { at: 0, told: false };
     const change: Change = { op: "put", key: KEY.cancellation(id), value };
-    this.write(absent, change, () => this.query(id));
+    this.writeIfAbsent(absentKeys, change, () => this.query(id));
   }
 
-  /** A user asks for a job that was accepted. */
+  /** Queries the state of an accepted job, and checks the answer. */
   query(id: string): void {
     const { jobs, store, trace } = this.context;
     const view = store.replica.view(id);
@@ -83,7 +86,7 @@
     }
   }
 
-  /** Accepted jobs that nobody cancelled and that neither run nor are done. */
+  /** Accepted jobs that no user cancelled, and that are not done or, for services, do not run all their tasks. */
   unfinishedJobs(): string[] {
     const { jobs } = this.context;
     return [...jobs.accepted]
@@ -94,20 +97,20 @@
       .map(([id]) => id);
   }
 
-  private someRecentJobs(): string[] {
-    const { choices, jobs } = this.context;
-    const ended = [...jobs.accepted].filter(([, { kind }]) => kind !== "service");
-    const recent = ended.map(([id]) => id).slice(-RECENT_JOBS);
-    const count = recent.length === 0 ? 0 : 1 + choices.below(2);
-    return [...new Set(Array.from({ length: count }, () => choices.oneOf(recent)))];
+  private drawDependencies(): string[] {
+    const { random, jobs } = this.context;
+    const finite = [...jobs.accepted].filter(([, { kind }]) => kind !== "service");
+    const recent = finite.map(([id]) => id).slice(-RECENT_JOB_COUNT);
+    const count = recent.length === 0 ? 0 : 1 + random.integerBelow(2);
+    return [...new Set(Array.from({ length: count }, () => random.oneOf(recent)))];
   }
 
-  /** Carried out if the keys are absent: at once, or late; its answer may be lost. */
-  private write(absentKeys: readonly string[], change: Change, onAnswer: () => void): void {
-    const { choices, clock, faults, store } = this.context;
+  /** Commits a change if the keys are absent, at once or after a delay; the answer may be lost. */
+  private writeIfAbsent(absentKeys: readonly string[], change: Change, onAnswer: () => void): void {
+    const { random, clock, faults, store } = this.context;
     const preconditions = absentKeys.map((key) => ({ key, modRevision: 0 }));
     if (faults.occurs(faults.odds.write)) {
-      clock.schedule(2 + choices.below(10), () => store.commit(preconditions, [change]));
+      clock.schedule(2 + random.integerBelow(10), () => store.commit(preconditions, [change]));
     } else if (store.commit(preconditions, [change]) && !faults.occurs(faults.odds.write)) {
       onAnswer();
     }
--- a/tests/support/simulated-workers.ts
+++ b/tests/support/simulated-workers.ts
@@ -1,4 +1,4 @@
-/** Workers of a test leader, in its simulated time. */
+/** Simulated workers of a test leader, in the leader's simulated time. */
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { taskStatus } from "./job-builders.js";
 import type { TestLeader } from "./test-leader.js";
@@ -6,10 +6,10 @@
 const STEP_S = 0.25;
 const HEARTBEAT_INTERVAL_S = 3;
 
-/** What becomes of a task: it fails at once, or is done after so many seconds. */
+/** Determines the outcome of a task: it fails at once, or it is done after the returned number of seconds. */
 export type TaskFateOf = (job: string, machine: string) => "error" | number;
 
-/** A start of a task that a worker carried out; `at` in simulated seconds. */
+/** A task start by a worker; `at` in simulated seconds. */
 export interface TaskStart {
   readonly job: string;
   readonly task: number;
@@ -23,39 +23,39 @@
   endsAt: number;
 }
 
-/** Workers that carry out commands, send a heartbeat each interval, and run tasks as their fate has it. */
+/** Workers that execute commands, send heartbeats at regular intervals, and run tasks with predetermined outcomes. */
 export class SimulatedWorkers {
   readonly terminatedMachines: string[] = [];
-  /** Tasks that were started and have not ended, on all machines. */
+  /** Tasks on all machines that were started and have not ended. */
   readonly runningTasks = new Set<string>();
   readonly starts: TaskStart[] = [];
-  /** Tasks that were stopped by command, in order. */
+  /** Tasks that were stopped by a command, in order. */
   readonly stops: { readonly job: string; readonly machine: string }[] = [];
-  /** Most tasks that were on machines at one time. */
+  /** Highest number of tasks that were on machines at the same time. */
   peakRunningTasks = 0;
-  /** Tasks that were started while they were on another machine. */
+  /** Starts, as `job/task#attempt`, of tasks that were already running. */
   readonly duplicateStarts: string[] = [];
   private readonly tasksByMachine = new Map<string, Map<string, WorkerTask>>();
   private readonly lastHeartbeatAt = new Map<string, number>();
   private readonly machineTypes: Map<string, string>;
 
-  /** `types`: the machine type of each machine that is up from the start. */
+  /** `types`: the machine type of each machine that is running from the start. */
   constructor(
     public leader: TestLeader,
     types: ReadonlyMap<string, string>,
-    private readonly fateOf: TaskFateOf,
+    private readonly outcomeOf: TaskFateOf,
   ) {
     this.machineTypes = new Map(types);
     for (const name of types.keys()) this.tasksByMachine.set(name, new Map());
   }
 
-  /** A machine comes up. */
+  /** Adds a running machine. */
   addMachine(name: string, type: string): void {
     this.machineTypes.set(name, type);
     this.tasksByMachine.set(name, new Map());
   }
 
-  /** Time passes in steps; `onStep` is called in each, before the leader's part of it. */
+  /** Advances the time in steps; `onStep` is called in each step before the leader's tick. */
   runFor(seconds: number, onStep: () => void = () => {}): void {
     for (let elapsedS = 0; elapsedS < seconds; elapsedS += STEP_S) {
       this.answerRequests();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** A machine stops with all that is on it, and sends nothing any more. */
+  /** Removes a machine and its tasks; it sends no further messages. */
   crashMachine(name: string): void {
     for (const { status } of this.tasksByMachine.get(name)?.values() ?? []) {
       this.runningTasks.delete(taskIdOf(status));
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Tasks whose time has come are done; a heartbeat goes out then, and at each interval. */
+  /** Completes the tasks whose run time is over, and sends a heartbeat after such an exit and at each interval. */
   private stepMachine(name: string): void {
     const { leader } = this;
     let hasExits = false;
@@ -134,12 +134,12 @@
     const { op, job, task, attempt } = command;
     const tasks = this.tasksByMachine.get(machine)!;
     const key = `${job}/${task}#${attempt}`;
-    const known = tasks.get(key);
-    if (op === "start" && known === undefined) {
+    const existing = tasks.get(key);
+    if (op === "start" && existing === undefined) {
       tasks.set(key, this.startTask(machine, command, key));
-    } else if (op === "stop" && known !== undefined && known.status.state !== "exited") {
+    } else if (op === "stop" && existing !== undefined && existing.status.state !== "exited") {
       this.stops.push({ job, machine });
-      this.exitTask(known, "stopped");
+      this.exitTask(existing, "stopped");
     } else if (op === "forget") {
       tasks.delete(key);
     }
@@ -147,14 +147,14 @@
 
   private startTask(machine: string, command: WorkerCommand, key: string): WorkerTask {
     const { job, task, attempt } = command;
-    const fate = this.fateOf(job, machine);
+    const outcome = this.outcomeOf(job, machine);
     const started: WorkerTask = { status: taskStatus(job, task, attempt), endsAt: 0 };
     const id = taskIdOf(started.status);
     if (this.runningTasks.has(id)) this.duplicateStarts.push(key);
     this.runningTasks.add(id);
     this.starts.push({ job, task, attempt, machine, at: this.leader.now });
-    if (fate === "error") this.exitTask(started, "error");
-    else started.endsAt = this.leader.now + fate;
+    if (outcome === "error") this.exitTask(started, "error");
+    else started.endsAt = this.leader.now + outcome;
     return started;
   }
 
--- a/tests/support/simulation-context.ts
+++ b/tests/support/simulation-context.ts
@@ -1,15 +1,16 @@
-/** What all parts of a simulation share: its clock, its seeded choices, its trace and the stored state. */
+/** State shared by all parts of a simulation: clock, seeded random numbers, trace and stored state. */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { SimulatedCluster } from "./simulated-clusters.js";
 import type { SimulatedJobs } from "./simulated-jobs.js";
 import type { SimulatedKeyValueStore } from "./simulated-key-value-store.js";
 
+/** The shared state of one simulation. */
 export interface SimulationContext {
   readonly cluster: SimulatedCluster;
   readonly clock: SimulationClock;
-  readonly choices: SeededChoices;
-  readonly faults: FaultChances;
+  readonly random: SeededRandom;
+  readonly faults: FaultModel;
   readonly trace: SimulationTrace;
   readonly store: SimulatedKeyValueStore;
   readonly jobs: SimulatedJobs;
@@ -20,16 +21,17 @@
   readonly run: () => void;
 }
 
-/** Simulated seconds, and what is to happen later. */
+/** A clock in simulated seconds, with scheduled events. */
 export class SimulationClock {
   now = 1000;
   private events: ScheduledEvent[] = [];
 
+  /** Schedules an event `inS` seconds from now. */
   schedule(inS: number, run: () => void): void {
     this.events.push({ at: this.now + inS, run });
   }
 
-  /** Time passes, and what is due happens in its order. What that schedules happens in later steps. */
+  /** Advances the time and runs the due events in order. Events that they schedule run in later steps. */
   advance(seconds: number): void {
     this.now += seconds;
     const due = this.events.filter(({ at }) => at <= this.now).sort((a, b) => a.at - b.at);
@@ -38,30 +40,30 @@
   }
 }
 
-/** One sequence of choices for each seed: the order of the draws is part of a run. */
-export class SeededChoices {
-  private readonly random;
+/** Random numbers from a seed. A run is reproducible only with the same order of draws. */
+export class SeededRandom {
+  private readonly generator;
 
   constructor(seed: number) {
-    this.random = xoroshiro128plus(seed);
+    this.generator = xoroshiro128plus(seed);
   }
 
   /** A whole number from 0 up to, not including, `limit`. */
-  below(limit: number): number {
-    return uniformInt(this.random, 0, limit - 1);
+  integerBelow(limit: number): number {
+    return uniformInt(this.generator, 0, limit - 1);
   }
 
-  /** Whether the choice falls on one of so many. */
+  /** True with probability 1 / `count`. */
   isOneIn(count: number): boolean {
-    return this.below(count) === 0;
+    return this.integerBelow(count) === 0;
   }
 
   oneOf<T>(options: readonly T[]): T {
-    return options[this.below(options.length)]!;
+    return options[this.integerBelow(options.length)]!;
   }
 }
 
-/** How often something goes wrong: one in so many. */
+/** Odds of each class of faults: one in this number of draws. */
 export interface FaultOdds {
   readonly leader: number;
   readonly machine: number;
@@ -69,46 +71,49 @@
   readonly write: number;
 }
 
-/** Days differ in what goes wrong often: everything at once hides what needs a quiet moment. */
-export class FaultChances {
+/**
+ * Draws faults with odds that differ between runs. If all faults were frequent in every run, failures that only occur
+ * after a period without faults would not be found.
+ */
+export class FaultModel {
   readonly odds: FaultOdds;
-  /** Faults occur while this is set. */
+  /** Whether faults occur. */
   isActive = true;
 
-  constructor(private readonly choices: SeededChoices) {
+  constructor(private readonly random: SeededRandom) {
     this.odds = {
-      leader: choices.oneOf([80, 250, 1500]),
-      machine: choices.oneOf([40, 150, 1000]),
-      message: choices.oneOf([5, 15, 80]),
-      write: choices.oneOf([5, 20, 100]),
+      leader: random.oneOf([80, 250, 1500]),
+      machine: random.oneOf([40, 150, 1000]),
+      message: random.oneOf([5, 15, 80]),
+      write: random.oneOf([5, 20, 100]),
     };
   }
 
-  /** Draws only while faults are active. */
-  occurs(oneIn: number): boolean {
-    return this.isActive && this.choices.isOneIn(oneIn);
+  /** Draws whether a fault occurs. Without active faults, no number is drawn. */
+  occurs(odds: number): boolean {
+    return this.isActive && this.random.isOneIn(odds);
   }
 }
 
-/** A rule of the protocol that was broken. */
+/** A violation of a protocol rule. */
 export interface RuleViolation {
   readonly rule: string;
-  readonly what: string;
+  readonly detail: string;
 }
 
-/** What happened, as lines with their time, and the rules that were broken. */
+/** The events of a run as lines with their time, and the rule violations. */
 export class SimulationTrace {
   readonly lines: string[] = [];
   readonly violations: RuleViolation[] = [];
 
   constructor(private readonly clock: SimulationClock) {}
 
-  add(line: string): void {
+  addLine(line: string): void {
     this.lines.push(`${this.clock.now.toFixed(2)} ${line}`);
   }
 
-  addViolation(rule: string, what: string): void {
-    this.add(`BROKEN ${rule}: ${what}`);
-    this.violations.push({ rule, what });
+  addViolation(rule: string, detail: string): void {
+    this.addLine(`VIOLATION ${rule}: ${detail}`);
+    this.violations.push({ rule, detail });
   }
 }
--- a/tests/support/simulation-rules.ts
+++ b/tests/support/simulation-rules.ts
@@ -1,31 +1,35 @@
-/** The protocol's rules, checked by what the workers of a simulation themselves have. */
+/** Checks the protocol rules of a simulation against the state of its workers. */
 import type { JobView } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { type Place, placeFaults } from "./placement-checker.js";
 import type { SimulatedMachine, SimulatedTask } from "./simulated-machine.js";
 import type { SimulationContext } from "./simulation-context.js";
 
-/** The team that has a limit in the settings, and the CPUs that it may use. */
+/** The team with a CPU limit in the settings. */
 const LIMITED_TEAM = "vision";
+/** The CPU limit of that team. */
 const LIMIT_CPUS = 16;
 const CPU_TOLERANCE = 1e-6;
 
-/** The machines of a simulation, as the rules see them. */
+/** The machines of a simulation, as far as the rules need them. */
 export interface MachineTasks {
   readonly byName: ReadonlyMap<string, SimulatedMachine>;
-  /** Tasks of the job that are on machines, with the machine's name. */
+  /** The job's tasks that are on machines, each with the machine's name. */
   tasksOf(job: string): Iterable<[string, TaskStatus]>;
 }
 
-/** A task has come to a machine: `counts` tells which of the job's other tasks it may stand beside. */
+/**
+ * An event after which a task's placement is checked. `isCounted`: whether the check includes another task of the
+ * job.
+ */
 export interface PlacementEvent {
   readonly machine: SimulatedMachine;
-  readonly placed: SimulatedTask;
+  readonly placedTask: SimulatedTask;
   readonly event: string;
-  readonly counts: (other: TaskStatus) => boolean;
+  readonly isCounted: (other: TaskStatus) => boolean;
 }
 
-/** A task starts. */
+/** Checks the rules that apply to the start of a task. */
 export function checkStart(
   context: SimulationContext,
   machines: MachineTasks,
@@ -35,36 +39,38 @@
   const { jobs, store, trace } = context;
   const { job, task, attempt } = started.status;
   const key = `${job}/${task}#${attempt}`;
-  trace.add(`start ${key} on ${machine.name}`);
+  trace.addLine(`start ${key} on ${machine.name}`);
   for (const dependency of jobs.submitted.get(job)!.after ?? []) {
     if (store.replica.finalRecords.get(dependency)?.outcome !== "done") {
-      trace.addViolation("too_early", `${key}: ${dependency}`);
+      trace.addViolation("too_early", `${key} starts before ${dependency} is done`);
     }
   }
   const reported = jobs.reportedFinalStates.get(job);
-  if (reported !== undefined) trace.addViolation("ran_cancelled", `${key} starts: ${reported}`);
-  for (const [on, other] of machines.tasksOf(job)) {
-    if (on === machine.name || other.task !== task) continue;
-    trace.addViolation("ran_twice", `${key} on ${machine.name} and ${on}`);
+  if (reported !== undefined)
+    trace.addViolation("ran_cancelled", `${key} starts after its job was reported as ${reported}`);
+  for (const [otherMachine, other] of machines.tasksOf(job)) {
+    if (otherMachine === machine.name || other.task !== task) continue;
+    trace.addViolation("ran_twice", `${key} on ${machine.name} and ${otherMachine}`);
   }
   const event = "is started";
-  checkPlacement(context, machines, { machine, placed: started, event, counts: () => true });
+  checkPlacement(context, machines, { machine, placedTask: started, event, isCounted: () => true });
   checkQuota(context, machines, job);
 }
 
-/** A task comes to a machine, given those of the job's other tasks that count at this moment. */
+/** Checks the constraints on a task's placement, given the counted other tasks of the job. */
 export function checkPlacement(
   { jobs, trace }: SimulationContext,
   machines: MachineTasks,
-  { machine, placed, event, counts }: PlacementEvent,
+  { machine, placedTask, event, isCounted }: PlacementEvent,
 ): void {
-  const { job, task, attempt } = placed.status;
+  const { job, task, attempt } = placedTask.status;
   const others: Place[] = [];
-  for (const [on, other] of machines.tasksOf(job)) {
-    if (other !== placed.status && counts(other)) others.push(machines.byName.get(on)!.place);
+  for (const [machineName, other] of machines.tasksOf(job)) {
+    if (other !== placedTask.status && isCounted(other))
+      others.push(machines.byName.get(machineName)!.place);
   }
-  for (const { what } of placeFaults(jobs.submitted.get(job)!, machine.place, others)) {
-    trace.addViolation("wrong_place", `${job}/${task}#${attempt} ${event} ${what}`);
+  for (const { description } of placeFaults(jobs.submitted.get(job)!, machine.place, others)) {
+    trace.addViolation("wrong_place", `${job}/${task}#${attempt} ${event} ${description}`);
   }
 }
 
@@ -78,24 +84,29 @@
   for (const [id, { team, cpus }] of jobs.submitted) {
     if (team === LIMITED_TEAM) for (const _ of machines.tasksOf(id)) usedCpus += cpus;
   }
-  if (usedCpus > LIMIT_CPUS + CPU_TOLERANCE) trace.addViolation("quota", `${usedCpus} CPUs`);
+  if (usedCpus > LIMIT_CPUS + CPU_TOLERANCE)
+    trace.addViolation("quota", `${usedCpus} CPUs are above the team's limit`);
 }
 
-/** A user is told a job's state. */
+/** Checks the state of a job that is reported to a user. */
 export function checkView(
   { jobs, trace }: SimulationContext,
   machines: MachineTasks,
   { id, state }: JobView,
 ): void {
-  const before = jobs.reportedFinalStates.get(id);
-  if (before !== undefined && state !== before) {
-    trace.addViolation("went_back", `${id} was ${before}, is ${state}`);
+  const previousState = jobs.reportedFinalStates.get(id);
+  if (previousState !== undefined && state !== previousState) {
+    trace.addViolation("went_back", `${id} was ${previousState} and is now ${state}`);
   }
   const dependencies = jobs.submitted.get(id)!.after ?? [];
   const hasCancelled = dependencies.some(
     (dependency) => jobs.reportedFinalStates.get(dependency) === "cancelled",
   );
-  if (hasCancelled && state !== "cancelled") trace.addViolation("orphaned", `${id} is ${state}`);
+  if (hasCancelled && state !== "cancelled")
+    trace.addViolation(
+      "orphaned",
+      `${id} is ${state} after a job that it depends on was cancelled`,
+    );
   if (state === "done") {
     const { tasks } = jobs.accepted.get(id)!;
     for (let task = 0; task < tasks; task++) {
@@ -103,9 +114,13 @@
         trace.addViolation("not_done", `${id}/${task}`);
     }
   } else if (state === "cancelled") {
-    if (!jobs.isCancelledByUser(id)) trace.addViolation("went_back", `${id}: nobody cancelled it`);
-    for (const [on, { job, task }] of machines.tasksOf(id)) {
-      trace.addViolation("ran_cancelled", `told, while ${job}/${task} is on ${on}`);
+    if (!jobs.isCancelledByUser(id))
+      trace.addViolation("went_back", `${id} was cancelled without a request`);
+    for (const [machineName, { job, task }] of machines.tasksOf(id)) {
+      trace.addViolation(
+        "ran_cancelled",
+        `cancellation reported while ${job}/${task} is on ${machineName}`,
+      );
     }
   }
 }
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -1,10 +1,11 @@
 /**
- * The core under any order of events: a leader and its successors, former leaders that still answer, the
- * state service, workers and users, with every message kept until a seeded choice delivers, repeats or loses
- * it. After each event the protocol's rules are checked by what the workers themselves have.
+ * Simulates the core under random orders of events: the leader and its successors, former leaders that still answer,
+ * the state service, workers and users. Random draws from a seed determine whether each message is delivered,
+ * delayed, repeated or lost. After each event the protocol rules are checked against the state of the workers
+ * themselves.
  */
 import { KEY } from "../../src/core/state/stored-values.js";
-import { FaultInjection } from "./fault-injection.js";
+import { FaultInjector } from "./fault-injection.js";
 import { clusterForSeed, type SimulatedCluster } from "./simulated-clusters.js";
 import { SimulatedEffects } from "./simulated-effects.js";
 import { SimulatedHeartbeats } from "./simulated-heartbeats.js";
@@ -15,18 +16,18 @@
 import { SimulatedMachines } from "./simulated-machines.js";
 import { SimulatedUsers, type SpecSeenByLeader } from "./simulated-users.js";
 import {
-  FaultChances,
+  FaultModel,
   type RuleViolation,
-  SeededChoices,
+  SeededRandom,
   SimulationClock,
   type SimulationContext,
   SimulationTrace,
 } from "./simulation-context.js";
 
-/** Steps in which late messages arrive after faults have ended. */
+/** Steps after the end of the faults in which delayed messages arrive. */
 const SETTLING_STEPS = 100;
 
-/** One run: the same seed gives the same trace. */
+/** One simulation run. The same seed gives the same trace. */
 export class Simulation {
   private readonly context: SimulationContext;
   private readonly machines: SimulatedMachines;
@@ -34,9 +35,9 @@
   private readonly leadership: SimulatedLeadership;
   private readonly leaderLoop: SimulatedLeaderLoop;
   private readonly heartbeats: SimulatedHeartbeats;
-  private readonly faultInjection: FaultInjection;
+  private readonly faultInjection: FaultInjector;
 
-  /** `specSeenByLeader`: what the leader is told of a job, to show that the checks can fail. */
+  /** `specSeenByLeader`: changes jobs before the leader reads them, to verify that the checks detect the effects. */
   constructor(
     seed: number,
     specSeenByLeader: SpecSeenByLeader = (spec) => spec,
@@ -50,7 +51,7 @@
     const effects = new SimulatedEffects(context, this.machines, this.leadership);
     this.leaderLoop = new SimulatedLeaderLoop(context, this.leadership, effects);
     this.heartbeats = new SimulatedHeartbeats(context, this.machines, this.leadership, effects);
-    this.faultInjection = new FaultInjection(context, {
+    this.faultInjection = new FaultInjector(context, {
       users: this.users,
       machines: this.machines,
       leadership: this.leadership,
@@ -68,7 +69,7 @@
     return this.context.trace.lines;
   }
 
-  /** Tasks that were started, repeated starts included. */
+  /** Number of task starts, including repeated ones. */
   get startCount(): number {
     return this.machines.startCount;
   }
@@ -77,33 +78,33 @@
     return this.leadership.termCount;
   }
 
-  /** Jobs of which a user was told the final state. */
+  /** Number of jobs whose final state was reported to a user. */
   get finishedJobCount(): number {
     return this.context.jobs.reportedFinalStates.size;
   }
 
-  /** Some tenths of a second pass. */
+  /** Runs one step, in which some tenths of a second pass. */
   step(): void {
-    const { choices, clock, faults, jobs } = this.context;
-    clock.advance(0.1 + choices.below(3) / 10);
+    const { random, clock, faults, jobs } = this.context;
+    clock.advance(0.1 + random.integerBelow(3) / 10);
     this.stepMachines();
     this.leaderLoop.step();
     if (faults.isActive) this.faultInjection.step();
-    for (const id of jobs.accepted.keys()) if (choices.isOneIn(20)) this.users.query(id);
+    for (const id of jobs.accepted.keys()) if (random.isOneIn(20)) this.users.query(id);
   }
 
-  /** Faults end: what is late arrives, and services are cancelled. */
+  /** Ends the faults, lets delayed messages arrive, and cancels the accepted service jobs. */
   endFaults(): void {
     const { faults, jobs } = this.context;
     faults.isActive = false;
-    for (let i = 0; i < SETTLING_STEPS; i++) this.step();
+    for (let step = 0; step < SETTLING_STEPS; step++) this.step();
     for (const [id, { kind }] of jobs.submitted) {
       this.users.confirmSubmission(id);
       if (kind === "service" && jobs.accepted.has(id)) this.users.cancel(id);
     }
   }
 
-  /** Accepted jobs that nobody cancelled and that neither run nor are done. */
+  /** Accepted jobs that no user cancelled, and that are not done or, for services, do not run all their tasks. */
   unfinishedJobs(): string[] {
     return this.users.unfinishedJobs();
   }
@@ -111,7 +112,7 @@
   private stepMachines(): void {
     const { clock } = this.context;
     for (const machine of this.machines.byName.values()) {
-      // What hangs past its lease does not go on with its tasks: they count as gone from then on.
+      // The lease of an unresponsive machine expires too: its tasks end then and do not resume.
       this.machines.expireLease(machine);
       if (clock.now < machine.hungUntil) continue;
       this.machines.runTasks(machine);
@@ -120,15 +121,15 @@
   }
 }
 
-/** The cluster is chosen before the odds of faults: the order of the draws is part of a run. */
+/** The cluster is drawn before the fault odds; a run is reproducible only with the same order of draws. */
 function createContext(seed: number, cluster: SimulatedCluster | null): SimulationContext {
-  const choices = new SeededChoices(seed);
+  const random = new SeededRandom(seed);
   const clock = new SimulationClock();
   return {
-    cluster: cluster ?? clusterForSeed(seed, (limit) => choices.below(limit)),
+    cluster: cluster ?? clusterForSeed(seed, (limit) => random.integerBelow(limit)),
     clock,
-    choices,
-    faults: new FaultChances(choices),
+    random,
+    faults: new FaultModel(random),
     trace: new SimulationTrace(clock),
     store: new SimulatedKeyValueStore(),
     jobs: new SimulatedJobs(),
--- a/tests/support/test-leader-options.ts
+++ b/tests/support/test-leader-options.ts
@@ -1,35 +1,35 @@
-/** What a test leader starts with. */
+/** Options and initial state of a test leader. */
 import { StateReplica } from "../../src/core/state/state-replica.js";
 import type { NodeSettings } from "../../src/wire/settings.js";
 import { readSettings, settingsText, sharedSettings } from "./node-settings.js";
 
-/** What a test leader may start with; without options it is the first leader of an empty cluster. */
+/** Options of a test leader; by default it is the first leader of an empty cluster. */
 export interface TestLeaderOptions {
-  /** The stored state that it takes over. */
+  /** The stored state that the leader takes over. */
   readonly replica?: StateReplica;
   readonly epoch?: number;
-  /** Simulated seconds. */
+  /** Start time, in simulated seconds. */
   readonly now?: number;
   readonly gracePeriodS?: number;
-  /** The grace period, if not given. */
+  /** By default, equal to the grace period. */
   readonly leaseExtensionS?: number;
   readonly controllersPerZone?: ReadonlyMap<string, number>;
-  /** Limits of the state service, as the settings give them. */
+  /** Limits of the state service, by their names in the settings. */
   readonly state?: Readonly<Record<string, unknown>>;
-  /** Part of a core that the node has. */
+  /** Share of a CPU core available to the node. */
   readonly cpuShare?: number;
-  /** Lines on single tasks are logged; they are unless said. */
+  /** Whether log lines on single tasks are written; true by default. */
   readonly logsTasks?: boolean;
 }
 
-/** The stored state of a cluster that never ran. */
+/** The stored state of a new cluster. */
 export function emptyReplica(): StateReplica {
   const replica = new StateReplica();
   replica.reset([], 0);
   return replica;
 }
 
-/** Settings of the tests, with what the options change in them. */
+/** The settings of the tests with the changes that the options contain. */
 export function settingsFor({ state, cpuShare }: TestLeaderOptions): NodeSettings {
   const shared = sharedSettings();
   const resources = cpuShare === undefined ? {} : { cpu_share: cpuShare };
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -1,4 +1,4 @@
-/** A leader in simulated time whose trace can be read, with a state service that a test can make fail. */
+/** A leader in simulated time that records a trace, with a state service that a test can make fail. */
 import type { Effect } from "../../src/core/effects.js";
 import { dependenciesOf, formatResiduals } from "../../src/core/jobs/pipeline.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
@@ -15,45 +15,46 @@
 
 const DEFAULT_GRACE_PERIOD_S = 21;
 const MAX_TRANSACTION_BYTES = 60_000;
-const RELEASE_LINE = "cloud return ";
+/** Prefix of trace lines that release machines to the cloud. */
+const RELEASE_LINE_PREFIX = "cloud return ";
 
 /** A direct request of the leader to a worker. */
 export type WorkerRequest = Extract<Effect, { kind: "send" }>;
 
-/** Thrown when a test answers a request that the leader did not send. */
+/** Thrown when a test answers a request although the leader has no unanswered one. */
 export class NoRequestError extends Error {
   constructor() {
-    super("the leader has sent no request that is unanswered");
+    super("the leader has no unanswered request");
     this.name = "NoRequestError";
   }
 }
 
 /**
- * A leader with a store that is always there, writing down what goes in and out as lines.
- * Direct commands are held back until a test lets the worker answer.
+ * A leader with an in-process state service. The leader's inputs and outputs are recorded as lines of a trace.
+ * Direct requests to workers are queued until a test answers them.
  */
 export class TestLeader {
-  /** What was written to the store, as it was written, by its key; null: deleted since. */
+  /** Items written to the state service, by key; null: deleted since then. */
   readonly writtenItems = new Map<string, KeyValueItem | null>();
   readonly traceLines: string[] = [];
   readonly replica: StateReplica;
   readonly scheduler: Scheduler;
-  /** Simulated seconds. */
+  /** Current time, in simulated seconds. */
   now: number;
   /** The epoch that workers' heartbeats acknowledge. */
   epoch = 1;
-  /** Direct commands without an answer yet. */
+  /** Direct requests that have not been answered yet, oldest first. */
   readonly unansweredRequests: WorkerRequest[] = [];
-  /** Machines that are probed, without an answer yet. */
+  /** Machines with a probe that has not been answered yet. */
   readonly pendingProbes: string[] = [];
   isStoreAvailable = true;
-  /** What the state service accepts, whatever the settings say. */
+  /** Limits that the state service enforces, independent of the settings. */
   storeLimits = { bytes: Number.POSITIVE_INFINITY, ops: Number.POSITIVE_INFINITY };
-  /** Transactions that it refused. */
+  /** Number of transactions that the state service rejected. */
   rejectedTransactions = 0;
-  /** Bytes of the largest value and changes of the largest transaction that were written. */
+  /** Size of the largest written value in bytes, and number of changes of the largest written transaction. */
   readonly largestWritten = { bytes: 0, ops: 0 };
-  /** Machines that answer nothing any more. */
+  /** Machines that no longer answer probes. */
   readonly unreachableMachines = new Set<string>();
   private revision: number;
   private maxChanges = Number.POSITIVE_INFINITY;
@@ -92,7 +93,7 @@
     this.performEffects(this.scheduler.takeOver(this.replica, this.now));
   }
 
-  /** A user's submission, which the state service accepted `ageS` seconds ago. */
+  /** Stores a user's submission, which the state service accepted `ageS` seconds ago. */
   submit(spec: JobSpec, ageS = 0): void {
     this.put(KEY.activeJob(spec.id), {
       j: spec,
@@ -108,27 +109,29 @@
     this.notifyJobChanged(spec.id);
   }
 
-  /** A user's cancellation. */
+  /** Stores a user's cancellation. */
   cancel(id: string): void {
     this.put(KEY.cancellation(id), { at: 0, told: false });
     this.traceLines.push(`> cancel ${id}`);
     this.notifyJobChanged(id);
   }
 
-  /** The replica shows a changed job, as watching the state service does. */
+  /** Notifies the scheduler that a job in the replica changed, as a watch on the state service does. */
   notifyJobChanged(id: string): void {
     this.scheduler.handleJobChange(this.replica, id, this.now);
     this.tick();
   }
 
-  /** Time passes at each step: scheduling cycles over all that waits are spaced. */
+  /**
+   * Advances the time, because scheduling cycles over all waiting jobs are spaced in time, and runs the scheduler.
+   */
   tick(seconds = 0.15): void {
     this.now += seconds;
     this.performEffects(this.scheduler.tick(this.now, this.now * 1000));
     this.flushWrites();
   }
 
-  /** Writes what is to be written, while the state service is available. */
+  /** Executes the pending transactions while the state service is available. */
   flushWrites(): void {
     while (this.isStoreAvailable) {
       const maxChanges = Math.min(this.configuredMaxChanges, this.maxChanges);
@@ -150,11 +153,11 @@
     }
   }
 
-  /** The state service carries a transaction out. */
+  /** Commits a transaction in the state service, and reports the outcome to the scheduler. */
   commitWrite(transaction: LeaderTransaction): void {
     const { changes } = transaction;
     this.revision++;
-    this.measure(transaction);
+    this.recordWriteSize(transaction);
     const events = changes.map((change) => ({
       key: change.key,
       value: change.op === "put" ? change.value : null,
@@ -174,12 +177,13 @@
     );
   }
 
+  /** Delivers a heartbeat of a worker, records it and its answer in the trace, and advances the time. */
   receiveHeartbeat(
     machine: string,
     tasks: TaskStatus[],
-    change: Partial<WorkerHeartbeat> = {},
+    overrides: Partial<WorkerHeartbeat> = {},
   ): void {
-    const heartbeat = this.makeHeartbeat(machine, tasks, change);
+    const heartbeat = this.makeHeartbeat(machine, tasks, overrides);
     this.traceLines.push(`> ${machine} reports ${describeHeartbeat(heartbeat)}`);
     const { commands, effects } = this.scheduler.handleHeartbeat(heartbeat, this.now);
     for (const command of commands) this.traceLines.push(`answer ${describeCommand(command)}`);
@@ -187,26 +191,26 @@
     this.tick();
   }
 
-  /** A heartbeat, with nothing written down and no time passing. */
+  /** Handles a heartbeat without a line in the trace and without advancing the time. */
   receiveHeartbeatOnly(machine: string, tasks: TaskStatus[]): void {
     const heartbeat = this.makeHeartbeat(machine, tasks);
     this.performEffects(this.scheduler.handleHeartbeat(heartbeat, this.now).effects);
   }
 
-  /** A heartbeat of the machine's worker, not yet received. */
+  /** Builds a heartbeat of the machine's worker without delivering it. */
   makeHeartbeat(
     machine: string,
     tasks: TaskStatus[],
-    change: Partial<WorkerHeartbeat> = {},
+    overrides: Partial<WorkerHeartbeat> = {},
   ): WorkerHeartbeat {
-    return this.heartbeats.build(machine, this.epoch, tasks, change);
+    return this.heartbeats.build(machine, this.epoch, tasks, overrides);
   }
 
   /**
-   * The worker answers the oldest direct request with its heartbeat; null: no answer comes.
-   * @throws NoRequestError if none is unanswered.
+   * Answers the oldest direct request with a heartbeat that contains `tasks`; null: the answer is lost.
+   * @throws NoRequestError if there is no unanswered request.
    */
-  answerRequest(tasks: TaskStatus[] | null, change: Partial<WorkerHeartbeat> = {}): void {
+  answerRequest(tasks: TaskStatus[] | null, overrides: Partial<WorkerHeartbeat> = {}): void {
     const request = this.unansweredRequests.shift();
     if (request === undefined) throw new NoRequestError();
     const { machine, commands } = request;
@@ -215,7 +219,7 @@
       const outcome = { kind: "lost", mayArrive: true } as const;
       this.performEffects(this.scheduler.commandsAnswered(machine, commands, outcome, this.now));
     } else {
-      const heartbeat = this.makeHeartbeat(machine, tasks, change);
+      const heartbeat = this.makeHeartbeat(machine, tasks, overrides);
       this.traceLines.push(`> ${machine} answers ${describeHeartbeat(heartbeat)}`);
       const outcome = { kind: "answered", executed: true, heartbeat } as const;
       this.performEffects(this.scheduler.commandsAnswered(machine, commands, outcome, this.now));
@@ -223,6 +227,7 @@
     this.tick();
   }
 
+  /** Performs effects of the scheduler; requests are queued and other effects are recorded in the trace. */
   performEffects(effects: readonly Effect[]): void {
     for (const effect of effects) {
       if (effect.kind === "send") {
@@ -230,7 +235,7 @@
         const commands = effect.commands.map(describeCommand).join(", ");
         this.traceLines.push(`send ${effect.machine}: ${commands === "" ? "fence" : commands}`);
       } else if (effect.kind === "release machines") {
-        this.traceLines.push(`${RELEASE_LINE}${effect.machines.join(" ")}`);
+        this.traceLines.push(`${RELEASE_LINE_PREFIX}${effect.machines.join(" ")}`);
       } else if (effect.kind === "probe") {
         this.probe(effect.machine);
       } else if (effect.kind === "advance fencing token") {
@@ -241,17 +246,17 @@
     }
   }
 
-  /** What was written down since the last call. */
+  /** The lines of the trace since the last call. */
   takeTrace(): string {
     return `\n${this.traceLines.splice(0).join("\n")}\n`;
   }
 
-  /** Machines of each release since the last call; the other lines of the trace are dropped. */
+  /** The machines of each release since the last call. All other lines of the trace are dropped. */
   takeReleases(): string[][] {
     return this.traceLines
       .splice(0)
-      .filter((line) => line.startsWith(RELEASE_LINE))
-      .map((line) => line.slice(RELEASE_LINE.length).split(" "));
+      .filter((line) => line.startsWith(RELEASE_LINE_PREFIX))
+      .map((line) => line.slice(RELEASE_LINE_PREFIX.length).split(" "));
   }
 
   private put(key: string, value: unknown): void {
@@ -277,7 +282,10 @@
     return transaction.changes.length > ops || largestValueBytes(transaction) > bytes;
   }
 
-  /** As a controller does: fewer changes, or, of a single one, smaller values. */
+  /**
+   * Reduces the number of changes per transaction, or, for a single change, the size of its value, as a controller
+   * does.
+   */
   private rejectWrite(transaction: LeaderTransaction): void {
     const { length } = transaction.changes;
     this.rejectedTransactions++;
@@ -288,7 +296,7 @@
     );
   }
 
-  private measure({ changes }: LeaderTransaction): void {
+  private recordWriteSize({ changes }: LeaderTransaction): void {
     const largest = this.largestWritten;
     largest.ops = Math.max(largest.ops, changes.length);
     for (const change of changes) {
@@ -298,7 +306,7 @@
   }
 }
 
-/** A leader with two machines, one in each zone, that acknowledged its token and are recorded. */
+/** A leader with two machines, one per zone, which have acknowledged the fencing token and are recorded. */
 export function leaderWithTwoMachines(): TestLeader {
   const leader = new TestLeader();
   leader.receiveHeartbeat("m1a", []);
