--- a/tests/support/overload-simulation.ts
+++ b/tests/support/overload-simulation.ts
@@ -20,7 +20,7 @@
 export const TASK_S = 10;
 /** Number of CPUs of the simulated cluster. */
 export const CPUS = 100;
-const CONTROLLERS = 3;
+const CONTROLLER_COUNT = 3;
 const TEAMS: readonly Team[] = [
   { name: "bookings", cpus: 40, cpusMax: 0, gpus: 0, gpusMax: 0 },
   { name: "guest", cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
@@ -45,7 +45,7 @@
  * Runs in steps of one second. The classes get equal shares of the cluster; within a class, older jobs come first.
  */
 export class OverloadSimulation {
-  readonly model = new AdmissionModel(CONTROLLERS);
+  readonly model = new AdmissionModel(CONTROLLER_COUNT);
   readonly jobs: SubmittedJob[] = [];
   readonly windows: AdmissionWindow[] = [];
   private readonly planner = new WindowPlanner(WINDOW_S);
@@ -99,7 +99,7 @@
   private retryPendingJobs(now: number): void {
     for (const [index, job] of this.jobs.entries()) {
       if (job.admittedAt !== null || (now - job.submittedAt) % WINDOW_S !== 0) continue;
-      const answer = this.model.submit(index % CONTROLLERS, job.spec, "answered");
+      const answer = this.model.submit(index % CONTROLLER_COUNT, job.spec, "answered");
       if (answer === "accepted") {
         job.admittedAt = now;
       } else {
@@ -144,7 +144,7 @@
     });
     if (next === null) return;
     this.model.writeWindow(() => next);
-    for (let index = 0; index < CONTROLLERS; index++) this.model.read(index);
+    for (let index = 0; index < CONTROLLER_COUNT; index++) this.model.read(index);
     this.windows.push(next);
     this.planner.markWritten(now);
     this.rejected = new Map();
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -11,9 +11,9 @@
 /** Simulated time at which all listed machines count as requested. */
 const REQUESTED_AT = 900;
 /** Possible durations of an image pull, in seconds. */
-const IMAGE_PULL_S = [0, 0, 2, 9];
+const IMAGE_PULL_DURATIONS_S = [0, 0, 2, 9];
 /** Possible run times of a task, in seconds. */
-const RUN_S = [2, 8, 40];
+const RUN_TIMES_S = [2, 8, 40];
 
 /** Boots machines and executes the commands of their workers. */
 export class SimulatedMachines implements MachineTasks {
@@ -109,7 +109,7 @@
     const { random, clock, jobs } = this.context;
     const job = jobs.submitted.get(command.job);
     if (job === undefined) return;
-    const imagePulledAt = clock.now + random.oneOf(IMAGE_PULL_S);
+    const imagePulledAt = clock.now + random.oneOf(IMAGE_PULL_DURATIONS_S);
     const task: SimulatedTask = {
       status: taskStatus(command.job, command.task, command.attempt, "pulling image"),
       endsAt: Number.POSITIVE_INFINITY,
@@ -122,7 +122,7 @@
     checkStart(this.context, this, machine, task);
     if (job.kind === "service") return;
     const isCompleted = jobs.completedTasks.has(`${command.job}/${command.task}`);
-    task.endsAt = imagePulledAt + (isCompleted ? 0 : random.oneOf(RUN_S));
+    task.endsAt = imagePulledAt + (isCompleted ? 0 : random.oneOf(RUN_TIMES_S));
   }
 
   /** Rejects a task, as a worker does, if the task is already on the machine or there are too few free CPUs. */
@@ -144,7 +144,7 @@
     if (cpus > type.cpus) exitTask(task, "no_room");
   }
 
-  /** Starts the tasks whose image pull is complete, and checks their placement. */
+  /** Sets tasks with a completed image pull to running: placement checks now count them as on their machine. */
   private completeImagePulls(machine: SimulatedMachine): void {
     for (const task of machine.tasks.values()) {
       const isPulled = this.context.clock.now >= task.imagePulledAt;
--- a/tests/support/simulated-users.ts
+++ b/tests/support/simulated-users.ts
@@ -11,7 +11,7 @@
 /** Maps a submitted job to the specification that is stored for the leader. */
 export type SpecSeenByLeader = (spec: JobSpec) => JobSpec;
 
-/** Number of the latest accepted jobs from which dependencies are drawn. */
+/** Number of the latest accepted jobs, without services, from which dependencies are drawn. */
 const RECENT_JOB_COUNT = 6;
 
 /** Performs the requests of users on the stored state. */
@@ -99,8 +99,8 @@
 
   private drawDependencies(): string[] {
     const { random, jobs } = this.context;
-    const finite = [...jobs.accepted].filter(([, { kind }]) => kind !== "service");
-    const recent = finite.map(([id]) => id).slice(-RECENT_JOB_COUNT);
+    const candidates = [...jobs.accepted].filter(([, { kind }]) => kind !== "service");
+    const recent = candidates.map(([id]) => id).slice(-RECENT_JOB_COUNT);
     const count = recent.length === 0 ? 0 : 1 + random.integerBelow(2);
     return [...new Set(Array.from({ length: count }, () => random.oneOf(recent)))];
   }
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -15,7 +15,7 @@
 
 const DEFAULT_GRACE_PERIOD_S = 21;
 const MAX_TRANSACTION_BYTES = 60_000;
-/** Prefix of trace lines that release machines to the cloud. */
+/** Prefix of the trace lines for released machines. */
 const RELEASE_LINE_PREFIX = "cloud return ";
 
 /** A direct request of the leader to a worker. */
