--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -1,4 +1,4 @@
-/** Worker heartbeats over real connections: the answer to each, and that malformed ones affect no others. */
+/** Sends worker heartbeats over real connections: each is answered, and malformed ones do not affect others. */
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
 import { after, before, beforeEach, test } from "node:test";
@@ -32,7 +32,7 @@
 let received: WorkerHeartbeat[];
 let faults: Error[];
 
-const unused = (): never => assert.fail("heartbeats call nothing else");
+const unused = (): never => assert.fail("a heartbeat calls no other backend method");
 const backend: ApiBackend = {
   isHealthy: () => true,
   shedsUsers: () => false,
@@ -53,7 +53,7 @@
   now: () => 0,
   retryAfterS: 1,
   cancellationWaitS: 1,
-  // Longer than any wait here: nothing is closed for being idle.
+  // Longer than any wait in these tests, so that no connection is closed as idle.
   idleTimeoutS: 600,
   onRequestDone: () => {},
   onFault: (error) => faults.push(error),
@@ -61,7 +61,7 @@
 let worker: HttpConnectionPool;
 
 before(async () => {
-  // Some answers close their connection: the next one may be open before that is over.
+  // Some answers close their connection, and the next one may be opened before the close completes.
   worker = new HttpConnectionPool((await app.listen({ host: "127.0.0.1", port: 0 })).slice(7), 4);
 });
 after(async () => {
@@ -77,7 +77,7 @@
 
 const send = (sent: Buffer) => worker.request("POST", "/checkin", sent, 2000);
 
-test("an answer carries the fencing token and the commands, also after one without commands", async () => {
+test("an answer carries the fencing token and the commands, also after an answer without commands", async () => {
   for (let sent = 0; sent < 2; sent++) {
     const first = await send(encode(wireHeartbeat));
     assert.equal(first.status, 200);
@@ -97,7 +97,7 @@
   assert.deepEqual(received, [HEARTBEAT, HEARTBEAT, HEARTBEAT, HEARTBEAT]);
 });
 
-/** A connection on which raw text is sent; what is received is collected. */
+/** A connection that sends raw text and collects the received text. */
 class RawConnection {
   private readonly socket: Socket;
   output = "";
@@ -117,7 +117,7 @@
   write(...pieces: (string | Buffer)[]): void {
     for (const piece of pieces) this.socket.write(piece);
   }
-  /** Each piece in a packet of its own. */
+  /** Sends each piece in its own packet. */
   async writeSlowly(...pieces: (string | Buffer)[]): Promise<void> {
     for (const piece of pieces) {
       this.socket.write(piece);
@@ -129,93 +129,100 @@
     await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
-  /** Sends no more, and waits for the other side to do the same. */
-  finish(): void {
+  /** Half-closes the connection: sends no more, but still receives. */
+  halfClose(): void {
     this.socket.end();
   }
-  end(): void {
+  destroy(): void {
     this.socket.destroy();
   }
 }
 
 const body = encode(wireHeartbeat);
-const headOf = (fields = `Content-Length: ${body.length}\r\n`): string =>
+const requestHead = (fields = `Content-Length: ${body.length}\r\n`): string =>
   `POST /checkin HTTP/1.1\r\nHost: x\r\n${fields}\r\n`;
 
 test("a heartbeat that arrives in pieces is read as a whole, wherever it is split", async () => {
-  const text = Buffer.concat([Buffer.from(headOf()), body]);
-  for (const at of [5, 20, 30, headOf().length, headOf().length + 10]) {
+  const text = Buffer.concat([Buffer.from(requestHead()), body]);
+  for (const offset of [5, 20, 30, requestHead().length, requestHead().length + 10]) {
     const connection = new RawConnection();
-    await connection.writeSlowly(text.subarray(0, at), text.subarray(at));
-    assert.deepEqual(await connection.statuses(1), ["200"], `split at ${at}`);
-    connection.end();
+    await connection.writeSlowly(text.subarray(0, offset), text.subarray(offset));
+    assert.deepEqual(await connection.statuses(1), ["200"], `split at ${offset}`);
+    connection.destroy();
   }
   assert.equal(received.length, 5);
 });
 
-test("chunked heartbeats, and two in one packet, are answered in order", async () => {
+test("chunked heartbeats, and two heartbeats in one packet, are answered in order", async () => {
   const connection = new RawConnection();
   const size = body.length.toString(16);
-  connection.write(headOf("Transfer-Encoding: chunked\r\n"), `${size}\r\n`, body, "\r\n0\r\n\r\n");
+  connection.write(
+    requestHead("Transfer-Encoding: chunked\r\n"),
+    `${size}\r\n`,
+    body,
+    "\r\n0\r\n\r\n",
+  );
   await connection.statuses(1);
-  connection.write(Buffer.concat([Buffer.from(headOf()), body, Buffer.from(headOf()), body]));
+  connection.write(
+    Buffer.concat([Buffer.from(requestHead()), body, Buffer.from(requestHead()), body]),
+  );
   assert.deepEqual(await connection.statuses(3), ["200", "200", "200"]);
-  connection.end();
+  connection.destroy();
   assert.deepEqual(received, [HEARTBEAT, HEARTBEAT, HEARTBEAT]);
 });
 
 test("a connection may alternate between heartbeats and other requests", async () => {
   const connection = new RawConnection();
-  connection.write(headOf(), body);
+  connection.write(requestHead(), body);
   await connection.statuses(1);
   connection.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
   await connection.statuses(2);
-  connection.write(headOf(), body);
+  connection.write(requestHead(), body);
   assert.deepEqual(await connection.statuses(3), ["200", "200", "200"]);
-  connection.end();
-  const first = new RawConnection();
-  first.write("GET /none HTTP/1.1\r\nHost: x\r\n\r\n");
-  await first.statuses(1);
-  first.write(headOf(), body);
-  assert.deepEqual(await first.statuses(2), ["404", "200"]);
-  first.end();
+  connection.destroy();
+  const otherFirst = new RawConnection();
+  otherFirst.write("GET /none HTTP/1.1\r\nHost: x\r\n\r\n");
+  await otherFirst.statuses(1);
+  otherFirst.write(requestHead(), body);
+  assert.deepEqual(await otherFirst.statuses(2), ["404", "200"]);
+  otherFirst.destroy();
   assert.equal(received.length, 3);
 });
 
-test("a client that expects 100-continue gets it before the answer", async () => {
+test("a client that expects 100-continue receives it before the answer", async () => {
   const connection = new RawConnection();
-  connection.write(headOf(`Content-Length: ${body.length}\r\nExpect: 100-continue\r\n`));
+  connection.write(requestHead(`Content-Length: ${body.length}\r\nExpect: 100-continue\r\n`));
   await connection.statuses(1);
   connection.write(body);
   assert.deepEqual(await connection.statuses(2), ["100", "200"]);
-  connection.end();
+  connection.destroy();
 });
 
 test("a connection that the worker half-closes is closed at once, not at its idle timeout", async () => {
-  for (const begins of [headOf(), "GET /none HTTP/1.1\r\nHost: x\r\n\r\n", ""]) {
+  for (const firstRequest of [requestHead(), "GET /none HTTP/1.1\r\nHost: x\r\n\r\n", ""]) {
     const connection = new RawConnection();
-    connection.write(begins, begins === headOf() ? body : "");
-    if (begins !== "") await connection.statuses(1);
-    connection.finish();
-    await waitUntil("it is closed", () => connection.closed);
+    connection.write(firstRequest, firstRequest === requestHead() ? body : "");
+    if (firstRequest !== "") await connection.statuses(1);
+    connection.halfClose();
+    await waitUntil("the connection is closed", () => connection.closed);
   }
-  await waitUntil("no connection is left", async () => {
-    const left = await new Promise<number>((resolve) =>
+  await waitUntil("no other connection is open", async () => {
+    const openCount = await new Promise<number>((resolve) =>
       app.server.getConnections((_, count) => resolve(count)),
     );
-    return left <= 1;
+    return openCount <= 1;
   });
 });
 
 test("Connection: close closes the connection after the answer, and malformed HTTP closes it with 400", async () => {
   const connection = new RawConnection();
-  connection.write(headOf(`Content-Length: ${body.length}\r\nConnection: close\r\n`), body);
+  connection.write(requestHead(`Content-Length: ${body.length}\r\nConnection: close\r\n`), body);
   assert.deepEqual(await connection.statuses(1), ["200"]);
-  await waitUntil("it is closed", () => connection.closed);
-  const bad = new RawConnection();
-  bad.write(headOf("no field\r\n\0: x\r\n"), body);
-  await waitUntil("it is closed too", () => bad.closed);
-  assert.match(bad.output, /^HTTP\/1\.1 400 /);
+  await waitUntil("the connection is closed", () => connection.closed);
+  const malformed = new RawConnection();
+  malformed.write(requestHead("no field\r\n\0: x\r\n"), body);
+  await waitUntil("the connection with malformed HTTP is closed", () => malformed.closed);
+  assert.match(malformed.output, /^HTTP\/1\.1 400 /);
 });
 
 test("a node that knows another leader redirects without reading the body, and keeps the connection", async () => {
@@ -239,7 +246,7 @@
 });
 
 test("a malformed heartbeat gets 400 and is not handled; the next one is answered", async () => {
-  const bad: Record<string, unknown>[] = [
+  const invalidFields: Record<string, unknown>[] = [
     { mount: "" },
     { mount: "m".repeat(191) },
     { mount: "\u20ac".repeat(64) },
@@ -257,9 +264,9 @@
     { strides: [{ stride: "run-1/0", mounting: 1, stance: "asleep" }] },
     { strides: [null] },
   ];
-  for (const change of bad) {
-    const reply = await send(encode({ ...wireHeartbeat, ...change }));
-    assert.equal(reply.status, 400, JSON.stringify(change));
+  for (const fields of invalidFields) {
+    const reply = await send(encode({ ...wireHeartbeat, ...fields }));
+    assert.equal(reply.status, 400, JSON.stringify(fields));
   }
   for (const malformed of [Buffer.alloc(0), Buffer.from([0xc1]), encode([1]), encode(null)]) {
     assert.equal((await send(malformed)).status, 400);
@@ -275,7 +282,7 @@
   assert.equal(faults.length, 1);
 });
 
-test("unknown and omitted optional fields are accepted", () => {
+test("unknown fields and omitted optional fields of a heartbeat are accepted", () => {
   const { recallS, ...rest } = wireHeartbeat;
   assert.deepEqual(decodeWorkerHeartbeat({ ...rest, news: 1 }), HEARTBEAT);
   assert.equal(
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -1,4 +1,4 @@
-/** The state service lowers its limits: larger values that are stored already are split, and nothing is lost. */
+/** Tests lowered limits of the state service: stored values above the new limits are split, and nothing is lost. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,11 +9,11 @@
 import { settingsText } from "./support/node-settings.js";
 import { TestLeader } from "./support/test-leader.js";
 
-/** Limits to come, as the settings announce them. */
+/** State settings that announce lower limits. */
 const LOW_LIMITS = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
 const LOW_VALUE_BYTES = 2048;
 const LOW_TXN_OPS = 8;
-/** Machines and tasks of the job that a leader under the former limits stored. */
+/** Numbers of machines and of tasks of the job that a leader under the former limits stored. */
 const MACHINES = 100;
 const TASKS = 400;
 
@@ -25,15 +25,15 @@
   return decodeSettings(settingsText({ settings: { ...base.settings, state: changed } }));
 };
 
-const LOW = { bytes: LOW_VALUE_BYTES, ops: LOW_TXN_OPS };
+const LOW_STORE_LIMITS = { bytes: LOW_VALUE_BYTES, ops: LOW_TXN_OPS };
 
-/** All that the leader wrote kept to these limits. */
-function hasKeptTo(leader: TestLeader, limits: { bytes: number; ops: number }): boolean {
+/** Whether everything that the leader wrote is within these limits. */
+function isWithin(leader: TestLeader, limits: { bytes: number; ops: number }): boolean {
   const { bytes, ops } = leader.largestWritten;
   return bytes <= limits.bytes && ops <= limits.ops;
 }
 
-test("of the present and the announced limits the smaller holds; invalid ones are named", () => {
+test("the smaller of a present and an announced limit applies, and invalid limits are named in the faults", () => {
   const low = decodeWithState(LOW_LIMITS);
   assert.ok("settings" in low);
   const { valueKb, txnOps, stateWriteRps, stateRps } = low.settings.cluster;
@@ -49,7 +49,7 @@
   );
 });
 
-/** Machines and an active job, as a leader under the former limits stored them. */
+/** A leader under the former limits that has stored machines and an active job. */
 function leaderUnderFormerLimits(tasks: number, machines: number): TestLeader {
   const leader = new TestLeader();
   const heartbeatRound = () => {
@@ -89,7 +89,7 @@
   assert.equal(stored.value.shardSize, null);
   assert.ok(
     JSON.stringify(encodeJobRecord(stored.value)).length > LOW_VALUE_BYTES,
-    "it would not fit any more",
+    "the stored value exceeds the new limit",
   );
   const placed = placementTexts(former);
   assert.equal(placed.length, TASKS);
@@ -103,22 +103,22 @@
   const { shardSize } = leader.replica.activeJobs.get("big")!.value;
   assert.equal(leader.replica.shardsOf("big").size, Math.ceil(TASKS / shardSize!));
 
-  // A leader of the former version, restored, reads the shards; so does the next leader.
+  // A leader with the former limits reads the shards, and so does the next leader with the low limits.
   for (const [epoch, state] of [
     [3, {}],
     [4, LOW_LIMITS],
   ] as const) {
     assert.deepEqual(placementTexts(takeOver(leader, epoch, state)), placed);
   }
-  const last = takeOver(leader, 5, LOW_LIMITS);
-  last.epoch = 5;
-  endEveryOtherTaskFirst(last);
-  assert.equal(last.replica.finalRecords.get("big")?.outcome, "done");
-  assert.equal(last.replica.shardsOf("big").size, 0);
-  assert.ok(hasKeptTo(last, LOW), JSON.stringify(last.largestWritten));
+  const lastLeader = takeOver(leader, 5, LOW_LIMITS);
+  lastLeader.epoch = 5;
+  endEveryOtherTaskFirst(lastLeader);
+  assert.equal(lastLeader.replica.finalRecords.get("big")?.outcome, "done");
+  assert.equal(lastLeader.replica.shardsOf("big").size, 0);
+  assert.ok(isWithin(lastLeader, LOW_STORE_LIMITS), JSON.stringify(lastLeader.largestWritten));
 });
 
-/** The order of ends that makes the longest values: every other task is done, none joins a range. */
+/** Ends the tasks in the order that makes the longest values: every other task first, so that no ranges form. */
 function endEveryOtherTaskFirst(leader: TestLeader): void {
   const tasks = tasksByMachine(leader);
   for (const areAllDone of [false, true]) {
@@ -134,7 +134,7 @@
   }
 }
 
-test("until resharding is stored the old value holds; a task that ends meanwhile is not lost", () => {
+test("until resharding is stored the old value remains valid, and a task that ends meanwhile is not lost", () => {
   const former = leaderUnderFormerLimits(TASKS, MACHINES);
   const leader = takeOver(former, 2, LOW_LIMITS);
   leader.epoch = 2;
@@ -147,12 +147,12 @@
   assert.deepEqual(placementTexts(takeOver(leader, 3, {})), placementTexts(former));
   leader.isStoreAvailable = true;
   leader.tick();
-  const next = takeOver(leader, 4, LOW_LIMITS);
-  assert.equal(next.scheduler.cluster.jobs.get("big")!.doneTasks.size, ended.length);
-  assert.equal(placementTexts(next).length, TASKS - ended.length);
+  const nextLeader = takeOver(leader, 4, LOW_LIMITS);
+  assert.equal(nextLeader.scheduler.cluster.jobs.get("big")!.doneTasks.size, ended.length);
+  assert.equal(placementTexts(nextLeader).length, TASKS - ended.length);
 });
 
-test("oversized machine-record shards are split, and each machine stands in a shard after every write", () => {
+test("oversized shards of machine records are split, and every write leaves each machine in a shard", () => {
   const former = leaderUnderFormerLimits(1, 90);
   const storedMachines = (owner: TestLeader) =>
     new Set([...owner.replica.machineShards.values()].flatMap(({ value }) => Object.keys(value)));
@@ -169,12 +169,12 @@
     const bytes = JSON.stringify(value).length;
     assert.ok(bytes <= LOW_VALUE_BYTES, `${bytes} bytes`);
   }
-  assert.ok(hasKeptTo(leader, LOW), JSON.stringify(leader.largestWritten));
+  assert.ok(isWithin(leader, LOW_STORE_LIMITS), JSON.stringify(leader.largestWritten));
 });
 
-/** Workers carry out their commands, and every task is done as soon as it starts. */
+/** Workers that execute their commands at once and report each task as done as soon as it starts. */
 class InstantWorkers {
-  /** Tasks on each machine, by `job task attempt`. */
+  /** Tasks on each machine, each as `job task attempt`. */
   private readonly tasks = new Map<string, Set<string>>();
 
   constructor(
@@ -182,7 +182,7 @@
     private readonly machines: number,
   ) {}
 
-  /** Until no job is left, for so many rounds at most. */
+  /** Runs until no job is left, for at most `rounds` rounds. */
   runToEnd(rounds: number): void {
     const { leader } = this;
     for (let round = 0; round < rounds && leader.scheduler.cluster.jobs.size > 0; round++) {
@@ -198,11 +198,11 @@
   private answerCommands(): void {
     const { leader } = this;
     for (const { machine, commands } of leader.unansweredRequests.splice(0)) {
-      const there = this.tasks.get(machine) ?? new Set();
-      this.tasks.set(machine, there);
+      const tasksOnMachine = this.tasks.get(machine) ?? new Set();
+      this.tasks.set(machine, tasksOnMachine);
       for (const { op, job, task, attempt } of commands) {
-        if (op === "start") there.add(`${job} ${task} ${attempt}`);
-        else if (op === "forget") there.delete(`${job} ${task} ${attempt}`);
+        if (op === "start") tasksOnMachine.add(`${job} ${task} ${attempt}`);
+        else if (op === "forget") tasksOnMachine.delete(`${job} ${task} ${attempt}`);
       }
       const heartbeat = leader.makeHeartbeat(machine, this.statusesOf(machine));
       const answer = { kind: "answered", executed: true, heartbeat } as const;
@@ -231,7 +231,7 @@
 const ARRAY = jobSpec("array", { team: "maps", tasks: 1500, cpus: 0.02, memoryGb: 0.01 });
 const GANG = jobSpec("gang", { team: "maps", kind: "gang", tasks: 100, cpus: 0.1, memoryGb: 0.1 });
 
-test("a large array and a large gang run to their ends under the low limits", () => {
+test("a large array and a large gang run to completion under the low limits", () => {
   const leader = new TestLeader({ state: LOW_LIMITS });
   for (let index = 0; index < 10; index++) leader.receiveHeartbeat(machineName(index), []);
   leader.submit(ARRAY);
@@ -239,10 +239,10 @@
   new InstantWorkers(leader, 10).runToEnd(120);
   assert.equal(leader.replica.finalRecords.get("array")?.outcome, "done");
   assert.equal(leader.replica.finalRecords.get("gang")?.outcome, "done");
-  assert.ok(hasKeptTo(leader, LOW), JSON.stringify(leader.largestWritten));
+  assert.ok(isWithin(leader, LOW_STORE_LIMITS), JSON.stringify(leader.largestWritten));
 });
 
-test("values and transactions that are refused within the known limits shrink until they are accepted", () => {
+test("values and transactions that are refused within the configured limits shrink until they are accepted", () => {
   for (const storeLimits of [
     { bytes: 1024, ops: 8 },
     { bytes: 1200, ops: 3 },
@@ -253,23 +253,26 @@
     leader.largestWritten.bytes = 0;
     leader.largestWritten.ops = 0;
     // Each machine takes one task, so that the values name many machines.
-    const wide = { team: "maps", cpus: 3, memoryGb: 0.1 };
-    leader.submit(jobSpec("array", { ...wide, tasks: 700 }));
-    leader.submit(jobSpec("gang", { ...wide, kind: "gang", tasks: 100 }));
-    // Too small for shards under the known limits, and too large for one value under the real ones.
-    leader.submit(jobSpec("middle", { ...wide, kind: "gang", tasks: 30 }));
-    leader.submit(jobSpec("list", { ...wide, tasks: 60 }));
+    const oneTaskPerMachine = { team: "maps", cpus: 3, memoryGb: 0.1 };
+    leader.submit(jobSpec("array", { ...oneTaskPerMachine, tasks: 700 }));
+    leader.submit(jobSpec("gang", { ...oneTaskPerMachine, kind: "gang", tasks: 100 }));
+    // Too small to be sharded under the configured limits, and too large for one value under the actual ones.
+    leader.submit(jobSpec("middle", { ...oneTaskPerMachine, kind: "gang", tasks: 30 }));
+    leader.submit(jobSpec("list", { ...oneTaskPerMachine, tasks: 60 }));
     new InstantWorkers(leader, MACHINES).runToEnd(400);
-    assert.ok(leader.rejectedTransactions > 0, "the limits were met");
+    assert.ok(
+      leader.rejectedTransactions > 0,
+      "the state service refused at least one transaction",
+    );
     const outcomes = ["array", "gang", "middle", "list"].map(
       (id) => leader.replica.finalRecords.get(id)?.outcome,
     );
     assert.deepEqual(outcomes, ["done", "done", "done", "done"], JSON.stringify(storeLimits));
-    assert.ok(hasKeptTo(leader, storeLimits), JSON.stringify(leader.largestWritten));
+    assert.ok(isWithin(leader, storeLimits), JSON.stringify(leader.largestWritten));
   }
 });
 
-test("limits below the known ones are met in a takeover, and while a job is being resharded", () => {
+test("actual limits below the configured ones are respected in a takeover and while a job is being resharded", () => {
   const former = leaderUnderFormerLimits(TASKS, MACHINES);
   const leader = takeOver(former, 2, LOW_LIMITS);
   leader.epoch = 2;
@@ -279,7 +282,7 @@
     leader.receiveHeartbeatOnly(machine, statuses);
   }
   for (let tick = 0; tick < 200; tick++) leader.tick(0.5);
-  assert.ok(leader.rejectedTransactions > 0, "the limits were met");
+  assert.ok(leader.rejectedTransactions > 0, "the state service refused at least one transaction");
   assert.equal(leader.replica.finalRecords.get("big")?.outcome, "done");
   const { bytes } = leader.largestWritten;
   assert.ok(bytes <= 1000, `${bytes} bytes`);
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -1,4 +1,4 @@
-/** Placement constraints as pure logic: every small case, compared with the rule as it is written. */
+/** Compares the placement constraints with the definition of the protocol rule in every small case. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -15,10 +15,10 @@
 
 const placeIn = (zone: string) => ({ machine: "m", type: "small", zone, spot: false });
 
-/** Every list of so many zones. */
-function lists(of: readonly string[], length: number): string[][] {
+/** All lists of `length` zones. */
+function zoneLists(zones: readonly string[], length: number): string[][] {
   if (length === 0) return [[]];
-  return lists(of, length - 1).flatMap((rest) => of.map((zone) => [...rest, zone]));
+  return zoneLists(zones, length - 1).flatMap((rest) => zones.map((zone) => [...rest, zone]));
 }
 
 function occupancyOf(job: JobSpec, zones: readonly string[]): ZoneOccupancy {
@@ -27,28 +27,31 @@
   return occupancy;
 }
 
-/** The rule, with each unknown zone being any of the real ones: it must hold whichever they are. */
-function mayBeIn(job: JobSpec, zone: string, others: readonly string[]): boolean {
+/**
+ * Whether the rule allows a task in `zone` beside the others. Each unknown zone may be any of the real ones, and the
+ * rule must hold for all of them.
+ */
+function isAllowedIn(job: JobSpec, zone: string, others: readonly string[]): boolean {
   const unknown = others.indexOf(UNKNOWN_ZONE);
   if (unknown >= 0) {
-    return ZONES.every((real) => mayBeIn(job, zone, others.with(unknown, real)));
+    return ZONES.every((real) => isAllowedIn(job, zone, others.with(unknown, real)));
   }
   return placeFaults(job, placeIn(zone), others.map(placeIn)).length === 0;
 }
 
 for (const oneZone of [false, true]) {
   for (const spread of [false, true]) {
-    test(`capacity in zones, every case of up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
+    test(`zone capacity agrees with the rule beside up to four tasks: oneZone ${oneZone}, spread ${spread}`, () => {
       for (const tasks of [1, 2, 3, 4, 5]) {
         const job = jobSpec("j", { tasks, oneZone, spread });
         for (let count = 0; count <= 4; count++) {
-          for (const others of lists([...ZONES, UNKNOWN_ZONE], count)) {
+          for (const others of zoneLists([...ZONES, UNKNOWN_ZONE], count)) {
             for (const zone of ZONES) {
-              const may = mayBeIn(job, zone, others);
-              const what = `${tasks} tasks, one to ${zone} beside ${others}`;
-              assert.equal(occupancyOf(job, others).capacityIn(zone) > 0, may, what);
+              const isAllowed = isAllowedIn(job, zone, others);
+              const situation = `${tasks} tasks, one placed in ${zone} beside others in ${others}`;
+              assert.equal(occupancyOf(job, others).capacityIn(zone) > 0, isAllowed, situation);
               const counted = occupancyOf(job, [...others, zone]);
-              assert.equal(counted.mayStartIn(zone), may, `${what}, at its start`);
+              assert.equal(counted.mayStartIn(zone), isAllowed, `${situation}, when it starts`);
             }
           }
         }
@@ -57,7 +60,7 @@
   }
 }
 
-test("as many tasks may be placed as the zone limit allows, and no more", () => {
+test("tasks of a spread job are placed in a zone up to its limit and no further", () => {
   const job = jobSpec("j", { tasks: 7, spread: true });
   const zones = occupancyOf(job, ["a"]);
   assert.equal(zones.reserveIn("a", 9), 3);
@@ -68,7 +71,7 @@
   assert.equal(zones.capacityIn("a"), 1);
 });
 
-test("nothing is placed in an unknown zone if the job has zone constraints", () => {
+test("no task of a job with zone constraints is placed in an unknown zone", () => {
   for (const constraint of [{ oneZone: true }, { spread: true }]) {
     const zones = new ZoneOccupancy(jobSpec("j", { tasks: 4, ...constraint }));
     assert.equal(zones.capacityIn(UNKNOWN_ZONE), 0);
@@ -78,7 +81,7 @@
   assert.ok(new ZoneOccupancy(jobSpec("j")).capacityIn(UNKNOWN_ZONE) > 0);
 });
 
-test("of tasks that must share a zone and are split over two, those in the main zone are kept", () => {
+test("the main zone of a one-zone job that is split over two zones is the zone with the most tasks", () => {
   const zones = occupancyOf(jobSpec("j", { tasks: 5, oneZone: true }), [
     "b",
     "a",
@@ -102,7 +105,7 @@
   assert.equal(isMachineAllowed(jobSpec("j", { zone: "a" }), unknown), false);
 });
 
-test("a spread job needs two zones to run all its tasks at one time", () => {
+test("a spread job needs two zones to run all its tasks at the same time", () => {
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 4, spread: true }), 1), false);
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 5, spread: true }), 2), true);
   assert.equal(areZonesSufficient(jobSpec("j", { tasks: 1, spread: true }), 1), true);
--- a/tests/zone-constraints.test.ts
+++ b/tests/zone-constraints.test.ts
@@ -1,4 +1,4 @@
-/** Jobs with zone constraints: relocation, reservations and scale-out in the zones that they allow, and feasibility. */
+/** Jobs with zone constraints: relocation, reservation, preemption and scale-out in allowed zones, and feasibility. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { planScaleOut } from "../src/core/capacity/scaling.js";
@@ -12,7 +12,7 @@
 
 const zoneOf = (machine: string): string => machine.at(-1)!;
 
-test("a service whose zone lacks capacity for the rest of it is relocated as a whole", () => {
+test("a one-zone service whose zone lacks capacity for its pending tasks is relocated as a whole", () => {
   const leader = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b", "m4b"].map((name) => [name, "small"]));
   const workers = new SimulatedWorkers(leader, types, () => 1e9);
@@ -31,7 +31,7 @@
       ),
     );
   assert.deepEqual(zonesNow(), new Set(["b"]));
-  // Two of the zone's three machines are lost, and four come up in the other zone.
+  // Two of the zone's three machines are lost, and two more come up in the other zone.
   workers.crashMachine("m3b");
   workers.crashMachine("m4b");
   workers.addMachine("m5a", "small");
@@ -42,7 +42,7 @@
   assert.deepEqual(workers.duplicateStarts, []);
 });
 
-test("a service stays and waits while no other zone has capacity for all of it", () => {
+test("a one-zone service stays in its zone while no other zone has capacity for all its tasks", () => {
   const leader = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b"].map((name) => [name, "small"]));
   const workers = new SimulatedWorkers(leader, types, () => 1e9);
@@ -58,18 +58,18 @@
   assert.equal(placed.length, 4);
 });
 
-test("a service that waits for its team's quota is not relocated", () => {
+test("a one-zone service that waits for its team's quota is not relocated", () => {
   const leader = new TestLeader();
   const types = new Map(["m1a", "m2a", "m3a", "m4b", "m5b"].map((name) => [name, "small"]));
   const workers = new SimulatedWorkers(leader, types, () => 1e9);
   workers.runFor(4);
-  const service = { kind: "service", spot: false } as const;
-  leader.submit(jobSpec("first", { ...service, tasks: 10, zone: "a" }));
-  leader.submit(jobSpec("full-a", { ...service, tasks: 2, zone: "a", team: "maps" }));
-  leader.submit(jobSpec("full-b", { ...service, tasks: 2, zone: "b", team: "maps" }));
+  const serviceOptions = { kind: "service", spot: false } as const;
+  leader.submit(jobSpec("first", { ...serviceOptions, tasks: 10, zone: "a" }));
+  leader.submit(jobSpec("full-a", { ...serviceOptions, tasks: 2, zone: "a", team: "maps" }));
+  leader.submit(jobSpec("full-b", { ...serviceOptions, tasks: 2, zone: "b", team: "maps" }));
   workers.runFor(4);
-  // Of the team's 16 CPUs 10 are in use: six replicas of seven run, and fill their zone.
-  leader.submit(jobSpec("s", { ...service, tasks: 7, oneZone: true }));
+  // 10 of the team's 16 CPUs are in use, so six of the seven service tasks run, and they fill their zone.
+  leader.submit(jobSpec("s", { ...serviceOptions, tasks: 7, oneZone: true }));
   workers.runFor(4);
   workers.addMachine("m6a", "small");
   workers.addMachine("m7a", "small");
@@ -78,15 +78,15 @@
   assert.equal(leader.scheduler.cluster.jobs.get("s")!.placements.size, 6);
 });
 
-test("capacity is reserved for a spread gang on free machines, though other jobs come first", () => {
+test("capacity for a spread gang is reserved on free machines while earlier jobs occupy the others", () => {
   const leader = new TestLeader();
   const names = ["m1a", "m2a", "m3a", "m4a", "m5b", "m6b", "m7b", "m8b"];
   for (const name of names) leader.receiveHeartbeat(name, [], { type: "big" });
-  const wide = { team: "maps", class: "gpu", cpus: 6, gpus: 4, types: ["big"] };
+  const gpuJob = { team: "maps", class: "gpu", cpus: 6, gpus: 4, types: ["big"] };
   for (const zone of ["a", "b"]) {
     for (const index of [1, 2, 3]) {
       leader.submit(
-        jobSpec(`now${index}${zone}`, { ...wide, zone, kind: "gang", priority: "high" }),
+        jobSpec(`now${index}${zone}`, { ...gpuJob, zone, kind: "gang", priority: "high" }),
       );
     }
   }
@@ -94,19 +94,21 @@
     const start = leader.unansweredRequests[0]!.commands[0]!;
     leader.answerRequest([taskStatus(start.job, 0, start.attempt)]);
   }
-  leader.submit(jobSpec("g", { ...wide, tasks: 4, spread: true, kind: "gang", priority: "high" }));
+  leader.submit(
+    jobSpec("g", { ...gpuJob, tasks: 4, spread: true, kind: "gang", priority: "high" }),
+  );
   for (let step = 0; step < 4; step++) leader.tick(0.3);
-  const held = [...leader.scheduler.cluster.machines.values()].filter(
+  const reservedMachines = [...leader.scheduler.cluster.machines.values()].filter(
     (machine) => machine.reservation?.job.spec.id === "g",
   );
-  assert.equal(held.length, 2);
+  assert.equal(reservedMachines.length, 2);
 });
 
-test("the cluster scales out in a zone that the job's other tasks allow", () => {
+test("the cluster scales out in the zone of a one-zone job's placed tasks", () => {
   const leader = leaderWithTwoMachines();
   leader.submit(jobSpec("j", { tasks: 6, oneZone: true, spot: false, team: "maps" }));
   const job = leader.scheduler.cluster.jobs.get("j")!;
-  const bound = job.zones.mainZone;
+  const mainZone = job.zones.mainZone;
   for (let request = 0; request < 8; request++) {
     const scaleOut = planScaleOut(
       {
@@ -116,59 +118,59 @@
         capacityBackoffUntil: new Map(),
         spareRatio: 0,
         maxMachines: 50,
-        // The other zone has fewer machines, so it is preferred if both zones are allowed.
-        machinesByZone: new Map([[bound!, 1000]]),
+        // The other zone has fewer machines, so it would be preferred if both zones were allowed.
+        machinesByZone: new Map([[mainZone!, 1000]]),
         lateBootsByOffer: new Map(),
       },
       [job],
       [],
     );
-    assert.equal(scaleOut?.zone, bound);
+    assert.equal(scaleOut?.zone, mainZone);
     leader.tick();
   }
 });
 
-test("tasks are preempted in the zone of the job's other tasks", () => {
+test("tasks are preempted only in the zone of the one-zone job that needs the capacity", () => {
   const leader = new TestLeader();
   const types = new Map(["m1a", "m2b", "m3b"].map((name) => [name, "small"]));
   const workers = new SimulatedWorkers(leader, types, () => 1e9);
   workers.runFor(4);
   leader.submit(jobSpec("low", { tasks: 11, priority: "low", team: "maps" }));
   workers.runFor(4);
-  // One machine has a free place for one task; the rest of the job needs room in that zone.
+  // One machine has capacity for one task. The job's other tasks need capacity in the same zone.
   leader.submit(jobSpec("s", { tasks: 3, kind: "service", priority: "production", oneZone: true }));
   const job = leader.scheduler.cluster.jobs.get("s")!;
-  const bound = job.zones.mainZone;
+  const mainZone = job.zones.mainZone;
   workers.runFor(20);
   assert.equal(job.placements.size, 3);
-  assert.deepEqual(new Set(workers.stops.map((stop) => zoneOf(stop.machine))), new Set([bound]));
+  assert.deepEqual(new Set(workers.stops.map((stop) => zoneOf(stop.machine))), new Set([mainZone]));
 });
 
-test("a new leader stops the rest of a gang that had lost tasks", () => {
-  const old = leaderWithTwoMachines();
-  old.submit(jobSpec("g", { kind: "gang", tasks: 6, spread: true }));
+test("a new leader stops the remaining tasks of a gang that lost some under the former leader", () => {
+  const former = leaderWithTwoMachines();
+  former.submit(jobSpec("g", { kind: "gang", tasks: 6, spread: true }));
   for (const _ of [0, 1]) {
-    const request = old.unansweredRequests[0]!;
-    old.answerRequest(
+    const request = former.unansweredRequests[0]!;
+    former.answerRequest(
       request.commands
         .filter((command) => command.op === "start")
         .map((command) => taskStatus("g", command.task, command.attempt)),
     );
   }
-  // A worker's incarnation ends; the loss of its tasks is stored, and the leader fails before it stops the rest.
-  old.receiveHeartbeat("m1a", [], { incarnation: 2 });
-  const leader = new TestLeader({ replica: old.replica, epoch: 2, now: old.now });
+  // A worker's incarnation ends. The loss of its tasks is stored, and the leader fails before it stops the others.
+  former.receiveHeartbeat("m1a", [], { incarnation: 2 });
+  const leader = new TestLeader({ replica: former.replica, epoch: 2, now: former.now });
   leader.epoch = 2;
-  const left = [...leader.scheduler.cluster.jobs.get("g")!.placements.values()];
-  assert.equal(left.length, 3);
+  const remaining = [...leader.scheduler.cluster.jobs.get("g")!.placements.values()];
+  assert.equal(remaining.length, 3);
   leader.receiveHeartbeat(
     "m2b",
-    left.map((placement) => taskStatus("g", placement.task, placement.attempt)),
+    remaining.map((placement) => taskStatus("g", placement.task, placement.attempt)),
   );
   assert.match(leader.takeTrace(), /stop g\/\d#1/);
 });
 
-test("422: a spread gang that is allowed in a single zone can never run", () => {
+test("a spread gang that is allowed in a single zone only counts as never able to run (422)", () => {
   const { settings, types } = clusterForJob({});
   const gang = jobSpec("g", { kind: "gang", tasks: 4, spread: true });
   assert.equal(canEverRun(gang, settings, types), true);
@@ -178,15 +180,15 @@
   assert.equal(canEverRun({ ...gang, zone: "nowhere" }, settings, types), false);
 });
 
-test("constraints are decoded as they were sent", () => {
-  const of = (change: Record<string, unknown>) => decodeJob({ ...jobBody(), ...change });
+test("placement constraints are decoded as they were sent, and invalid ones are rejected", () => {
+  const decodeWith = (change: Record<string, unknown>) => decodeJob({ ...jobBody(), ...change });
   const { breeds: _, paddock: __, ...bare } = jobBody();
   assert.deepEqual([decodeJob(bare)?.types, decodeJob(bare)?.zone], [null, null]);
-  assert.deepEqual(of({ breeds: [] })?.types, []);
-  assert.deepEqual(of({ breeds: ["g8", "c4"], paddock: "b" })?.types, ["g8", "c4"]);
-  assert.equal(of({ paddock: "" }), null);
-  assert.equal(of({ together: null }), null);
-  assert.equal(of({ together: true, apart: true }), null);
-  const both = of({ together: true, loaners: false });
+  assert.deepEqual(decodeWith({ breeds: [] })?.types, []);
+  assert.deepEqual(decodeWith({ breeds: ["g8", "c4"], paddock: "b" })?.types, ["g8", "c4"]);
+  assert.equal(decodeWith({ paddock: "" }), null);
+  assert.equal(decodeWith({ together: null }), null);
+  assert.equal(decodeWith({ together: true, apart: true }), null);
+  const both = decodeWith({ together: true, loaners: false });
   assert.deepEqual([both?.oneZone, both?.spread, both?.spot], [true, false, false]);
 });
