--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -77,7 +77,7 @@
   "a dependent job whose submission answer is lost while its dependency ends runs once, after the dependency",
   { taskS: 0.4 },
   async (cluster) => {
-    const stateProxy = cluster.nodes[1]!.stateProxy;
+    const proxy = cluster.nodes[1]!.stateProxy;
     for (let round = 0; round < 4; round++) {
       const [first, dependent] = [`first-${round}`, `follower-${round}`];
       await waitUntil(
@@ -86,13 +86,13 @@
       );
       await sleepSeconds(0.12 * round);
       // The write is applied but its answer is lost, and the user repeats the submission on another node.
-      stateProxy.fateOf = (transaction) =>
-        JSON.stringify(transaction).includes(dependent) ? "answer lost" : "answered";
+      proxy.fateOf = (txn) =>
+        JSON.stringify(txn).includes(dependent) ? "answer lost" : "answered";
       const unanswered = cluster.submitJob(1, dependent, { after: [first] }).catch(() => null);
       await waitUntil("the write is carried out", () =>
         cluster.stateService.entries.has(`p/${dependent}`),
       );
-      stateProxy.fateOf = () => "answered";
+      proxy.fateOf = () => "answered";
       const repeated = await cluster.submitJob(2, dependent, { after: [first] });
       assert.equal(repeated.status, 200, "the job is known already");
       await waitUntil(
@@ -117,12 +117,11 @@
   {},
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
-    const stateProxy = cluster.nodes[1]!.stateProxy;
-    stateProxy.fateOf = (transaction) =>
-      JSON.stringify(transaction).includes("follower") ? "answer lost" : "answered";
+    const proxy = cluster.nodes[1]!.stateProxy;
+    proxy.fateOf = (txn) => (JSON.stringify(txn).includes("follower") ? "answer lost" : "answered");
     const unanswered = cluster.submitJob(1, "follower", { after: ["first"] }).catch(() => null);
     await cancelUntilConfirmed(cluster, 0, "first");
-    stateProxy.fateOf = () => "answered";
+    proxy.fateOf = () => "answered";
     await waitUntil("the dependent job is accepted", async () => {
       return (await cluster.submitJob(2, "follower", { after: ["first"] })).status <= 201;
     });
