--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -33,7 +33,7 @@
 });
 
 test("a machine that answers direct requests but whose heartbeats reach no controller gets no new tasks", () => {
-  // Otherwise each task on the machine runs until the worker's lease expires, and is then placed there again.
+  // Without this rule each task on the machine ran until the worker's lease expired, and was placed there again.
   const leader = leaderWithTwoMachines();
   for (let i = 0; i < 16; i++) {
     leader.performEffects(
@@ -197,7 +197,7 @@
 });
 
 test("ran_cancelled: an unreachable machine is released when a task on it is cancelled", () => {
-  // Otherwise tasks whose leases are extended in a cut-off zone keep running for minutes after their cancellation.
+  // Without this rule tasks whose leases were extended in a cut-off zone outlived their cancellation by minutes.
   const leader = new TestLeader({ leaseExtensionS: 126, controllersPerZone: new Map([["b", 1]]) });
   const unreachable = ["m2b", "m3b", "m4b", "m5b"];
   const reachable = ["m1a", "m6a", "m7a"];
--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -86,8 +86,7 @@
       );
       await sleepSeconds(0.12 * round);
       // The write is applied but its answer is lost, and the user repeats the submission on another node.
-      proxy.fateOf = (txn) =>
-        JSON.stringify(txn).includes(dependent) ? "answer lost" : "answered";
+      proxy.fateOf = (tx) => (JSON.stringify(tx).includes(dependent) ? "answer lost" : "answered");
       const unanswered = cluster.submitJob(1, dependent, { after: [first] }).catch(() => null);
       await waitUntil("the write is carried out", () =>
         cluster.stateService.entries.has(`p/${dependent}`),
@@ -118,7 +117,7 @@
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
     const proxy = cluster.nodes[1]!.stateProxy;
-    proxy.fateOf = (txn) => (JSON.stringify(txn).includes("follower") ? "answer lost" : "answered");
+    proxy.fateOf = (tx) => (JSON.stringify(tx).includes("follower") ? "answer lost" : "answered");
     const unanswered = cluster.submitJob(1, "follower", { after: ["first"] }).catch(() => null);
     await cancelUntilConfirmed(cluster, 0, "first");
     proxy.fateOf = () => "answered";
@@ -143,11 +142,11 @@
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
     for (const node of cluster.nodes) node.stateProxy.isRefusing = true;
-    const began = performance.now();
+    const startedAt = performance.now();
     const refused = await cluster.submitJob(1, "follower", { after: ["nobody"] });
     assert.equal(refused.status, 503, "not 422, as the dependency may exist");
     assert.ok(refused.retryAfter !== undefined, "Retry-After is set");
-    assert.ok(performance.now() - began < 2500, "answered at once");
+    assert.ok(performance.now() - startedAt < 2500, "answered at once");
     for (const node of cluster.nodes) node.stateProxy.reopen();
     await waitUntil("a read shows that the dependency does not exist", async () => {
       return (await cluster.submitJob(1, "follower", { after: ["nobody"] })).status === 422;
