--- a/tests/boot.test.ts
+++ b/tests/boot.test.ts
@@ -1,4 +1,4 @@
-/** New machines that boot late, never boot, or send heartbeats before the cloud lists them. */
+/** Scaling with new machines that boot late, never boot, or send heartbeats before the cloud lists them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -12,7 +12,7 @@
 import { MACHINE_TYPES } from "./support/machine-types.js";
 import { TestLeader } from "./support/test-leader.js";
 
-/** A machine as the cloud lists it, booting unless changed. */
+/** An entry of the cloud's list of machines, which is booting unless `change` sets another state. */
 const listedMachine = (
   name: string,
   ageS: number,
@@ -28,12 +28,12 @@
   ...change,
 });
 
-/** The scheduler receives the cloud's list of machines. */
+/** Passes the cloud's list of machines to the scheduler. */
 function receiveMachineList(leader: TestLeader, machines: readonly ListedMachine[]): void {
   leader.performEffects(leader.scheduler.machineListAnswered(machines, leader.now));
 }
 
-/** The scale-out request that would be sent to the cloud now. */
+/** Returns the scale-out request that the leader would send to the cloud now. */
 function nextScaleOut(leader: TestLeader): ScaleOutRequest | null {
   const { cluster } = leader.scheduler;
   return planScaleOut(
@@ -55,12 +55,12 @@
 /** A cloud whose machines never boot. */
 class StuckCloud {
   private readonly agesS = new Map<string, number>();
-  /** How old each machine was when it was released, in the order of the releases. */
+  /** Age of each machine at its release, in the order of the releases. */
   readonly agesAtReleaseS: number[] = [];
 
   constructor(private readonly leader: TestLeader) {}
 
-  /** A second passes; with a name, the cloud has one more machine. */
+  /** Advances the time by one second. If a name is given, a machine of this name begins to boot. */
   advance(newMachine: string | null): void {
     this.leader.tick(1);
     if (newMachine !== null) this.agesS.set(newMachine, 0);
@@ -87,8 +87,8 @@
   leader.submit(jobSpec("j", { tasks: 4, team: "maps", spot: false, types: ["small"] }));
   assert.equal(nextScaleOut(leader)?.zone, "a");
   receiveMachineList(leader, [listedMachine("m1a", 1)]);
-  assert.equal(nextScaleOut(leader), null, "one is booting");
-  // The usual boot time is 15 s.
+  assert.equal(nextScaleOut(leader), null, "one machine is booting");
+  // The usual boot time is 15 s, and a machine is late after twice that time.
   leader.tick(31);
   const replacement = nextScaleOut(leader);
   assert.deepEqual([replacement?.count, replacement?.zone], [1, "b"]);
@@ -96,17 +96,18 @@
   assert.equal(nextScaleOut(leader), null, "one replacement for each late machine");
 });
 
-test("machines that never boot are released, after a longer timeout if no other boots in time either", () => {
+// The boot timeout begins at 4 times the usual boot time of 15 s and grows to at most 12 times.
+test("machines that never boot are released after a timeout, which is longer if no other machine boots in time", () => {
   const leader = new TestLeader();
   const cloud = new StuckCloud(leader);
   for (let second = 0; second < 400; second++) {
     cloud.advance(second % 4 === 0 ? `m${second}a` : null);
   }
   const firstS = cloud.agesAtReleaseS[0]!;
-  assert.ok(firstS >= 60 && firstS <= 64, `the first after ${firstS} s`);
+  assert.ok(firstS >= 60 && firstS <= 64, `the first machine was released after ${firstS} s`);
   const lastS = cloud.agesAtReleaseS.at(-1)!;
-  assert.ok(lastS > 120 && lastS <= 184, `the last after ${lastS} s`);
-  // Others boot in time: the shorter timeout holds again.
+  assert.ok(lastS > 120 && lastS <= 184, `the last machine was released after ${lastS} s`);
+  // Other machines boot in time, so the timeout falls to its initial value again.
   for (let index = 0; index < 20; index++) leader.receiveHeartbeat(`up${index}a`, []);
   receiveMachineList(leader, [listedMachine("m999a", 70)]);
   for (let second = 0; second < 30; second++) {
@@ -119,7 +120,7 @@
   assert.equal(leader.scheduler.cluster.machines.get("m999a")!.drainReason, "boot timeout");
 });
 
-test("a machine that sends heartbeats before it is listed is used, not provisioned again nor drained", () => {
+test("a machine that sends heartbeats before the cloud lists it runs tasks and is neither replaced nor drained", () => {
   const leader = new TestLeader();
   leader.submit(jobSpec("j", { tasks: 4, team: "maps", types: ["small"] }));
   for (let heartbeat = 0; leader.unansweredRequests.length === 0 && heartbeat < 4; heartbeat++) {
@@ -128,7 +129,7 @@
   const statuses = [0, 1, 2, 3].map((task) => taskStatus("j", task, 1));
   leader.answerRequest(statuses);
   assert.equal(nextScaleOut(leader), null);
-  // The cloud's list lags: it omits the machine, then lists it as booting.
+  // The cloud's list is out of date: it omits the machine at first, then shows it as booting.
   for (let interval = 0; interval < 10; interval++) {
     receiveMachineList(leader, interval < 5 ? [] : [listedMachine("m1a", interval)]);
     leader.receiveHeartbeat("m1a", statuses);
--- a/tests/effect-executor.test.ts
+++ b/tests/effect-executor.test.ts
@@ -1,4 +1,4 @@
-/** Effects of the scheduler: which are executed while the node leads, and which results the scheduler receives. */
+/** Execution of the scheduler's effects while the node is the leader and after it steps down. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -18,7 +18,7 @@
 };
 const LOG: Effect = { kind: "log", level: "info", message: "job submitted", fields: {} };
 
-/** An executor whose node leads until it steps down; everything it does is recorded. */
+/** A node that is the leader until it steps down, and records the actions of its effect executor. */
 class RecordedNode {
   mayAct = true;
   readonly sentTo: string[] = [];
@@ -69,7 +69,7 @@
   }
 }
 
-test("commands are sent while the term may act, and the scheduler receives their outcome", async () => {
+test("commands are sent while the leader may act, and the scheduler receives their outcome", async () => {
   const node = new RecordedNode();
   node.executor.perform([SEND]);
   await nextTurn();
@@ -77,22 +77,22 @@
   assert.deepEqual(node.outcomes, [{ kind: "lost", mayArrive: true }]);
 });
 
-test("commands are not sent once the term may not act, and the scheduler learns that none can arrive", async () => {
+test("commands are not sent once the leader may not act, and the scheduler learns that none can arrive", async () => {
   const node = new RecordedNode();
   node.mayAct = false;
   node.executor.perform([SEND]);
-  assert.deepEqual(node.outcomes, [], "not before the effects are performed");
+  assert.deepEqual(node.outcomes, [], "no result is reported before all effects are performed");
   await nextTurn();
   assert.deepEqual(node.sentTo, []);
   assert.deepEqual(node.outcomes, [{ kind: "lost", mayArrive: false }]);
 });
 
-test("after stepping down the remaining effects are dropped but for logs, and so are later results", async () => {
+test("after stepping down, the remaining effects except logs and all later results are dropped", async () => {
   const node = new RecordedNode();
   node.executor.perform([SEND, { kind: "step down", why: "too few heartbeats" }, SEND, LOG]);
   await nextTurn();
   assert.deepEqual(node.stepDownReasons, ["too few heartbeats"]);
-  assert.deepEqual(node.cooldownsS, [6], "two heartbeat intervals");
+  assert.deepEqual(node.cooldownsS, [6], "the election cooldown is two heartbeat intervals");
   assert.equal(node.sentTo.length, 1);
   assert.deepEqual(node.outcomes, []);
   assert.deepEqual(node.logged, ["job submitted"]);
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,4 +1,7 @@
-/** Gangs and capacity in large clusters, and clusters that restart as a whole: failures found at a thousand machines. */
+/**
+ * Gangs, reservations, scaling and connections in large clusters. The tests guard against failures that were found in
+ * clusters of a thousand machines and in clusters that restarted as a whole.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pino } from "pino";
@@ -14,7 +17,7 @@
 import { settingsText } from "./support/node-settings.js";
 import { TestLeader } from "./support/test-leader.js";
 
-const gpu = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
+const gpuJob = (id: string, change: Partial<JobSpec> = {}): JobSpec =>
   jobSpec(id, {
     kind: "gang",
     priority: "high",
@@ -26,7 +29,7 @@
     ...change,
   });
 
-function gpuMachines(names: readonly string[]): TestLeader {
+function leaderOfGpuMachines(names: readonly string[]): TestLeader {
   const leader = new TestLeader();
   for (const name of names) leader.receiveHeartbeat(name, [], { type: "big" });
   leader.takeTrace();
@@ -34,35 +37,37 @@
 }
 
 test("a low-priority job within its team's guarantee does not preempt a gang for a few CPUs", () => {
-  const leader = gpuMachines(["m1a"]);
-  leader.submit(gpu("gang"));
+  const leader = leaderOfGpuMachines(["m1a"]);
+  leader.submit(gpuJob("gang"));
   leader.answerRequest([taskStatus("gang", 0, 1, "pulling image")]);
   leader.takeTrace();
-  // Team vision is guaranteed four CPUs; the gang is beyond any guarantee.
+  // Team vision is guaranteed four CPUs. The gang belongs to a team without a guarantee.
   leader.submit(jobSpec("sheet", { cpus: 4, priority: "low" }));
   for (let second = 0; second < 90; second++)
     leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.doesNotMatch(leader.takeTrace(), /stop gang/);
-  // Production may.
+  // A job of production priority may preempt the gang.
   leader.submit(jobSpec("web", { cpus: 4, kind: "service", priority: "production" }));
   for (let second = 0; second < 60; second++)
     leader.receiveHeartbeat("m1a", [taskStatus("gang", 0, 1, "pulling image")], { type: "big" });
   assert.match(leader.takeTrace(), /stop gang/);
 });
 
-test("when a zone returns from a partition, machines whose heartbeats are still missing are not released at once", () => {
+test("after a partition of a zone, machines whose heartbeats are still missing are not released at once", () => {
   const names = [..."123456789"].flatMap((digit) => [`m${digit}a`, `m${digit}b`]);
   const leader = new TestLeader();
   for (const name of names) leader.receiveHeartbeat(name, []);
-  const [inA, inB] = ["a", "b"].map((zone) => names.filter((name) => name.endsWith(zone)));
-  const run = (alive: readonly string[], seconds: number): string[] => {
+  const [namesInA, namesInB] = ["a", "b"].map((zone) =>
+    names.filter((name) => name.endsWith(zone)),
+  );
+  const runAndTakeReleases = (reachable: readonly string[], seconds: number): string[] => {
     leader.unreachableMachines.clear();
     for (const name of names) {
-      if (!alive.includes(name)) leader.unreachableMachines.add(name);
+      if (!reachable.includes(name)) leader.unreachableMachines.add(name);
     }
     leader.takeTrace();
     for (let second = 0; second < seconds; second++) {
-      for (const name of alive) {
+      for (const name of reachable) {
         leader.receiveHeartbeatOnly(name, []);
         // A machine that sends heartbeats also answers probes.
         if (leader.scheduler.cluster.machines.get(name)!.unreachableSince === null) continue;
@@ -74,16 +79,29 @@
     }
     return [...leader.takeTrace().matchAll(/cloud return (.*)/g)].map((match) => match[1]!);
   };
-  assert.deepEqual(run(inA!, 10), [], "partitioned as a whole");
-  const back = [...inA!, ...inB!.slice(1)];
-  assert.deepEqual(run(back, 2), [], "one of nine is late by two seconds");
-  assert.deepEqual([...new Set(run(back, 10))], [inB![0]], "it is released after all");
+  assert.deepEqual(
+    runAndTakeReleases(namesInA!, 10),
+    [],
+    "no machine of the partitioned zone is released",
+  );
+  const reachableAgain = [...namesInA!, ...namesInB!.slice(1)];
+  assert.deepEqual(
+    runAndTakeReleases(reachableAgain, 2),
+    [],
+    "one of nine machines has sent no heartbeat for two seconds",
+  );
+  assert.deepEqual(
+    [...new Set(runAndTakeReleases(reachableAgain, 10))],
+    [namesInB![0]],
+    "the machine is released later",
+  );
 });
 
-test("two gangs that each hold reservations for half of their tasks do not deadlock", () => {
-  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
+// Guards against a deadlock in which two gangs each held reservations for half of their tasks.
+test("a gang that holds reservations for half of its tasks does not block another gang", () => {
+  const leader = leaderOfGpuMachines(["m1a", "m2a", "m3a", "m4a"]);
   leader.isStoreAvailable = false;
-  leader.submit(gpu("second", { tasks: 4, oneZone: true, estimateS: 100 }));
+  leader.submit(gpuJob("second", { tasks: 4, oneZone: true, estimateS: 100 }));
   const second = leader.scheduler.cluster.jobs.get("second")!;
   for (const placement of [...second.allPlacements()])
     leader.scheduler.cluster.releasePlacement(placement, leader.now);
@@ -91,66 +109,70 @@
     const until = leader.now + 100;
     leader.scheduler.cluster.machines.get(name)!.reservation = { job: second, until, held: false };
   }
-  leader.submit(gpu("first", { tasks: 4, oneZone: true, estimateS: 1 }));
+  leader.submit(gpuJob("first", { tasks: 4, oneZone: true, estimateS: 1 }));
   leader.tick(1);
   assert.equal(leader.scheduler.cluster.jobs.get("first")!.placements.size, 4);
 });
 
-test("one gang at a time reserves capacity in a zone, so that capacity is not split up", () => {
-  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a", "m5a"]);
-  for (let index = 1; index <= 3; index++) leader.submit(gpu(`now${index}`));
+test("only one gang at a time reserves capacity in a zone, so that reservations do not split the capacity", () => {
+  const leader = leaderOfGpuMachines(["m1a", "m2a", "m3a", "m4a", "m5a"]);
+  for (let index = 1; index <= 3; index++) leader.submit(gpuJob(`now${index}`));
   for (let index = 1; index <= 3; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
-  leader.submit(gpu("three", { tasks: 3, oneZone: true, estimateS: 1 }));
-  leader.submit(gpu("next", { tasks: 3, oneZone: true, estimateS: 2 }));
+  leader.submit(gpuJob("three", { tasks: 3, oneZone: true, estimateS: 1 }));
+  leader.submit(gpuJob("next", { tasks: 3, oneZone: true, estimateS: 2 }));
   for (let step = 0; step < 4; step++) leader.tick(0.3);
-  const held = [...leader.scheduler.cluster.machines.values()].map(
+  const reservingJobs = [...leader.scheduler.cluster.machines.values()].map(
     (machine) => machine.reservation?.job.spec.id,
   );
-  assert.deepEqual([...new Set(held)].sort(), ["three", undefined]);
+  assert.deepEqual([...new Set(reservingJobs)].sort(), ["three", undefined]);
   assert.equal(leader.scheduler.cluster.jobs.get("next")!.reservedZone, null);
 });
 
-test("a gang waits briefly for one of the machines that have its image, and no longer", () => {
+test("a gang waits for a machine that has its image, but only briefly", () => {
   const names = Array.from({ length: 12 }, (_, index) => `m${index}a`);
-  const leader = gpuMachines(names);
+  const leader = leaderOfGpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
   // All machines that have the image are in use.
-  for (let index = 0; index < 11; index++) leader.submit(gpu(`now${index}`, { imageGb: 4 }));
+  for (let index = 0; index < 11; index++) leader.submit(gpuJob(`now${index}`, { imageGb: 4 }));
   for (let index = 0; index < 11; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
-  leader.submit(gpu("next", { imageGb: 4 }));
+  leader.submit(gpuJob("next", { imageGb: 4 }));
   const next = leader.scheduler.cluster.jobs.get("next")!;
   leader.tick(0.3);
-  assert.equal(next.placements.size, 0, "a pull of eight seconds: a short wait is worth it");
+  assert.equal(
+    next.placements.size,
+    0,
+    "the pull would take eight seconds, so the gang waits briefly",
+  );
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   for (let step = 0; step < 4; step++) leader.tick(0.6);
   assert.equal(next.placements.size, 1);
 });
 
-test("a job whose start SLO an image pull would miss waits for a machine that has the image", () => {
+test("a job waits for a machine that has its image if an image pull would miss the start SLO", () => {
   const names = Array.from({ length: 6 }, (_, index) => `m${index}a`);
-  const leader = gpuMachines(names);
+  const leader = leaderOfGpuMachines(names);
   for (const name of names.slice(1)) {
     const machine = leader.scheduler.cluster.machines.get(name)!;
     machine.images.set("img", { lastUsedAt: leader.now, sizeGb: 4, isPulled: true });
   }
-  // Class web is to start within a second, and the image pull takes eight.
-  const web = { class: "web", imageGb: 4 };
-  for (let index = 0; index < 5; index++) leader.submit(gpu(`now${index}`, web));
+  // Jobs of class web are to start within a second, and the image pull takes eight.
+  const webChange = { class: "web", imageGb: 4 };
+  for (let index = 0; index < 5; index++) leader.submit(gpuJob(`now${index}`, webChange));
   for (let index = 0; index < 5; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
-  leader.submit(gpu("next", web));
+  leader.submit(gpuJob("next", webChange));
   const next = leader.scheduler.cluster.jobs.get("next")!;
   assert.equal(next.placements.size, 0);
   assert.equal(
     leader.scheduler.cluster.machines.get("m0a")!.reservation,
     null,
-    "other jobs may use it",
+    "other jobs may use the machine",
   );
-  // Once the SLO is missed in any case, any machine will do.
+  // Once the SLO is missed, the job takes a machine without the image.
   for (let heartbeat = 0; heartbeat < 3; heartbeat++)
     leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.tick(1);
@@ -158,13 +180,13 @@
   assert.equal(next.placements.size, 1);
 });
 
-test("a gang task whose machine has the image starts once the first peer with a long pull is ready", () => {
-  const leader = gpuMachines(["m1a", "m2a", "m3a"]);
-  const pulling = ["m1a", "m3a"];
-  const withImage = leader.scheduler.cluster.machines.get("m2a")!;
-  withImage.images.set("img", { lastUsedAt: leader.now, sizeGb: 20, isPulled: true });
-  // 20 GB at half a GB a second: 40 s, and a task waits for the others for 45.
-  leader.submit(gpu("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
+test("a gang task whose machine has the image is started once the first peer has pulled the image", () => {
+  const leader = leaderOfGpuMachines(["m1a", "m2a", "m3a"]);
+  const pullingMachines = ["m1a", "m3a"];
+  const machineWithImage = leader.scheduler.cluster.machines.get("m2a")!;
+  machineWithImage.images.set("img", { lastUsedAt: leader.now, sizeGb: 20, isPulled: true });
+  // Pulling 20 GB at half a GB per second takes 40 s, and a gang task waits 45 s for its peers.
+  leader.submit(gpuJob("gang", { tasks: 3, oneZone: true, imageGb: 20 }));
   const placements = [...leader.scheduler.cluster.jobs.get("gang")!.placements.values()];
   const heartbeat = (machine: string, state: TaskState): WorkerHeartbeat => {
     const { task } = placements.find((placement) => placement.machine.name === machine)!;
@@ -174,50 +196,52 @@
     const { effects } = leader.scheduler.handleHeartbeat(heartbeat(machine, state), leader.now);
     leader.performEffects(effects);
   };
-  const takeSent = (): string[] => {
+  const takeRequestedMachines = (): string[] => {
     const requests = leader.unansweredRequests.splice(0);
     return requests.map(({ machine }) => machine).sort();
   };
-  assert.deepEqual(takeSent(), pulling);
-  for (const machine of pulling) {
+  assert.deepEqual(takeRequestedMachines(), pullingMachines);
+  for (const machine of pullingMachines) {
     const heartbeatWhilePulling = heartbeat(machine, "pulling image");
     const outcome = { kind: "answered", executed: true, heartbeat: heartbeatWhilePulling } as const;
     leader.scheduler.commandsAnswered(machine, [], outcome, leader.now);
   }
   for (let step = 0; step < 12; step++) {
-    for (const machine of pulling) receive(machine, "pulling image");
+    for (const machine of pullingMachines) receive(machine, "pulling image");
     leader.receiveHeartbeat("m2a", [], { type: "big" });
     leader.tick(2.5);
-    assert.deepEqual(takeSent(), [], "no image pull is complete");
+    assert.deepEqual(takeRequestedMachines(), [], "nothing is sent before an image pull completes");
   }
   receive("m1a", "waiting");
   leader.tick();
-  assert.deepEqual(takeSent(), ["m2a"]);
+  assert.deepEqual(takeRequestedMachines(), ["m2a"]);
 });
 
-test("after a starved gang was placed, other jobs come first for a while and get part of the capacity", () => {
-  const leader = gpuMachines(["m1a", "m2a", "m3a", "m4a"]);
-  const end = (machine: number): void =>
+test("after a starving gang was placed, smaller jobs go first during a cooldown and get part of the capacity", () => {
+  const leader = leaderOfGpuMachines(["m1a", "m2a", "m3a", "m4a"]);
+  const endTaskOn = (machine: number): void =>
     leader.receiveHeartbeat(`m${machine}a`, [taskStatus(`now${machine}`, 0, 1, "exited", "done")], {
       type: "big",
     });
-  for (let index = 1; index <= 4; index++) leader.submit(gpu(`now${index}`, { estimateS: 10 }));
+  for (let index = 1; index <= 4; index++) leader.submit(gpuJob(`now${index}`, { estimateS: 10 }));
   for (const request of [...leader.unansweredRequests]) {
     const name = request.commands[0]!.job;
     leader.answerRequest([taskStatus(name, 0, 1)]);
     assert.equal(`now${request.machine[1]}`, name);
   }
-  for (const id of ["large1", "large2"]) leader.submit(gpu(id, { tasks: 2, oneZone: true }), 130);
-  for (const id of ["small1", "small2"]) leader.submit(gpu(id, { estimateS: 5 }));
-  end(1);
-  end(2);
+  for (const id of ["large1", "large2"])
+    leader.submit(gpuJob(id, { tasks: 2, oneZone: true }), 130);
+  for (const id of ["small1", "small2"]) leader.submit(gpuJob(id, { estimateS: 5 }));
+  endTaskOn(1);
+  endTaskOn(2);
   leader.tick();
-  const placed = (id: string): number => leader.scheduler.cluster.jobs.get(id)!.placements.size;
-  assert.deepEqual([placed("large1"), placed("small1")], [2, 0]);
-  // Without the cooldown the second large gang would reserve this machine and wait for another.
-  end(3);
+  const placementCount = (id: string): number =>
+    leader.scheduler.cluster.jobs.get(id)!.placements.size;
+  assert.deepEqual([placementCount("large1"), placementCount("small1")], [2, 0]);
+  // Without the cooldown, the second large gang would reserve this machine and wait for another one.
+  endTaskOn(3);
   leader.tick();
-  assert.deepEqual([placed("large2"), placed("small1")], [0, 1]);
+  assert.deepEqual([placementCount("large2"), placementCount("small1")], [0, 1]);
 });
 
 test("one scale-out request covers all jobs that fit the same machine type", () => {
@@ -239,7 +263,7 @@
     [...leader.scheduler.cluster.jobs.values()],
     [],
   );
-  // Forty-eight tasks, four to a machine, four of them on the one that is there.
+  // The 48 tasks run four to a machine, and four of them fit the machine that is already up.
   assert.deepEqual([request?.type, request?.count], ["small", 11]);
 });
 
@@ -250,34 +274,41 @@
     [1282, 624],
     [1282, 936],
   ] as const) {
-    const kept = maxWorkerConnections(sockets, machines);
-    assert.ok(kept >= 32, `${kept} kept`);
-    assert.ok(kept + 1.05 * machines <= 0.87 * sockets, `${kept} kept, ${machines} machines`);
+    const workerConnections = maxWorkerConnections(sockets, machines);
+    assert.ok(workerConnections >= 32, `${workerConnections} connections`);
+    assert.ok(
+      workerConnections + 1.05 * machines <= 0.87 * sockets,
+      `${workerConnections} connections, ${machines} machines`,
+    );
   }
 });
 
 test("a controller that runs out of file descriptors keeps running", async () => {
-  const read = decodeSettings(settingsText());
-  if (!("settings" in read)) throw new Error("test settings");
-  const settings = { ...read.settings, listenAddress: "127.0.0.1:0", peerAddress: "127.0.0.1:0" };
-  const node = new Controller(settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
-  await node.start();
-  // What `net` says when a connection cannot be accepted; without a listener it ends the process.
-  const full = Object.assign(new Error("accept EMFILE"), { code: "EMFILE" });
+  const decoded = decodeSettings(settingsText());
+  if (!("settings" in decoded)) throw new Error("the test settings are invalid");
+  const settings = {
+    ...decoded.settings,
+    listenAddress: "127.0.0.1:0",
+    peerAddress: "127.0.0.1:0",
+  };
+  const controller = new Controller(settings, DEFAULT_OPERATOR_SETTINGS, pino({ level: "silent" }));
+  await controller.start();
+  // Node.js emits this error if it cannot accept a connection. Without a listener, the error ends the process.
+  const acceptError = Object.assign(new Error("accept EMFILE"), { code: "EMFILE" });
   for (let attempt = 0; attempt < 3; attempt++) {
-    assert.equal(node.server.emit("error", full), true);
+    assert.equal(controller.server.emit("error", acceptError), true);
   }
-  await node.stop();
+  await controller.stop();
 });
 
-test("a reservation that a gang began in one zone does not prevent it from reserving capacity in another", () => {
-  const leader = gpuMachines(["m1a", "m2b", "m3b"]);
+test("a gang that has a reservation in one zone can still reserve capacity in another zone", () => {
+  const leader = leaderOfGpuMachines(["m1a", "m2b", "m3b"]);
   for (const name of ["m1a", "m2b", "m3b"]) {
-    leader.submit(gpu(`low-${name}`, { kind: "array", priority: "low", zone: name.at(-1)! }));
+    leader.submit(gpuJob(`low-${name}`, { kind: "array", priority: "low", zone: name.at(-1)! }));
   }
   for (let request = 0; request < 3; request++)
     leader.answerRequest([taskStatus(leader.unansweredRequests[0]!.commands[0]!.job, 0, 1)]);
-  leader.submit(gpu("gang", { tasks: 2, oneZone: true, priority: "high" }));
+  leader.submit(gpuJob("gang", { tasks: 2, oneZone: true, priority: "high" }));
   const job = leader.scheduler.cluster.jobs.get("gang")!;
   const until = leader.now + 100;
   leader.scheduler.cluster.machines.get("m1a")!.reservation = { job, until, held: false };
--- a/tests/job-shards.test.ts
+++ b/tests/job-shards.test.ts
@@ -1,4 +1,4 @@
-/** Jobs of thousands of tasks: one value for the job, and one for each shard of it with active tasks. */
+/** Jobs of thousands of tasks are stored as one value for the job and one for each shard that has active tasks. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { needsShards, shardSizeFor } from "../src/core/state/job-shards.js";
@@ -12,11 +12,12 @@
 
 function machineTypes(count: number): Map<string, string> {
   const types = new Map<string, string>();
-  for (let n = 0; n < count; n++) types.set(`m-${String(n).padStart(6, "0")}a`, "small");
+  for (let index = 0; index < count; index++)
+    types.set(`m-${String(index).padStart(6, "0")}a`, "small");
   return types;
 }
 
-/** Size of the job's largest stored value, as the state service counts it. */
+/** Size in bytes of the job's largest stored value, as the state service counts it. */
 function largestValueBytes(replica: StateReplica, id: string): number {
   const job = replica.activeJobs.get(id);
   const values: unknown[] = [job === undefined ? null : encodeJobRecord(job.value)];
@@ -24,7 +25,7 @@
   return Math.max(...values.map((value) => JSON.stringify(value).length));
 }
 
-/** The next leader starts from what is stored; what the former one had in memory is lost. */
+/** Starts a new leader from the stored state. The state in the former leader's memory is lost. */
 function takeOver(former: TestLeader, workers: SimulatedWorkers, epoch: number): TestLeader {
   const leader = new TestLeader({ replica: former.replica, epoch, now: former.now });
   leader.epoch = epoch;
@@ -32,11 +33,11 @@
   return leader;
 }
 
-test("a guest's array of thousands of tasks survives two takeovers: none lost or run twice, quota kept", () => {
+test("an array of thousands of tasks survives two takeovers: each task runs, none runs twice, and quotas hold", () => {
   const tasks = 2357;
   assert.ok(needsShards(jobSpec("guest", { tasks }), VALUE_BYTES));
   let leader = new TestLeader();
-  // 200 machines of four CPUs; team vision may use 16 CPUs, the guest has no limit.
+  // There are 200 machines of four CPUs. Team vision, which owns "owned", may use 16 CPUs; team maps has no limit.
   const workers = new SimulatedWorkers(leader, machineTypes(200), () => 9);
   workers.runFor(4);
   leader.submit(jobSpec("guest", { team: "maps", tasks, priority: "low" }));
@@ -50,8 +51,11 @@
   };
   workers.runFor(10, recordPeaks);
   const { peakRunningTasks } = workers;
-  assert.ok(peakRunningTasks > 700, `${peakRunningTasks} at a time: all there is capacity for`);
-  // One leader fails between a placement and its write, one between the write and the start.
+  assert.ok(
+    peakRunningTasks > 700,
+    `at most ${peakRunningTasks} tasks ran at a time, fewer than the capacity allows`,
+  );
+  // The first leader fails between a placement and its write, the second between the write and the start.
   leader.isStoreAvailable = false;
   workers.runFor(1, recordPeaks);
   leader = takeOver(leader, workers, 2);
@@ -63,17 +67,17 @@
   assert.ok(workers.starts.length >= startsBefore);
   assert.equal(leader.replica.view("guest")?.state, "done");
   assert.deepEqual(workers.duplicateStarts, []);
-  assert.ok(peakOwnedTasks <= 16, `${peakOwnedTasks} of a team that may run 16`);
+  assert.ok(peakOwnedTasks <= 16, `${peakOwnedTasks} tasks of a team that may run 16`);
   assert.ok(peakValueBytes <= VALUE_BYTES, `${peakValueBytes} bytes in a value`);
   const guestStarts = workers.starts.filter((start) => start.job === "guest");
   assert.equal(new Set(guestStarts.map((start) => start.task)).size, tasks);
-  // Few were started a second time: those whose start or end was in transit during a takeover.
+  // Only tasks whose start or end was in transit during a takeover are started a second time.
   const restarts = guestStarts.length - tasks;
-  assert.ok(restarts <= 40, `${restarts} started again`);
+  assert.ok(restarts <= 40, `${restarts} tasks were started again`);
   assert.equal(leader.replica.shardsOf("guest").size, 0, "only the final record is left");
 });
 
-test("the values of a job of a hundred thousand tasks keep to the limit until it is cancelled", () => {
+test("all stored values of a job of a hundred thousand tasks stay within the size limit until the job is cancelled", () => {
   const tasks = 100_000;
   const leader = new TestLeader();
   const workers = new SimulatedWorkers(leader, machineTypes(60), () => 6);
@@ -88,7 +92,7 @@
   assert.equal(leader.replica.shardsOf("huge").size, 0);
 });
 
-test("a shard with all its tasks active on machines of their own fits one value", () => {
+test("a shard fits one value when each of its tasks runs on a machine of its own", () => {
   const size = shardSizeFor(VALUE_BYTES);
   const leader = new TestLeader();
   const workers = new SimulatedWorkers(leader, machineTypes(size), () => 1000);
@@ -109,19 +113,19 @@
   const submittedAt = leader.now;
   workers.runFor(20);
   const guestStarts = workers.starts.filter((start) => start.job === "guest");
-  // A quarter of a core: a hundred a second, after four seconds' worth at once.
+  // A quarter of a core allows a hundred placements per second, after an initial burst of four seconds' worth.
   const startsAt = (at: number) => guestStarts.filter((start) => start.at === at).length;
   const peakStarts = Math.max(...guestStarts.map((start) => startsAt(start.at)));
   const { length } = guestStarts;
-  assert.ok(length >= 2000 && length <= 2500, `${length} in 20 s`);
-  assert.ok(peakStarts <= 450, `${peakStarts} at once`);
+  assert.ok(length >= 2000 && length <= 2500, `${length} starts in 20 s`);
+  assert.ok(peakStarts <= 450, `${peakStarts} starts at once`);
   leader.submit(jobSpec("other", { team: "maps", tasks: 300 }));
   workers.runFor(1);
   assert.equal(workers.starts.filter((start) => start.job === "other").length, 300);
   assert.ok(leader.now > submittedAt);
 });
 
-test("a late copy of a write cannot bring back a deleted shard", () => {
+test("a delayed copy of a write cannot restore a deleted shard", () => {
   const leader = new TestLeader();
   const workers = new SimulatedWorkers(leader, machineTypes(40), () => 4);
   workers.runFor(4);
@@ -131,26 +135,28 @@
   assert.ok(firstShard.modRevision > 0);
   leader.isStoreAvailable = false;
   workers.runFor(6);
-  const late = leader.scheduler.nextTransaction(32, 60_000)!;
-  assert.ok(late.changes.some((change) => change.key.startsWith("q/guest/")));
+  const delayed = leader.scheduler.nextTransaction(32, 60_000)!;
+  assert.ok(delayed.changes.some((change) => change.key.startsWith("q/guest/")));
   const refused = { kind: "refused" } as const;
   leader.performEffects(
-    leader.scheduler.transactionEnded(late, refused, leader.replica, leader.now),
+    leader.scheduler.transactionEnded(delayed, refused, leader.replica, leader.now),
   );
   leader.isStoreAvailable = true;
   workers.runFor(40);
   assert.equal(leader.replica.shardsOf("guest").has(0), false, "all tasks of shard 0 are done");
-  // Every write of a shard is conditional on the mod revision of the job's own value, which has changed since.
-  const ownKey = KEY.activeJob("guest");
-  const own = late.preconditions.find((precondition) => precondition.key === ownKey)!;
-  assert.notEqual(leader.replica.activeJobs.get("guest")?.modRevision, own.modRevision);
+  // Each write of a shard requires the mod revision of the job's own value, which has changed in the meantime.
+  const jobKey = KEY.activeJob("guest");
+  const jobPrecondition = delayed.preconditions.find(
+    (precondition) => precondition.key === jobKey,
+  )!;
+  assert.notEqual(leader.replica.activeJobs.get("guest")?.modRevision, jobPrecondition.modRevision);
 });
 
-test("a gang and a service of more tasks than one value holds run with all tasks, also across a takeover", () => {
+test("a gang and a service with more tasks than one value holds run all their tasks, also after a takeover", () => {
   let leader = new TestLeader();
   const workers = new SimulatedWorkers(leader, machineTypes(1000), () => 1000);
   workers.runFor(4);
-  // One task to a machine: the values name 900 machines.
+  // Each machine runs one task, so the values name 900 machines.
   leader.submit(jobSpec("gang", { team: "maps", kind: "gang", tasks: 500, cpus: 4 }));
   leader.submit(jobSpec("web", { team: "maps", kind: "service", tasks: 400, cpus: 4 }));
   let peakValueBytes = 0;
@@ -163,10 +169,14 @@
   assert.equal(workers.runningTasks.size, 900);
   const gangStarts = workers.starts.filter((start) => start.job === "gang");
   const attempts = new Set(gangStarts.map((start) => start.attempt));
-  assert.equal(attempts.size, 1, "gang peers find one another by their attempt");
+  assert.equal(
+    attempts.size,
+    1,
+    "all tasks of the gang start in the same attempt, by which peers find each other",
+  );
   leader = takeOver(leader, workers, 2);
   workers.runFor(10, recordPeak);
   assert.equal(workers.runningTasks.size, 900);
-  assert.equal(workers.starts.length, 900, "none was started again");
+  assert.equal(workers.starts.length, 900, "no task was started again");
   assert.ok(peakValueBytes <= VALUE_BYTES, `${peakValueBytes} bytes in a value`);
 });
--- a/tests/scheduling-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -1,4 +1,4 @@
-/** When scheduling cycles run: in simulated time, with cycles that take a while and timers that fire late. */
+/** Times of scheduling cycles, in simulated time, if cycles take long and timers fire late. */
 import assert from "node:assert/strict";
 import { type TestContext, test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -7,7 +7,7 @@
 const HEARTBEAT_INTERVAL_S = 3;
 const POLL_INTERVAL_MS = 150;
 
-/** A loop on a clock of its own, whose cycles all take `cycleS`. */
+/** A scheduling loop with a simulated clock, in which each cycle takes `cycleS` seconds. */
 class SimulatedLoop {
   now = 100;
   readonly cycleStarts: number[] = [];
@@ -30,7 +30,7 @@
     });
   }
 
-  /** Runs the loop for so many polls, each of whose timers fires late by `lagS`. */
+  /** Runs the loop for the given number of polls, with timers that fire `lagS` seconds late. */
   async runPolls(context: TestContext, polls: number, lagS: number): Promise<void> {
     const running = this.loop.run();
     for (let poll = 1; poll <= polls; poll++) {
@@ -43,19 +43,19 @@
   }
 }
 
-test("the loop rests for twice a cycle's duration after it, and for eight times while overloaded", async (context) => {
+test("the pause after a cycle is twice the cycle's duration, and eight times while the node is overloaded", async (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const cycleS = 0.3;
-  const restS = async (lagS: number): Promise<number> => {
+  const measurePauseS = async (lagS: number): Promise<number> => {
     const simulated = new SimulatedLoop(cycleS);
     await simulated.runPolls(context, 60, lagS);
     const [secondLast, last] = simulated.cycleStarts.slice(-2) as [number, number];
     return last - secondLast - cycleS;
   };
-  const restOnTimeS = await restS(0);
-  const restOverloadedS = await restS(0.2);
-  assert.ok(restOnTimeS >= 0.6 && restOnTimeS < 0.6 + 0.2, `${restOnTimeS} s`);
-  assert.ok(restOverloadedS >= 2.4 && restOverloadedS < 2.4 + 0.4, `${restOverloadedS} s`);
+  const pauseOnTimeS = await measurePauseS(0);
+  const pauseOverloadedS = await measurePauseS(0.2);
+  assert.ok(pauseOnTimeS >= 0.6 && pauseOnTimeS < 0.6 + 0.2, `${pauseOnTimeS} s`);
+  assert.ok(pauseOverloadedS >= 2.4 && pauseOverloadedS < 2.4 + 0.4, `${pauseOverloadedS} s`);
 });
 
 test("a node is overloaded once the lag of its timers exceeds a thirtieth of a heartbeat interval", async (context) => {
@@ -69,7 +69,7 @@
   assert.equal(await isOverloadedAt(0.15), true);
 });
 
-test("inputs during the rest after a cycle cause one cycle once the rest is over", async (context) => {
+test("inputs during the pause after a cycle cause one cycle once the pause is over", async (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const simulated = new SimulatedLoop(0.5);
   simulated.loop.requeue();
@@ -78,7 +78,7 @@
   for (let input = 0; input < 5; input++) simulated.loop.requeue();
   simulated.now += 0.9;
   context.mock.timers.tick(900);
-  assert.equal(simulated.cycleStarts.length, 1, "it rests for twice the cycle's duration");
+  assert.equal(simulated.cycleStarts.length, 1, "the pause lasts for twice the cycle's duration");
   simulated.now += 0.2;
   context.mock.timers.tick(200);
   assert.equal(simulated.cycleStarts.length, 2);
@@ -86,5 +86,5 @@
   simulated.loop.stop();
   simulated.now += 5;
   context.mock.timers.tick(5000);
-  assert.equal(simulated.cycleStarts.length, 2, "none after it was stopped");
+  assert.equal(simulated.cycleStarts.length, 2, "a stopped loop runs no cycle");
 });
--- a/tests/write-budget.test.ts
+++ b/tests/write-budget.test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import { WriteBudget } from "../src/core/state/write-budget.js";
 
-test("the leader may write what the others leave, and two thirds of the limit after a refusal", () => {
+test("the leader may use the rate that other controllers leave, and two thirds of the limit after a refusal", () => {
   const budget = new WriteBudget(30);
-  assert.ok(budget.leaderChangesPerS(0) > 25, "nobody else writes");
-  // Ten submissions a second, on whichever controller.
+  assert.ok(budget.leaderChangesPerS(0) > 25, "no other controller writes");
+  // The controllers together receive ten submissions per second.
   for (let now = 0.25; now <= 10; now += 0.25) {
     budget.recordRequestChanges(2.5);
     budget.leaderChangesPerS(now);
