--- a/tests/admission-control.test.ts
+++ b/tests/admission-control.test.ts
@@ -1,4 +1,4 @@
-/** Admission control of whole controllers: windows over a change of leadership, and rejections on their way to the next window. */
+/** Admission control of several controllers: windows across a change of leadership, and rejections as demand. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -29,8 +29,11 @@
 weight = 4
 `;
 
-/** Admission control of a controller, over the store of a model; times are in milliseconds and seconds. */
-function controlOf(model: AdmissionModel, member: string, wallMs: number, now: () => number) {
+/**
+ * Creates the admission control of a controller on the model's store.
+ * `wallMs` is the wall-clock time in milliseconds, and `now` returns the monotonic time in seconds.
+ */
+function createControl(model: AdmissionModel, member: string, wallMs: number, now: () => number) {
   const decoded = decodeSettings(settingsText());
   const settings = decodeOperatorSettings(CALENDAR).operator!.admission;
   assert.ok("settings" in decoded);
@@ -55,7 +58,7 @@
   return { control, decisions };
 }
 
-/** What a leader in the current epoch of the model gives to admission control. */
+/** The input that a leader of the model's current epoch passes to admission control. */
 function leaderView(model: AdmissionModel, leader: TestLeader): LeaderView {
   const { value, modRevision } = model.store.replica.epoch;
   return {
@@ -66,7 +69,7 @@
   };
 }
 
-/** A leader with a job far larger than its machines. */
+/** A leader with a job that exceeds the capacity of its machines by far. */
 function overloadedLeader(machines: readonly string[]): TestLeader {
   const leader = new TestLeader();
   for (const machine of machines) leader.receiveHeartbeat(machine, []);
@@ -74,44 +77,47 @@
   return leader;
 }
 
-test("at a calendar's boundary in a failover the window determines the periods, whichever node's clock is ahead", async () => {
+test("in a failover at the end of a calendar period, all controllers use the periods stored in the window", async () => {
   const model = new AdmissionModel(1);
   const leader = overloadedLeader(["m1a", "m2b"]);
-  const view = () => leaderView(model, leader);
+  const currentView = () => leaderView(model, leader);
   const now = () => 100;
-  // The clocks differ by 50 ms, and the period ends between the two.
-  const old = controlOf(model, "n0", BOUNDARY - 40, now);
-  const next = controlOf(model, "n1", BOUNDARY + 10, now);
-  const lead = async ({ control }: typeof old): Promise<void> => {
+  // The clocks of the two controllers differ by 50 ms, and the period ends between their times.
+  const former = createControl(model, "n0", BOUNDARY - 40, now);
+  const successor = createControl(model, "n1", BOUNDARY + 10, now);
+  const updateWindowOf = async ({ control }: typeof former): Promise<void> => {
     await control.refresh();
-    control.updateWindow(view());
+    control.updateWindow(currentView());
     await nextTurn();
   };
-  await lead(old);
-  const first = decodeWindow(model.store.items().find(({ key }) => key === "a/w")?.value)!;
-  assert.deepEqual([first.mode, first.periods], ["limited", ["night"]]);
+  await updateWindowOf(former);
+  const firstWindow = decodeWindow(model.store.items().find(({ key }) => key === "a/w")?.value)!;
+  assert.deepEqual([firstWindow.mode, firstWindow.periods], ["limited", ["night"]]);
   model.acquireLeadership();
-  await next.control.refresh();
-  assert.equal(isLimiting(next.control.replica.window!.value, next.control.replica.epoch), false);
-  await lead(next);
-  for (const { control } of [old, next]) await control.refresh();
-  for (const { control } of [old, next]) {
+  await successor.control.refresh();
+  assert.equal(
+    isLimiting(successor.control.replica.window!.value, successor.control.replica.epoch),
+    false,
+  );
+  await updateWindowOf(successor);
+  for (const { control } of [former, successor]) await control.refresh();
+  for (const { control } of [former, successor]) {
     const { version, periods } = control.replica.window!.value;
-    assert.deepEqual([version, periods], [first.version + 1, []]);
+    assert.deepEqual([version, periods], [firstWindow.version + 1, []]);
   }
-  // The former leader, which has not noticed yet, can no longer write under its own epoch.
-  const staleView = { ...view(), epoch: 1, epochModRevision: 1 };
+  // The former leader has not noticed the change of leadership, and can no longer write under its own epoch.
+  const staleView = { ...currentView(), epoch: 1, epochModRevision: 1 };
   const { revision } = model.store;
-  old.control.updateWindow(staleView);
+  former.control.updateWindow(staleView);
   await nextTurn();
   assert.equal(model.store.revision, revision);
-  assert.deepEqual(old.decisions.slice(1), next.decisions.slice(1));
+  assert.deepEqual(former.decisions.slice(1), successor.decisions.slice(1));
 });
 
-test("rejections are stored once per window, and count as demand in the next window", async () => {
+test("rejections are stored at most once per window length, and count as demand in the next window", async () => {
   const model = new AdmissionModel(1);
   let now = 100;
-  const { control } = controlOf(model, "n0", BOUNDARY, () => now);
+  const { control } = createControl(model, "n0", BOUNDARY, () => now);
   const view = leaderView(model, overloadedLeader(["m1a"]));
   control.updateWindow(view);
   await nextTurn();
--- a/tests/admission-decisions.test.ts
+++ b/tests/admission-decisions.test.ts
@@ -1,4 +1,4 @@
-/** Decisions of several controllers in single situations: one burst, lost answers, restarts, and changes of leadership. */
+/** Decisions of several controllers on a burst, after lost answers and restarts, and across changes of leadership. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type LoggedDecision, WHOLE_SHARE } from "../src/admission/index.js";
@@ -12,11 +12,11 @@
 const rejections = (model: AdmissionModel, index: number): Rejection[] =>
   model.controllers[index]!.log.filter((decision) => decision.kind === "reject");
 
-/** Units that the flooding class has used of its grant, as a controller has read them. */
+/** Units of its grant that the flooding class has used, according to the replica of a controller. */
 const usedByFlood = (model: AdmissionModel, index: number): number =>
   model.controllers[index]!.replica.ledgerOf("guest")!.used.get("flood")!.new;
 
-test("two controllers that receive one burst in different orders answer each job alike", () => {
+test("two controllers that receive a burst in different orders give the same answer to each job", () => {
   const model = limitedModel(3);
   const burst = Array.from({ length: 20 }, (_, number) => floodJob(`burst-${number}`));
   const answers = new Map<string, string[]>();
@@ -27,42 +27,43 @@
     }
   }
   model.check();
-  for (const [id, given] of answers) assert.equal(new Set(given).size, 1, `${id}: ${given}`);
-  const accepted = [...answers.values()].filter((given) => given[0] === "accepted");
+  for (const [id, answersToJob] of answers)
+    assert.equal(new Set(answersToJob).size, 1, `${id}: ${answersToJob}`);
+  const accepted = [...answers.values()].filter((answersToJob) => answersToJob[0] === "accepted");
   assert.equal(accepted.length, 3);
 });
 
-test("a burst of ten thousand jobs of one team costs few writes, and others are admitted", () => {
+test("a burst of ten thousand jobs of one team causes few writes, and another team's job is admitted", () => {
   const model = limitedModel(5);
-  const before = model.store.revision;
+  const revisionBefore = model.store.revision;
   for (let number = 0; number < 10_000; number++) {
     model.submit(number % CONTROLLERS, floodJob(`flood-${number}`), "answered");
   }
   for (let index = 0; index < CONTROLLERS; index++) model.flushRejections(index);
   assert.ok(
-    model.store.revision - before <= 5 + CONTROLLERS,
-    `${model.store.revision - before} writes`,
+    model.store.revision - revisionBefore <= 5 + CONTROLLERS,
+    `${model.store.revision - revisionBefore} writes`,
   );
   assert.equal(
     model.submit(0, jobSpec("web-1", { team: "bookings", class: "web" }), "answered"),
     "accepted",
   );
   for (let index = 0; index < CONTROLLERS; index++) model.read(index);
-  const jobs = rejections(model, 0).reduce((sum, rejection) => sum + rejection.jobs, 0);
-  assert.equal(jobs, 9_995, "each refused job is in the log, by its id or counted");
+  const rejectedJobs = rejections(model, 0).reduce((sum, rejection) => sum + rejection.jobs, 0);
+  assert.equal(rejectedJobs, 9_995, "the log contains each rejected job, by its id or in a count");
   model.check();
 });
 
-test("a job submitted to three controllers before any has read it is stored and charged once", () => {
+test("a job submitted to three controllers, none of which has read it yet, is stored and charged once", () => {
   const model = limitedModel(1);
-  const same = floodJob("same", { tasks: 1 });
-  const answers = [0, 1, 2].map((index) => model.submit(index, same, "answered"));
+  const job = floodJob("same", { tasks: 1 });
+  const answers = [0, 1, 2].map((index) => model.submit(index, job, "answered"));
   assert.deepEqual(answers, ["accepted", "accepted", "accepted"]);
   model.check();
   assert.equal(usedByFlood(model, 2), WHOLE_SHARE / 100);
 });
 
-test("a claim that commits late, or whose answer is lost, is charged at most once", () => {
+test("a claim that is delivered late or whose answer is lost is charged at most once", () => {
   const model = limitedModel(2);
   const first = floodJob("first");
   assert.equal(model.submit(0, first, "late"), "uncertain");
@@ -79,7 +80,7 @@
   model.check();
 });
 
-test("a controller that restarts within a window logs none of its rejections, as it cannot know which were logged", () => {
+test("a controller that restarts within a window logs no rejection of it, as some may be logged already", () => {
   const model = limitedModel(0);
   const refused = floodJob("refused");
   assert.equal(model.submit(0, refused, "answered"), "rejected");
@@ -96,7 +97,7 @@
   assert.equal(rejections(model, 2).length, 1);
 });
 
-test("a controller that paused for several windows decides by the newest one", () => {
+test("a controller that has not read for several windows decides by the newest one", () => {
   const model = limitedModel(5);
   for (let window = 0; window < 4; window++) writeGrants(model, [5, 5, 5, 0]);
   const late = floodJob("late");
@@ -105,19 +106,19 @@
   model.check();
 });
 
-test("without a leader the window stays in force; under a new epoch it is not in force until it is written again", () => {
+test("a window stays in force without a leader, but not under a new epoch until the new leader writes it", () => {
   const model = limitedModel(0);
   const first = floodJob("first");
   assert.equal(model.submit(0, first, "answered"), "rejected");
   model.acquireLeadership();
-  // The successor may have admission control disabled: a window of its predecessor must not stay in force forever.
+  // Admission control may be disabled on the new leader. The old window must not stay in force forever in that case.
   assert.equal(model.submit(0, first, "answered"), "accepted");
   writeGrants(model, [0, 0, 0, 0]);
   assert.equal(model.submit(0, floodJob("next"), "answered"), "rejected");
   model.check();
 });
 
-test("new work of a class does not block its followers, and a large job of a class is admitted", () => {
+test("a class that has used its grant still gets follower jobs admitted, and a job may exceed its grant", () => {
   const model = limitedModel(2);
   for (let number = 0; number < 5; number++) {
     model.submit(0, floodJob(`flood-${number}`), "answered");
@@ -134,7 +135,7 @@
   model.check();
 });
 
-test("a job stored by a controller without admission control is logged alike by all, as not charged", () => {
+test("all controllers log a job stored by a controller without admission control as not charged", () => {
   const model = limitedModel(0);
   const value = {
     j: jobSpec("foreign", { team: "guest" }),
--- a/tests/admission-overload.test.ts
+++ b/tests/admission-overload.test.ts
@@ -1,9 +1,9 @@
-/** The short form of `npm run overload`: five times the capacity for half a minute. */
+/** A short run of `npm run overload`: a load of five times the capacity for 30 s. */
 import { type TestContext, test } from "node:test";
 import { playOverload } from "./support/overload/overload-run.js";
 import { assertFair } from "./support/overload/report.js";
 
-test("three controllers under five times the capacity, with disturbances, admit fairly and alike", {
+test("three controllers at five times the capacity, with injected faults, admit fairly and decide alike", {
   timeout: 240_000,
 }, async (context: TestContext) => {
   const report = await playOverload(30);
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Controllers that read late, write late and lose answers decide alike, under random interleavings. Each check of the model
- * fails on a reducer that is broken on purpose.
+ * Property tests under random interleavings: controllers decide alike although reads and writes are delayed and
+ * answers are lost. Injected faults verify that each check of the model can fail.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -73,8 +73,8 @@
   { weight: 1, arbitrary: fc.constant({ kind: "open" } as const) },
 ) as fc.Arbitrary<Action>;
 
-/** The job with this number, which always has the same team, class and size. */
-const jobOf = (number: number): JobSpec =>
+/** Returns the job with the given number, always of the same team, class and size. */
+const jobWithNumber = (number: number): JobSpec =>
   jobSpec(`job-${number}`, {
     team: TEAMS[number % 2]!,
     class: CLASSES[(number >> 1) % 2]!,
@@ -82,8 +82,8 @@
     ...(number % 7 === 6 ? { after: ["before"] } : {}),
   });
 
-/** Plays a sequence of actions on a new model. */
-function play(actions: readonly Action[], faults: InjectedFaults = {}): AdmissionModel {
+/** Performs a sequence of actions on a new model. */
+function runActions(actions: readonly Action[], faults: InjectedFaults = {}): AdmissionModel {
   const model = new AdmissionModel(CONTROLLERS, faults);
   for (const action of actions) perform(model, action);
   return model;
@@ -92,7 +92,7 @@
 function perform(model: AdmissionModel, action: Action): void {
   switch (action.kind) {
     case "submit":
-      model.submit(action.controller, jobOf(action.job), action.fate);
+      model.submit(action.controller, jobWithNumber(action.job), action.fate);
       return;
     case "read":
       model.read(action.controller);
@@ -120,13 +120,13 @@
   }
 }
 
-const modelHolds = (faults: InjectedFaults) =>
+const modelPassesChecks = (faults: InjectedFaults) =>
   fc.property(fc.array(anyAction, { minLength: 20, maxLength: 120 }), (actions) =>
-    play(actions, faults).check(),
+    runActions(actions, faults).check(),
   );
 
-test("under any bursts, orders, pauses and losses there is one log, one answer per job, and no share is exceeded", () => {
-  fc.assert(modelHolds({}), { numRuns: 1500, seed: 29 });
+test("controllers under random delays and losses keep equal logs, give each job one answer and exceed no share", () => {
+  fc.assert(modelPassesChecks({}), { numRuns: 1500, seed: 29 });
 });
 
 const EXPECTED_FAILURES: Record<keyof InjectedFaults, RegExp> = {
@@ -137,9 +137,9 @@
   appliesOutOfOrder: /revision \d+|n1/,
 };
 for (const [fault, expected] of Object.entries(EXPECTED_FAILURES)) {
-  test(`the checks detect a reducer that is broken: ${fault}`, () => {
+  test(`the checks of the model detect the injected fault ${fault}`, () => {
     const run = () =>
-      fc.assert(modelHolds({ [fault]: true }), {
+      fc.assert(modelPassesChecks({ [fault]: true }), {
         numRuns: 400,
         seed: 29,
         includeErrorInReport: true,
@@ -149,7 +149,7 @@
   });
 }
 
-test("values of an unknown form limit nothing and do not throw", () => {
+test("stored values of an unknown form limit no job and cause no error", () => {
   const replica = new AdmissionReplica();
   const values: unknown[] = [
     null,
@@ -169,7 +169,7 @@
   }
 });
 
-test("within a window a verdict only turns from admission to rejection", () => {
+test("within a window, the verdict on a job can only change from admission to rejection", () => {
   const window = limitedWindowOf(1, 1, [3, 3, 3, 3]);
   const isAdmitted = (usedUnits: number, tasks: number): boolean => {
     const used = new Map([["flood", { new: usedUnits, follower: 0 }]]);
@@ -180,8 +180,8 @@
     fc.nat(UNLIMITED),
     fc.integer({ min: 1, max: 100_000 }),
     (first, second, tasks) => {
-      const [less, more] = [Math.min(first, second), Math.max(first, second)];
-      assert.ok(isAdmitted(less, tasks) || !isAdmitted(more, tasks));
+      const [lessUsed, moreUsed] = [Math.min(first, second), Math.max(first, second)];
+      assert.ok(isAdmitted(lessUsed, tasks) || !isAdmitted(moreUsed, tasks));
     },
   );
   fc.assert(property, { numRuns: 500, seed: 30 });
--- a/tests/admission-settings.test.ts
+++ b/tests/admission-settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings of admission control: invalid values, the calendar over daylight-saving changes, and `peatsaddle check`. */
+/** Settings of admission control: invalid values, the calendar at daylight-saving changes, and `peatsaddle check`. */
 import assert from "node:assert/strict";
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -25,7 +25,7 @@
 weight = 4
 `;
 
-test("admission control is disabled by default, and its settings are decoded", () => {
+test("admission control is disabled by default, and its settings are read from the INI file", () => {
   assert.equal(DEFAULT_OPERATOR_SETTINGS.admission.enabled, false);
   const { operator, faults, unknown } = decodeOperatorSettings(SETTLEMENT);
   assert.deepEqual([faults, unknown], [[], []]);
@@ -50,7 +50,7 @@
   });
 });
 
-test("each invalid value is one fault that names its field", () => {
+test("each invalid value is reported as one fault that names its field", () => {
   const faultsOf = (body: string): readonly string[] =>
     decodeOperatorSettings(`[admission]\n${body}`).faults;
   const cases: [string, RegExp][] = [
@@ -85,29 +85,29 @@
   assert.deepEqual(decodeOperatorSettings("[admission]\nburst = 1").unknown, ["admission.burst"]);
 });
 
-test("an invalid file ends the program with code 2 and one line per fault; check prints the settings in force", () => {
+test("the program exits with code 2 and one line per fault of a file, and check prints the settings in force", () => {
   const folder = mkdtempSync(join(tmpdir(), "peatsaddle-"));
-  const file = (name: string, text: string): string => {
+  const writeFile = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
     return join(folder, name);
   };
-  const config = file("settings.json", settingsText());
+  const config = writeFile("settings.json", settingsText());
   const run = (...args: string[]) =>
     spawnSync(process.execPath, [PROGRAM, ...args], { encoding: "utf8" });
-  const bad = file("bad.ini", "[admission]\nwindow_ratio = 0\ntime_zone = nowhere\n");
-  const ended = run("--config", config, "--operator", bad);
-  assert.equal(ended.status, 2);
+  const invalidFile = writeFile("bad.ini", "[admission]\nwindow_ratio = 0\ntime_zone = nowhere\n");
+  const failedRun = run("--config", config, "--operator", invalidFile);
+  assert.equal(failedRun.status, 2);
   assert.deepEqual(
-    ended.stderr
+    failedRun.stderr
       .trim()
       .split("\n")
       .map((line) => line.split(":")[0]),
     ["admission.window_ratio", "admission.time_zone"],
   );
-  const good = file("good.ini", SETTLEMENT);
-  const checked = run("check", "--config", config, "--operator", good);
-  assert.equal(checked.status, 0, checked.stderr);
-  assert.equal(JSON.parse(checked.stdout).operator.admission.queueRatio, 3);
+  const validFile = writeFile("good.ini", SETTLEMENT);
+  const checkRun = run("check", "--config", config, "--operator", validFile);
+  assert.equal(checkRun.status, 0, checkRun.stderr);
+  assert.equal(JSON.parse(checkRun.stdout).operator.admission.queueRatio, 3);
 });
 
 const CALENDAR: Calendar = {
@@ -121,24 +121,24 @@
 const activeAt = (utc: string): string[] =>
   activePeriods(CALENDAR, Date.parse(utc)).map((period) => period.name);
 
-test("periods follow the clocks of the time zone, past midnight and through daylight-saving changes", () => {
-  // Winter: Lisbon is at UTC. Saturday's period extends into Sunday morning; Friday has none.
+test("calendar periods follow the local time of the time zone, past midnight and at daylight-saving changes", () => {
+  // In winter, local time in Lisbon is UTC. Saturday's period extends into Sunday morning; Friday has no period.
   assert.deepEqual(activeAt("2026-01-10T21:59:59Z"), []);
   assert.deepEqual(activeAt("2026-01-10T22:00:00Z"), ["night"]);
   assert.deepEqual(activeAt("2026-01-11T05:59:59Z"), ["night"]);
   assert.deepEqual(activeAt("2026-01-11T06:00:00Z"), []);
   assert.deepEqual(activeAt("2026-01-10T05:00:00Z"), []);
-  // Summer: an hour earlier by UTC.
+  // In summer, the period begins an hour earlier in UTC.
   assert.deepEqual(activeAt("2026-07-11T21:00:00Z"), ["night"]);
-  // 29 March: 01:00 is skipped to 02:00, so the night is an hour shorter.
+  // On 29 March, clocks go from 01:00 to 02:00, so the night is an hour shorter.
   assert.deepEqual(activeAt("2026-03-29T04:59:59Z"), ["night"]);
   assert.deepEqual(activeAt("2026-03-29T05:00:00Z"), []);
-  // 25 October: 01:00 to 02:00 occurs twice, so the night is an hour longer.
+  // On 25 October, the hour from 01:00 to 02:00 occurs twice, so the night is an hour longer.
   assert.deepEqual(activeAt("2026-10-24T20:59:59Z"), []);
   assert.deepEqual(activeAt("2026-10-24T21:00:00Z"), ["night"]);
   assert.deepEqual(activeAt("2026-10-25T05:59:59Z"), ["night"]);
   assert.deepEqual(activeAt("2026-10-25T06:00:00Z"), []);
-  // A whole day, to its last moment.
+  // A period of a whole day lasts until midnight.
   assert.deepEqual(activeAt("2026-01-14T00:00:00Z"), ["day"]);
   assert.deepEqual(activeAt("2026-01-14T23:59:59Z"), ["day"]);
   assert.deepEqual(activeAt("2026-01-15T00:00:00Z"), []);
--- a/tests/admission-shares.test.ts
+++ b/tests/admission-shares.test.ts
@@ -1,4 +1,4 @@
-/** Shares against a linear-programming solver, and what the windows computed from them guarantee. */
+/** Fair shares compared with a linear-programming solver, and the guarantees of windows computed from them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -21,21 +21,21 @@
   fairShareInputOf,
 } from "./support/fair-share-solver.js";
 
-test("progressive filling gives the shares of a linear-programming solver", () => {
-  const holds = fc.property(anyFlatProblem, (problem) =>
+test("progressive filling and a linear-programming solver compute the same shares", () => {
+  const property = fc.property(anyFlatProblem, (problem) =>
     assertAgreesWithSolver(problem, fairFractions(fairShareInputOf(problem))),
   );
-  fc.assert(holds, { numRuns: 150, seed: 27 });
+  fc.assert(property, { numRuns: 150, seed: 27 });
 });
 
-test("the comparison with the solver fails on shares that ignore weights", () => {
-  const broken = fc.property(anyFlatProblem, (problem) => {
+test("the comparison with the solver detects shares that ignore the weights of teams", () => {
+  const brokenProperty = fc.property(anyFlatProblem, (problem) => {
     const input = fairShareInputOf(problem);
     const equalWeights = new Map([...input.teamWeights.keys()].map((team) => [team, 1]));
     const fractions = fairFractions({ ...input, teamWeights: equalWeights });
     assertAgreesWithSolver(problem, fractions);
   });
-  assert.throws(() => fc.assert(broken, { numRuns: 150, seed: 27 }));
+  assert.throws(() => fc.assert(brokenProperty, { numRuns: 150, seed: 27 }));
 });
 
 const TEAMS: Team[] = [
@@ -46,7 +46,7 @@
 
 const CAPACITY: ResourceVector = { cpus: 100, gpus: 0, memoryGb: 400 };
 
-/** A class with unfinished and rejected jobs, which need these numbers of CPUs. */
+/** A class whose unfinished and rejected jobs need the given numbers of CPUs. */
 const usage = (team: string, name: string, unfinished: number, refused = 0): ClassUsage => ({
   team,
   class: name,
@@ -81,21 +81,21 @@
   return found.lanes.new;
 };
 
-test("a flood of one team leaves the others what they are guaranteed", () => {
+test("the other teams keep their guarantees during a flood of one team's jobs", () => {
   const input = windowInput([usage("guest", "flood", 0, 100_000), usage("bookings", "web", 0, 60)]);
-  // Forty of a hundred are guaranteed; with the queue beside it, three times as much may be unfinished.
+  // Forty of a hundred CPUs are guaranteed. With a queue ratio of 2, three times as much work may be unfinished.
   assert.ok(grantedUnits(input, "bookings", "web") >= 0.4 * 3 * WHOLE_SHARE);
   assert.ok(grantedUnits(input, "guest", "flood") > 0);
 });
 
-test("a class with its whole share unfinished is granted nothing, and is granted again as the work completes", () => {
-  const full = windowInput([usage("guest", "flood", 5000), usage("bookings", "web", 30, 30)]);
-  assert.equal(grantedUnits(full, "guest", "flood"), 0);
-  const drained = windowInput([usage("guest", "flood", 20), usage("bookings", "web", 30, 30)]);
-  assert.ok(grantedUnits(drained, "guest", "flood") > 0);
+test("a class whose unfinished work is its whole share gets no grant until part of the work completes", () => {
+  const fullInput = windowInput([usage("guest", "flood", 5000), usage("bookings", "web", 30, 30)]);
+  assert.equal(grantedUnits(fullInput, "guest", "flood"), 0);
+  const drainedInput = windowInput([usage("guest", "flood", 20), usage("bookings", "web", 30, 30)]);
+  assert.ok(grantedUnits(drainedInput, "guest", "flood") > 0);
 });
 
-test("each class has a share even if the guarantees exceed the capacity", () => {
+test("each class has a share even if the guarantees of the teams exceed the capacity", () => {
   const teams = TEAMS.map((team) => (team.name === "bookings" ? { ...team, cpus: 1000 } : team));
   const input = windowInput([usage("guest", "a", 0, 500), usage("bookings", "web", 0, 500)], {
     teams,
@@ -103,23 +103,25 @@
   assert.ok(grantedUnits(input, "guest", "a") > 0.01 * WHOLE_SHARE);
 });
 
-test("unused shares go to others, and return to their team with the next window", () => {
-  const alone = windowInput([usage("guest", "flood", 0, 1000)]);
-  const together = windowInput([
+test("an unused share goes to other teams, and returns to its team with the next window", () => {
+  const aloneInput = windowInput([usage("guest", "flood", 0, 1000)]);
+  const sharedInput = windowInput([
     usage("guest", "flood", 0, 1000),
     usage("bookings", "web", 0, 1000),
   ]);
-  assert.ok(grantedUnits(alone, "guest", "flood") > 2 * grantedUnits(together, "guest", "flood"));
+  assert.ok(
+    grantedUnits(aloneInput, "guest", "flood") > 2 * grantedUnits(sharedInput, "guest", "flood"),
+  );
 });
 
-test("a team's limit bounds its grants, and while the cloud grants machines only its own", () => {
+test("a team's limit bounds its own grants, and no other limit applies while the cluster can grow", () => {
   const classes = [usage("settlement", "night", 0, 10_000), usage("bookings", "web", 0, 10)];
   const input = windowInput(classes, { growing: true });
   assert.ok(grantedUnits(input, "settlement", "night") <= 0.6 * 3 * WHOLE_SHARE + 1);
   assert.equal(grantedUnits(input, "bookings", "web"), UNLIMITED);
 });
 
-test("within the guarantee production work of a team has precedence over its other work", () => {
+test("within a team's guarantee, production work has precedence over the other work of the team", () => {
   const classes = [
     { ...usage("bookings", "web", 0, 30), production: true },
     usage("bookings", "report", 0, 1000),
@@ -129,7 +131,7 @@
   assert.ok(shared >= 0.3 * 3 * WHOLE_SHARE - 3, `${shared}`);
 });
 
-test("capacity that falls by half halves what a flood is granted, with the next window", () => {
+test("when the capacity falls by half, the grant of a flooding class falls by half with the next window", () => {
   const classes = [usage("guest", "flood", 0, 1000), usage("bookings", "web", 0, 1000)];
   const before = grantedUnits(windowInput(classes), "guest", "flood") * 100;
   const capacity = { cpus: 50, gpus: 0, memoryGb: 200 };
@@ -137,7 +139,7 @@
   assert.ok(after < 0.6 * before, `${after} of ${before}`);
 });
 
-test("classes that exceed the size of the value share the grant for others, and the value stays within its limit", () => {
+test("classes that do not fit the window's value share one grant, and the value stays within its size limit", () => {
   const classes = Array.from({ length: 3000 }, (_, index) =>
     usage("guest", `class-${index}`, 0, 1 + index),
   );
@@ -155,14 +157,14 @@
   );
 });
 
-test("the load ratio counts what cannot run now: of the cluster only if it cannot grow, of a team by its limit", () => {
+test("the load ratio relates unfinished work to the capacity if the cluster cannot grow, and to team limits", () => {
   const classes = [usage("bookings", "web", 300)];
   assert.equal(loadRatio(windowInput(classes)), 3);
   assert.equal(loadRatio(windowInput(classes, { growing: true })), 0);
   assert.equal(loadRatio(windowInput([usage("settlement", "n", 120)], { growing: true })), 2);
 });
 
-test("for any load grants are non-negative integers, and the sum of shares does not exceed the capacity", () => {
+test("for any load, grants are non-negative integers and do not add up to more than the capacity and the queue", () => {
   const load = fc.array(
     fc.record({
       team: fc.constantFrom(...TEAMS.map((team) => team.name)),
@@ -172,7 +174,7 @@
     }),
     { maxLength: 8 },
   );
-  const holds = fc.property(load, (entries) => {
+  const property = fc.property(load, (entries) => {
     const unique = new Map(entries.map((entry) => [`${entry.team}/${entry.class}`, entry]));
     const classes = [...unique.values()].map((entry) =>
       usage(entry.team, entry.class, entry.unfinished, entry.refused),
@@ -182,8 +184,8 @@
     for (const { team, class: className, lanes } of grants) {
       assert.ok(Number.isSafeInteger(lanes.new) && lanes.new >= 0);
       assert.ok(lanes.follower >= 1, "followers are admitted in each window");
-      const own = classes.find((entry) => entry.team === team && entry.class === className);
-      const unfinished = dominantShare(own?.unfinished ?? NO_RESOURCES, CAPACITY);
+      const classUsage = classes.find((entry) => entry.team === team && entry.class === className);
+      const unfinished = dominantShare(classUsage?.unfinished ?? NO_RESOURCES, CAPACITY);
       if (lanes.new > 1) allowedUnits += lanes.new + unfinished;
     }
     assert.ok(
@@ -191,5 +193,5 @@
       `${allowedUnits / WHOLE_SHARE}`,
     );
   });
-  fc.assert(holds, { numRuns: 300, seed: 28 });
+  fc.assert(property, { numRuns: 300, seed: 28 });
 });
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -1,4 +1,4 @@
-/** Admission by whole controllers under a burst, without their leader, and with a state service that fails. */
+/** Admission by a cluster of controllers in a burst, after the leader stops, and while the state service fails. */
 import assert from "node:assert/strict";
 import { AdmissionReplica, admissionStatus, formatStatus } from "../src/admission/index.js";
 import { sleepSeconds } from "../src/time/sleep.js";
@@ -9,7 +9,7 @@
 
 const ENABLED = "[admission]\nenabled = true\nqueue_ratio = 1\n";
 const OPTIONS = { operatorIni: ENABLED, leaseS: 6 };
-/** Sixteen CPUs run four tasks with four CPUs each; the queue takes as much again. */
+/** A cluster of 16 CPUs runs four tasks of four CPUs each, and its queue holds as much work again. */
 const FLOOD = { class: "flood", tasks: 4, cpus: 4 };
 
 const admissionKeys = (cluster: InProcessCluster): string[] =>
@@ -18,7 +18,7 @@
 const storedWindow = (cluster: InProcessCluster) =>
   cluster.stateService.entries.get("a/w")?.value as { n: number; m: string; e: number } | undefined;
 
-/** Fills the cluster and its queue until the leader limits admission. */
+/** Submits jobs until the cluster and its queue are full and the leader limits admission. */
 async function fillUntilLimited(cluster: InProcessCluster, name: string): Promise<void> {
   await waitUntil("the cloud has refused machines, and admission is limited", async () => {
     if (storedWindow(cluster)?.m === "limited") return true;
@@ -39,11 +39,11 @@
 };
 
 clusterTest(
-  "a burst at all controllers is rejected at once, accepted jobs stay accepted, and the logs agree",
+  "all controllers reject a burst at once, keep accepted jobs accepted and log the same decisions",
   OPTIONS,
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
-    await waitUntil("the class has nothing left", async () =>
+    await waitUntil("the grant of the class is used up", async () =>
       isRejected(await cluster.submitJob(1, `probe-${performance.now()}`, FLOOD)),
     );
     for (let round = 0; round < 5; round++) {
@@ -61,7 +61,7 @@
       key.startsWith("p/"),
     );
     for (const [number, key] of accepted.entries()) {
-      // By any controller, in any window.
+      // Any controller confirms an accepted job, in any window.
       assert.equal((await cluster.submitJob(number % 3, key.slice(2), FLOOD)).status, 200);
     }
     // Queries, cancellations and invalid submissions are not subject to admission.
@@ -70,10 +70,10 @@
     assert.equal((await cluster.submitJob(1, "bad", { ...FLOOD, tasks: 0 })).status, 400);
     const cancelled = accepted[0]!.slice(2);
     await waitUntil(
-      "a cancellation goes through",
+      "the cancellation is accepted",
       async () => (await cluster.cancelJob(2, cancelled)).status === 200,
     );
-    // The first job of another class of the team is admitted by the grant for others.
+    // The first job of another class of the team is admitted under the grant for classes without one of their own.
     await waitUntil(
       "another class is admitted",
       async () => (await cluster.submitJob(2, "other", { class: "web", tasks: 1 })).status <= 201,
@@ -95,47 +95,52 @@
 );
 
 clusterTest(
-  "a leader that stops between a window and a claim is succeeded by one that writes the next window",
+  "after the leader stops between a window and a claim, the next leader writes the next window",
   OPTIONS,
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
     const formerLeader = cluster.leaderIndex();
-    const before = storedWindow(cluster)!;
+    const windowBefore = storedWindow(cluster)!;
     await cluster.stopNode(formerLeader);
-    const others = [0, 1, 2].filter((node) => node !== formerLeader);
-    await waitUntil("a window of the new term", () => (storedWindow(cluster)?.e ?? 0) > before.e);
-    assert.ok(storedWindow(cluster)!.n > before.n);
+    const remainingNodes = [0, 1, 2].filter((node) => node !== formerLeader);
+    await waitUntil(
+      "the new leader writes a window",
+      () => (storedWindow(cluster)?.e ?? 0) > windowBefore.e,
+    );
+    assert.ok(storedWindow(cluster)!.n > windowBefore.n);
     assert.equal(storedWindow(cluster)!.m, "limited");
-    await waitUntil("it binds", async () =>
-      isRejected(await cluster.submitJob(others[0]!, `late-${performance.now()}`, FLOOD)),
+    await waitUntil("the new window limits admission", async () =>
+      isRejected(await cluster.submitJob(remainingNodes[0]!, `late-${performance.now()}`, FLOOD)),
     );
     await sleepSeconds(1);
-    assert.ok(compareDecisionLogs(others.map((node) => cluster.admissionDecisions[node]!)) > 0);
+    assert.ok(
+      compareDecisionLogs(remainingNodes.map((node) => cluster.admissionDecisions[node]!)) > 0,
+    );
   },
 );
 
 clusterTest(
-  "controllers that the state service refuses answer 503, and never a verdict",
+  "controllers answer 503 instead of a verdict while the state service refuses their requests",
   OPTIONS,
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
-    const alone = [0, 1, 2].find((node) => node !== cluster.leaderIndex())!;
-    cluster.nodes[alone]!.stateProxy.isRefusing = true;
+    const refusedNode = [0, 1, 2].find((node) => node !== cluster.leaderIndex())!;
+    cluster.nodes[refusedNode]!.stateProxy.isRefusing = true;
     await waitUntil(
-      "the node answers that it cannot decide",
-      async () => (await cluster.submitJob(alone, "alone", FLOOD)).status === 503,
+      "the controller answers that it cannot decide",
+      async () => (await cluster.submitJob(refusedNode, "alone", FLOOD)).status === 503,
     );
     for (const { stateProxy } of cluster.nodes) stateProxy.isRefusing = true;
     await sleepSeconds(0.5);
     for (const node of [0, 1, 2]) {
       await waitUntil(
-        "no node can decide",
+        "no controller can decide",
         async () => (await cluster.submitJob(node, "nobody", FLOOD)).status === 503,
       );
     }
     for (const { stateProxy } of cluster.nodes) stateProxy.reopen();
-    await waitUntil("verdicts are back", async () =>
-      isRejected(await cluster.submitJob(alone, `back-${performance.now()}`, FLOOD)),
+    await waitUntil("the controller decides again", async () =>
+      isRejected(await cluster.submitJob(refusedNode, `back-${performance.now()}`, FLOOD)),
     );
     await sleepSeconds(1);
     compareDecisionLogs(cluster.admissionDecisions);
@@ -143,34 +148,34 @@
 );
 
 clusterTest(
-  "a claim whose answer is lost is charged once, and its job accepted once",
+  "a claim whose answer is lost is charged once, and its job is accepted once",
   OPTIONS,
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
-    let lost = 0;
+    let claimCount = 0;
     for (const { stateProxy } of cluster.nodes) {
       stateProxy.fateOf = (transaction) => {
         const isClaim = transaction.changes.some(
           ({ op, key }) => op === "put" && key.startsWith("a/t/"),
         );
-        return isClaim && lost++ % 2 === 0 ? "answer lost" : "answered";
+        return isClaim && claimCount++ % 2 === 0 ? "answer lost" : "answered";
       };
     }
     // The class is new, so that each window admits some of its jobs.
     const ids = Array.from({ length: 8 }, (_, number) => `lost-${number}`);
     for (const [number, id] of ids.entries()) {
       await waitUntil(
-        `${id} is accepted`,
+        `job ${id} is accepted`,
         async () =>
           (await cluster.submitJob(number % 3, id, { class: "web", tasks: 1, cpus: 0.25 }))
             .status <= 201,
       );
     }
-    assert.ok(lost > 0);
+    assert.ok(claimCount > 0);
     for (const { stateProxy } of cluster.nodes) stateProxy.fateOf = () => "answered";
     for (const id of ids) {
       await waitUntil(
-        `${id} is known`,
+        `job ${id} is known`,
         async () => (await cluster.submitJob(0, id)).status === 200,
       );
     }
@@ -180,12 +185,12 @@
 );
 
 clusterTest(
-  "windows and claims stay within limits of the state service that are lowered during a burst",
+  "windows and claims stay within the limits of the state service after these are lowered in a burst",
   OPTIONS,
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
     cluster.stateService.limits = { valueBytes: 2048, txnOps: 8 };
-    await waitUntil("a later window", async () => {
+    await waitUntil("the leader writes a later window", async () => {
       await Promise.all(
         [0, 1, 2].map((node) => cluster.submitJob(node, `b-${node}-${performance.now()}`, FLOOD)),
       );
@@ -199,34 +204,34 @@
 );
 
 clusterTest(
-  "while it is disabled nothing is stored, and it can be enabled and disabled while serving",
+  "admission control stores nothing while disabled, and can be enabled and disabled in a running cluster",
   { ...OPTIONS, operatorIni: "" },
   async (cluster) => {
     for (let number = 0; number < 20; number++) {
       await waitUntil(
-        `${number} is accepted`,
+        `job off-${number} is accepted`,
         async () => (await cluster.submitJob(number % 3, `off-${number}`, FLOOD)).status <= 201,
       );
     }
     await sleepSeconds(1);
     assert.deepEqual(admissionKeys(cluster), []);
-    // Admission control is enabled on one controller after the other; until the leader has it, nothing is limited.
+    // Enables admission control on one controller after the other. Nothing is limited until it is enabled on the leader.
     for (const node of [0, 1, 2]) {
       await cluster.stopNode(node);
       await cluster.startNode(node, ENABLED);
     }
     await waitUntil("the leader limits admission", () => storedWindow(cluster)?.m === "limited");
-    await waitUntil("a node refuses", async () =>
+    await waitUntil("a controller rejects a job", async () =>
       isRejected(await cluster.submitJob(0, `on-${performance.now()}`, FLOOD)),
     );
-    // Disabled again, one by one: the last window is not in force under the next epoch.
+    // Disables it on one controller after the other. The last window is not in force under the next epoch.
     for (const node of [0, 1, 2]) {
       await cluster.stopNode(node);
       await cluster.startNode(node, "");
     }
     for (const node of [0, 1, 2]) {
       await waitUntil(
-        "all is admitted",
+        "the controller admits a job",
         async () => (await cluster.submitJob(node, `again-${node}`, FLOOD)).status <= 201,
       );
     }
--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -1,4 +1,4 @@
-/** Windows over time: when admission is limited and opens again, and that every class makes progress under overload. */
+/** Sequences of windows: times at which admission is limited and opens, and progress of each class under overload. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { jobSpec } from "./support/job-builders.js";
@@ -23,7 +23,7 @@
   everyS: 30,
 };
 
-test("below overload nothing is written and nothing rejected", () => {
+test("without overload no window is written and no job is rejected", () => {
   const overload = new OverloadSimulation([
     { ...SMALL, everyS: 2 },
     { ...HUGE, everyS: 60 },
@@ -33,45 +33,45 @@
   assert.ok(overload.jobs.every(isAdmittedAtOnce));
 });
 
-test("a class of huge jobs and one of four small jobs a second both make progress within a bound", () => {
+test("a class of huge jobs and a class of four small jobs per second both make progress within a bound", () => {
   const overload = new OverloadSimulation([SMALL, HUGE]);
   overload.run(0, 600);
   assert.equal(overload.windows.at(-1)?.mode, "limited");
-  // The class's whole share completes one huge job in 150 * 10 / 50 s; the next window admits the next job.
+  // With its whole share, the class completes a huge job in 150 * 10 / 50 s, and the next window admits the next job.
   const boundS = (150 * TASK_S) / (CPUS / 2) + 2 * WINDOW_S;
   assert.ok(
     overload.longestWaitS("huge", 600) <= boundS,
     `${overload.longestWaitS("huge", 600)} s of ${boundS} s`,
   );
-  // Its arrivals need 50 CPUs, which is its share; the rest is for the flood.
+  // The huge jobs need 50 CPUs, which is the share of their class. The rest is for the small jobs.
   const totalCpuSeconds = 600 * CPUS;
   assert.ok(overload.servedCpuSeconds("huge") >= 0.4 * totalCpuSeconds);
   assert.ok(overload.servedCpuSeconds("small") >= 0.4 * totalCpuSeconds);
   overload.model.check();
 });
 
-test("the next window follows capacity that falls by half, and no class starves", () => {
+test("after the capacity falls by half, the next window has the new capacity and no class starves", () => {
   const overload = new OverloadSimulation([SMALL, HUGE]);
   overload.run(0, 200);
   overload.cpus = CPUS / 2;
   overload.run(200, 203 + WINDOW_S);
   assert.equal(overload.windows.at(-1)!.capacity.cpus, CPUS / 2);
-  const before = overload.servedCpuSeconds("huge");
+  const servedBefore = overload.servedCpuSeconds("huge");
   overload.run(203 + WINDOW_S, 500);
-  assert.ok(overload.servedCpuSeconds("huge") - before >= 0.35 * 297 * overload.cpus);
+  assert.ok(overload.servedCpuSeconds("huge") - servedBefore >= 0.35 * 297 * overload.cpus);
   overload.model.check();
 });
 
-test("when the flood ends admission opens again, and no further window is written", () => {
+test("admission opens when the flood ends, and no further window is written", () => {
   const overload = new OverloadSimulation([SMALL, HUGE]);
   overload.run(0, 100);
-  // The arrivals of a hundred seconds take five hundred to complete.
-  const calm = [{ ...SMALL, everyS: 5 }];
-  overload.run(100, 800, calm);
+  // The jobs that arrive in 100 s take 500 s to complete.
+  const lightLoad = [{ ...SMALL, everyS: 5 }];
+  overload.run(100, 800, lightLoad);
   assert.equal(overload.windows.at(-1)?.mode, "open");
   const windowCount = overload.windows.length;
-  overload.run(800, 1000, calm);
+  overload.run(800, 1000, lightLoad);
   assert.equal(overload.windows.length, windowCount);
-  const late = overload.jobs.filter((job) => job.submittedAt >= 800);
-  assert.ok(late.length > 0 && late.every(isAdmittedAtOnce));
+  const laterJobs = overload.jobs.filter((job) => job.submittedAt >= 800);
+  assert.ok(laterJobs.length > 0 && laterJobs.every(isAdmittedAtOnce));
 });
