--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -215,7 +215,7 @@
     }
     await sleepSeconds(1);
     assert.deepEqual(admissionKeys(cluster), []);
-    // Enables admission control on one controller after the other. Nothing is limited until it is enabled on the leader.
+    // Enables admission control on the controllers one by one. Nothing is limited until it is enabled on the leader.
     for (const node of [0, 1, 2]) {
       await cluster.stopNode(node);
       await cluster.startNode(node, ENABLED);
--- a/tests/at-size.test.ts
+++ b/tests/at-size.test.ts
@@ -1,4 +1,4 @@
-/** Invariants with many hundred machines and jobs: counts of operations, never times. */
+/** Invariants with several hundred machines and jobs. The tests count operations and measure no times. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -11,17 +11,17 @@
 
 const MACHINES = 700;
 
-/** Limits of a transaction: changes and bytes. */
+/** Limits of a transaction, in changes and in bytes. */
 const MAX_CHANGES = 32;
 const MAX_BYTES = 60_000;
 
 /** Size limit of a stored value, in bytes. */
 const MAX_VALUE_BYTES = 8 * 1024;
 
-/** Requests of one sort, probes or fencing tokens, in flight at the most: a share of the 1,500 sockets. */
+/** Maximum number of probes, and of fencing-token requests, in flight: a share of the 1,500 sockets. */
 const MAX_REQUESTS_IN_FLIGHT = 1500 / 50;
 
-/** The names end in the zone: a or b. */
+/** Returns the name of a machine, which ends in its zone, a or b. */
 const machineName = (index: number): string =>
   `m-${String(index).padStart(6, "0")}${index % 2 ? "b" : "a"}`;
 
@@ -33,25 +33,25 @@
   return leader;
 }
 
-test("machines that register together are persisted as machine-record shards, in few changes", () => {
+test("machines that register at the same time are persisted in few changes, as machine-record shards", () => {
   const leader = leaderOfManyMachines();
   let changes = 0;
-  const next = () => leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES);
-  for (let transaction = next(); transaction !== null; transaction = next()) {
+  const nextTransaction = () => leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES);
+  for (let transaction = nextTransaction(); transaction !== null; transaction = nextTransaction()) {
     changes += transaction.changes.length;
     leader.commitWrite(transaction);
   }
-  const stored = [...leader.replica.machineShards.values()].flatMap((shard) =>
+  const storedNames = [...leader.replica.machineShards.values()].flatMap((shard) =>
     Object.keys(shard.value),
   );
-  assert.equal(new Set(stored).size, MACHINES);
+  assert.equal(new Set(storedNames).size, MACHINES);
   assert.ok(changes <= MACHINES / 40, `${changes} changes`);
   for (const shard of leader.replica.machineShards.values()) {
     assert.ok(JSON.stringify(shard.value).length < MAX_VALUE_BYTES);
   }
 });
 
-test("placements of low priority are persisted while urgent ones come as fast as transactions commit", () => {
+test("low-priority placements are persisted although urgent ones arrive as fast as transactions commit", () => {
   const leader = new TestLeader();
   const sendHeartbeats = () => {
     for (let index = 0; index < 40; index++) leader.receiveHeartbeatOnly(machineName(index), []);
@@ -69,28 +69,31 @@
     sendHeartbeats();
     leader.commitWrite(leader.scheduler.nextTransaction(1, MAX_BYTES, false, leader.now)!);
   }
-  // Two jobs arrive with each write, every 0.8 s. Those of the first 6 s are persisted first: two priorities, 3 s each.
+  // Two jobs arrive with each write, every 0.8 s. Those that arrive in the first 6 s precede the low-priority job:
+  // it is two priorities below them, and each step of priority counts as 3 s of waiting.
   assert.ok(writes > 2 && writes <= 18, `after ${writes} writes`);
 });
 
-test("a successor advances the fencing token of few machines at a time, those with replicas first", () => {
+test("a new leader sends its fencing token to few machines at a time, and first to those with service tasks", () => {
   const predecessor = leaderOfManyMachines();
   predecessor.flushWrites();
   predecessor.submit(
     jobSpec("web", { kind: "service", priority: "production", tasks: 3, cpus: 4 }),
   );
-  const withReplicas = new Set(predecessor.unansweredRequests.map((request) => request.machine));
-  assert.equal(withReplicas.size, 3);
+  const machinesWithServiceTasks = new Set(
+    predecessor.unansweredRequests.map((request) => request.machine),
+  );
+  assert.equal(machinesWithServiceTasks.size, 3);
   const leader = new TestLeader({ replica: predecessor.replica, epoch: 2, now: predecessor.now });
   leader.tick(1);
   assert.deepEqual(
     new Set(leader.unansweredRequests.map((request) => request.machine)),
-    withReplicas,
+    machinesWithServiceTasks,
   );
   for (let step = 0; step < 4; step++) leader.tick(1.6);
   assert.ok(
     leader.unansweredRequests.length <= MAX_REQUESTS_IN_FLIGHT,
-    `${leader.unansweredRequests.length} at once`,
+    `${leader.unansweredRequests.length} requests at once`,
   );
   leader.epoch = 2;
   leader.answerRequest([]);
@@ -101,38 +104,41 @@
   assert.equal(tokenRequests.length, MAX_REQUESTS_IN_FLIGHT);
 });
 
-test("machines whose heartbeats are on time are rarely probed", () => {
+test("machines that send heartbeats on time are rarely probed", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   let probes = 0;
-  const count = (effects: Effect[]): void => {
+  const countProbes = (effects: Effect[]): void => {
     probes += effects.filter((effect) => effect.kind === "probe").length;
     leader.performEffects(effects);
   };
   for (let step = 0; step < 60; step++) {
     leader.now += 0.15;
-    // The heartbeat interval is 3 s: each heartbeat is on time, a twentieth of them at each step.
+    // The heartbeat interval is 3 s. Each heartbeat is on time; a twentieth of the machines send one in each step.
     for (let index = step % 20; index < MACHINES; index += 20)
       leader.receiveHeartbeatOnly(machineName(index), []);
-    count(leader.scheduler.tick(leader.now, leader.now * 1000));
+    countProbes(leader.scheduler.tick(leader.now, leader.now * 1000));
   }
   assert.ok(probes <= 40 * 0.25 * 9 + 10, `${probes} probes in 9 s`);
 });
 
-test("probes of many overdue workers are limited in number at a time", () => {
+test("the number of probes in flight is limited while many workers are overdue", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
-  const probed = new Set<string>();
+  const probedMachines = new Set<string>();
   for (let step = 0; step < 3; step++) {
     leader.now += 1.4;
     for (const effect of leader.scheduler.tick(leader.now, leader.now * 1000)) {
-      if (effect.kind === "probe") probed.add(effect.machine);
+      if (effect.kind === "probe") probedMachines.add(effect.machine);
     }
   }
-  assert.ok(probed.size > 0 && probed.size <= MAX_REQUESTS_IN_FLIGHT, `${probed.size} probed`);
+  assert.ok(
+    probedMachines.size > 0 && probedMachines.size <= MAX_REQUESTS_IN_FLIGHT,
+    `${probedMachines.size} machines probed`,
+  );
 });
 
-test("after a failover at most a few machines are released in a heartbeat interval", () => {
+test("after a failover, no machine is released at first, and later at most a few in a heartbeat interval", () => {
   const predecessor = leaderOfManyMachines();
   predecessor.flushWrites();
   const leader = new TestLeader({ replica: predecessor.replica, epoch: 2, now: predecessor.now });
@@ -142,7 +148,7 @@
     const machines = [...leader.scheduler.cluster.machines.values()];
     return machines.filter((machine) => machine.state === "releasing").length;
   };
-  // Four of five machines send heartbeats to the new leader, the others not yet.
+  // Four of five machines send heartbeats to the new leader. The others have not sent one yet.
   for (let step = 0; step < 45; step++) {
     leader.now += 0.3;
     if (step % 10 === 0) {
@@ -154,10 +160,10 @@
     leader.unansweredRequests.length = 0;
     if (leader.now - startedAt < 3 * 2 + 7) assert.equal(releasedCount(), 0);
   }
-  assert.ok(releasedCount() <= MACHINES / 20, `${releasedCount()} released`);
+  assert.ok(releasedCount() <= MACHINES / 20, `${releasedCount()} machines released`);
 });
 
-test("no request is sent while time passes and no command is due", () => {
+test("no request is sent while no command is due", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
   leader.submit(jobSpec("j", { tasks: 100, team: "maps" }));
@@ -179,10 +185,10 @@
   assert.equal(leader.unansweredRequests.length, 0);
 });
 
-test("a gang of many machines is not starved by a stream of small jobs", () => {
+test("a gang that needs many machines is not starved by a stream of small jobs", () => {
   const leader = new TestLeader();
   for (const index of [0, 2, 4, 6]) leader.receiveHeartbeat(machineName(index), []);
-  // Each machine runs a small job to begin with.
+  // At first, each machine runs a small job.
   for (let index = 0; index < 4; index++) {
     leader.submit(jobSpec(`s${index}`, { kind: "gang", cpus: 4, team: "maps" }));
   }
@@ -194,7 +200,7 @@
   leader.tick(0.3);
   leader.takeTrace();
   for (let index = 0; index < 4; index++) {
-    // One small job ends, and another like it is submitted.
+    // One small job ends, and another job of the same size is submitted.
     const machine = [...leader.scheduler.cluster.machines.values()].find(({ placements }) =>
       [...placements.values()].some(({ job }) => job.spec.id === `s${index}`),
     )!;
@@ -209,7 +215,7 @@
   assert.equal(startedJobs.filter((job) => job.startsWith("t")).length, 0);
 });
 
-test("the largest job of a class is placed first after half of the bound on start latency", () => {
+test("the largest job of a class is placed first once it has waited for half of the start-latency bound", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.submit(jobSpec("now", { cpus: 4, tasks: 1 }));
@@ -221,37 +227,37 @@
   assert.match(leader.takeTrace(), /start large\/0#1/);
 });
 
-test("a job of 600 tasks has hundreds of placements on fragmented capacity, within one stored value", () => {
+test("a job of 600 tasks has hundreds of placements on partly used machines, and its stored value fits the limit", () => {
   const leader = leaderOfManyMachines();
   leader.flushWrites();
-  // Four tasks to a machine, as fully idle machines are rare.
+  // Four tasks run on each machine, since fully idle machines are rare.
   leader.submit(jobSpec("j", { tasks: 600, team: "maps", cpus: 1 }));
   const job = leader.scheduler.cluster.jobs.get("j")!;
-  assert.ok(job.placements.size >= 350, `${job.placements.size} in flight`);
+  assert.ok(job.placements.size >= 350, `${job.placements.size} placements`);
   const value = leader.replica.activeJobs.get("j")!.value;
   assert.ok(JSON.stringify(value).length < MAX_VALUE_BYTES);
   assert.ok(JSON.stringify(value).length <= maxValueBytes(job));
   assert.ok(maxValueBytes(job) < MAX_VALUE_BYTES);
 });
 
-test("a late write of an older machine-record shard fails by its own precondition", () => {
+test("a delayed write of an older machine-record shard fails on its own precondition", () => {
   const leader = new TestLeader();
   leader.isStoreAvailable = false;
   leader.receiveHeartbeat(machineName(0), []);
-  const first = leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES)!;
-  const key = first.changes[0]!.key;
+  const firstTransaction = leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES)!;
+  const key = firstTransaction.changes[0]!.key;
   assert.equal(key, KEY.machineShard(1));
   assert.deepEqual(
-    first.preconditions.find((condition) => condition.key === key),
+    firstTransaction.preconditions.find((condition) => condition.key === key),
     { key, modRevision: 0 },
   );
-  leader.commitWrite(first);
+  leader.commitWrite(firstTransaction);
   leader.receiveHeartbeat(machineName(2), []);
-  const second = leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES)!;
+  const secondTransaction = leader.scheduler.nextTransaction(MAX_CHANGES, MAX_BYTES)!;
   const { modRevision } = leader.replica.machineShards.get(1)!;
   assert.ok(modRevision > 0);
   assert.deepEqual(
-    second.preconditions.find((condition) => condition.key === key),
+    secondTransaction.preconditions.find((condition) => condition.key === key),
     { key, modRevision },
   );
 });
@@ -270,7 +276,7 @@
   );
 });
 
-test("a job's end is persisted before placements of other jobs below production priority", () => {
+test("the end of a job is persisted before placements of other jobs below production priority", () => {
   const leader = new TestLeader();
   leader.receiveHeartbeat(machineName(0), []);
   leader.receiveHeartbeat(machineName(2), []);
--- a/tests/background-loop.test.ts
+++ b/tests/background-loop.test.ts
@@ -1,17 +1,17 @@
-/** Background loops of a node: they end when they are stopped, and a failure has an owner. */
+/** Background loops of a controller end when they are stopped, and report their failures. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pino } from "pino";
 import { type BackgroundLoop, runInBackground } from "../src/node/background-loop.js";
 
-/** A log that keeps its lines. */
-function recordingLog() {
+/** Creates a logger that records its lines. */
+function createRecordingLog() {
   const lines: { loop: string; msg: string }[] = [];
   return { lines, log: pino({}, { write: (line) => lines.push(JSON.parse(line)) }) };
 }
 
-test("a loop that is stopped ends without a log line", async () => {
-  const { lines, log } = recordingLog();
+test("a stopped loop ends without a log line", async () => {
+  const { lines, log } = createRecordingLog();
   let end = (): void => {};
   const loop: BackgroundLoop = {
     run: () =>
@@ -26,8 +26,8 @@
   assert.deepEqual(lines, []);
 });
 
-test("a loop that fails is named in the log, and its error is rethrown", async () => {
-  const { lines, log } = recordingLog();
+test("the log names a loop that fails, and the error of the loop is rethrown", async () => {
+  const { lines, log } = createRecordingLog();
   const failure = new Error("broken");
   const loop: BackgroundLoop = { run: () => Promise.reject(failure), stop: () => {} };
   await assert.rejects(runInBackground("state watcher", loop, log), failure);
--- a/tests/check-command.test.ts
+++ b/tests/check-command.test.ts
@@ -1,4 +1,4 @@
-/** What `check` prints: operators' scripts read it, so names, order and layout are those of the released program. */
+/** Output of `check`. Operators' scripts read it, so names, order and layout are those of the released program. */
 import assert from "node:assert/strict";
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -8,7 +8,7 @@
 import { PROGRAM } from "./support/multi-process-cluster.js";
 import { settingsText } from "./support/node-settings.js";
 
-const PRINTED = {
+const EXPECTED_OUTPUT = {
   settings: {
     member: "n0",
     zone: "a",
@@ -60,7 +60,7 @@
   },
 };
 
-test("check prints the configuration in force under the released names, in their order", () => {
+test("check prints the configuration in force with the names and the order of the released program", () => {
   const folder = mkdtempSync(join(tmpdir(), "peatsaddle-check-"));
   const config = join(folder, "settings.json");
   const siblings = [{ member: "n1", location: "b", addr: "127.0.0.1:9" }];
@@ -69,5 +69,5 @@
     encoding: "utf8",
   });
   assert.equal(run.status, 0, run.stderr);
-  assert.equal(run.stdout, `${JSON.stringify(PRINTED, null, 2)}\n`);
+  assert.equal(run.stdout, `${JSON.stringify(EXPECTED_OUTPUT, null, 2)}\n`);
 });
--- a/tests/fair-queue.test.ts
+++ b/tests/fair-queue.test.ts
@@ -1,9 +1,9 @@
-/** The queue in which submissions wait for their transaction. */
+/** The queue in which submissions of several teams wait for their transaction. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FairQueue } from "../src/admission/index.js";
 
-test("a team's burst delays only its own submissions, and requeued items are served first", () => {
+test("a burst of one team delays only the submissions of this team, and requeued items are served first", () => {
   const queue = new FairQueue<string>((item) => item.split("-")[0]!);
   for (let number = 0; number < 1000; number++) queue.push(`flood-${number}`);
   queue.push("web-0");
--- a/tests/token-bucket.test.ts
+++ b/tests/token-bucket.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { TokenBucket } from "../src/core/overload/token-bucket.js";
 
-test("a token bucket refills with time, and no further than its burst", () => {
+test("a token bucket refills over time, up to its burst size", () => {
   const bucket = new TokenBucket(10, 5);
   assert.equal(bucket.tryTake(5, 0), true);
   assert.equal(bucket.tryTake(1, 0.05), false);
@@ -12,7 +12,7 @@
   assert.equal(bucket.available(100), 5);
 });
 
-test("a token bucket that is given a new rate takes on the new burst as well", () => {
+test("a token bucket adopts a new rate together with the new burst size", () => {
   const bucket = new TokenBucket(5, 5);
   bucket.setRate(20, 20);
   assert.equal(bucket.available(10), 20);
--- a/tests/tracing.test.ts
+++ b/tests/tracing.test.ts
@@ -1,4 +1,4 @@
-/** One trace per job, whichever controllers handled it, through the provider of the embedding program. */
+/** Each job has one trace across all controllers, exported by the tracer provider of the embedding program. */
 import assert from "node:assert/strict";
 import { trace } from "@opentelemetry/api";
 import {
@@ -14,37 +14,37 @@
   new BasicTracerProvider({ spanProcessors: [new SimpleSpanProcessor(exporter)] }),
 );
 
-const spansOf = (job: string) =>
+const spansOfJob = (job: string) =>
   exporter.getFinishedSpans().filter((span) => span.attributes["job.id"] === job);
 
 clusterTest(
-  "a submission, its repetition and the first start are one trace",
+  "a submission, its repetition and the first start of a task belong to one trace",
   { operatorIni: "[tracing]\nenabled = true\n" },
-  async (site) => {
-    const follower = [0, 1, 2].find((index) => index !== site.leaderIndex())!;
-    await site.submitAndAwaitRunning("run-1");
-    assert.equal((await site.submitJob(follower, "run-1")).status, 200);
+  async (cluster) => {
+    const follower = [0, 1, 2].find((index) => index !== cluster.leaderIndex())!;
+    await cluster.submitAndAwaitRunning("run-1");
+    assert.equal((await cluster.submitJob(follower, "run-1")).status, 200);
     await waitUntil("the first start is traced", () =>
-      spansOf("run-1").some((span) => span.name === "job.wait"),
+      spansOfJob("run-1").some((span) => span.name === "job.wait"),
     );
-    const spans = spansOf("run-1");
+    const spans = spansOfJob("run-1");
     assert.equal(new Set(spans.map((span) => span.spanContext().traceId)).size, 1);
     assert.equal(
       spans.filter((span) => span.name === "job.wait").length,
       1,
-      "four tasks, one first start",
+      "only the first start of the four tasks is traced",
     );
     const outcomes = spans
       .filter((span) => span.name === "job.submission")
       .map(({ attributes }) => [attributes["peatsaddle.member"], attributes["job.outcome"]]);
     assert.deepEqual(outcomes.at(-1), [`n${follower}`, "known"]);
     assert.ok(outcomes.some(([, outcome]) => outcome === "ok"));
-    assert.notEqual(spans[0]!.spanContext().traceId, spansOf("run-2")[0]?.spanContext().traceId);
+    assert.notEqual(spans[0]!.spanContext().traceId, spansOfJob("run-2")[0]?.spanContext().traceId);
   },
 );
 
-clusterTest("with tracing disabled no span is exported", {}, async (site) => {
+clusterTest("with tracing disabled no span is exported", {}, async (cluster) => {
   exporter.reset();
-  await site.submitAndAwaitRunning("run-3");
+  await cluster.submitAndAwaitRunning("run-3");
   assert.deepEqual(exporter.getFinishedSpans(), []);
 });
--- a/tests/wire-codecs.test.ts
+++ b/tests/wire-codecs.test.ts
@@ -1,4 +1,4 @@
-/** What other programs send, as this program decodes it: jobs, changes of keys, settings and peer heartbeats. */
+/** Decoding of data from other programs: jobs, key changes, settings and peer heartbeats. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { decodeOperatorSettings } from "../src/config/operator.js";
@@ -10,10 +10,10 @@
 import { jobBody } from "./support/job-builders.js";
 import { settingsText } from "./support/node-settings.js";
 
-test("a submitted job is decoded, or rejected as malformed by any of its fields", () => {
+test("a submitted job is decoded, or rejected as malformed if any of its fields is invalid", () => {
   assert.equal(decodeJob(decode(encode(jobBody())))?.kind, "array");
   assert.equal(decodeJob(decode(encode({ ...jobBody(), breeds: undefined })))?.types, null);
-  const bad: Record<string, unknown>[] = [
+  const invalidChanges: Record<string, unknown>[] = [
     { nameId: 7 },
     { nameId: "" },
     { nameId: "x".repeat(200) },
@@ -32,7 +32,7 @@
     { tack: undefined },
     { breeds: "g8" },
   ];
-  for (const change of bad) {
+  for (const change of invalidChanges) {
     assert.equal(
       decodeJob(decode(encode({ ...jobBody(), ...change }))),
       null,
@@ -43,17 +43,21 @@
   assert.equal(decodeJob(undefined), null);
 });
 
-test("a removed key is decoded without a value (a schema that required one stopped every watcher)", () => {
+// A schema that required a value stopped every watcher at the first removed key.
+test("a removed key is decoded without a value", () => {
   const batch = decodeWatchResponse({ ledger: 9, log: [{ remove: "p/a", mark: 9 }] });
   assert.deepEqual(batch?.events, [{ key: "p/a", value: null, removed: true, modRevision: 9 }]);
 });
 
-test("faulty settings are reported with one line that names each field", () => {
-  const good = decodeSettings(settingsText());
-  assert.ok("settings" in good && good.settings.cluster.leaseS === 21);
-  const bad = decodeSettings(settingsText({ serve_on: "nowhere", siblings: 3 }));
-  assert.ok("faults" in bad);
-  assert.deepEqual(bad.faults.map((fault) => fault.split(":")[0]).sort(), ["serve_on", "siblings"]);
+test("each invalid setting is reported with one line that names its field", () => {
+  const validSettings = decodeSettings(settingsText());
+  assert.ok("settings" in validSettings && validSettings.settings.cluster.leaseS === 21);
+  const invalidSettings = decodeSettings(settingsText({ serve_on: "nowhere", siblings: 3 }));
+  assert.ok("faults" in invalidSettings);
+  assert.deepEqual(invalidSettings.faults.map((fault) => fault.split(":")[0]).sort(), [
+    "serve_on",
+    "siblings",
+  ]);
   assert.ok("faults" in decodeSettings("{"));
   const ini = decodeOperatorSettings("[term]\ngrace_ratio = 9\nnew_key = 1\n[other]\na = 1\n");
   assert.equal(ini.faults.length, 1);
@@ -61,23 +65,23 @@
   assert.deepEqual(ini.unknown, ["other", "term.new_key"]);
 });
 
-test("peer heartbeats are read whole however the stream is split, and foreign bytes are an error", () => {
-  const first = encodePeerHeartbeat({
+test("peer heartbeats are decoded from a stream split at any byte, and bytes of another protocol cause an error", () => {
+  const firstHeartbeat = encodePeerHeartbeat({
     reachesStateService: true,
     holdsLeadership: false,
     epoch: 2 ** 40 + 1,
     zoneIndex: 2,
   });
-  const second = encodePeerHeartbeat({
+  const secondHeartbeat = encodePeerHeartbeat({
     reachesStateService: false,
     holdsLeadership: true,
     epoch: 0,
     zoneIndex: 0,
   });
-  assert.equal(first.toString("hex"), "5001000a01000001000000000102");
+  assert.equal(firstHeartbeat.toString("hex"), "5001000a01000001000000000102");
   const reader = new PeerHeartbeatReader();
-  const received = [...Buffer.concat([first, second, first])].flatMap((byte) =>
-    reader.feed(Buffer.from([byte])),
+  const received = [...Buffer.concat([firstHeartbeat, secondHeartbeat, firstHeartbeat])].flatMap(
+    (byte) => reader.feed(Buffer.from([byte])),
   );
   assert.deepEqual(received, [
     { reachesStateService: true, holdsLeadership: false, epoch: 2 ** 40 + 1, zoneIndex: 2 },
