--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -224,7 +224,7 @@
     await waitUntil("a controller rejects a job", async () =>
       isRejected(await cluster.submitJob(0, `on-${performance.now()}`, FLOOD)),
     );
-    // Disables it on one controller after the other. The last window is not in force under the next epoch.
+    // Disables admission control on the controllers one by one. The last window is not in force under the next epoch.
     for (const node of [0, 1, 2]) {
       await cluster.stopNode(node);
       await cluster.startNode(node, "");
