--- a/tests/admission-decisions.test.ts
+++ b/tests/admission-decisions.test.ts
@@ -65,10 +65,10 @@
 
 test("a claim that is delivered late or whose answer is lost is charged at most once", () => {
   const model = limitedModel(2);
-  const first = floodJob("first");
-  assert.equal(model.submit(0, first, "late"), "uncertain");
-  assert.equal(model.submit(0, first, "answer lost"), "uncertain");
-  assert.equal(model.submit(0, first, "answered"), "accepted");
+  const firstJob = floodJob("first");
+  assert.equal(model.submit(0, firstJob, "late"), "uncertain");
+  assert.equal(model.submit(0, firstJob, "answer lost"), "uncertain");
+  assert.equal(model.submit(0, firstJob, "answered"), "accepted");
   model.deliverDelayed(0);
   model.check();
   assert.equal(usedByFlood(model, 0), WHOLE_SHARE / 100);
@@ -100,19 +100,19 @@
 test("a controller that has not read for several windows decides by the newest one", () => {
   const model = limitedModel(5);
   for (let window = 0; window < 4; window++) writeGrants(model, [5, 5, 5, 0]);
-  const late = floodJob("late");
-  assert.equal(model.submit(2, late, "answered"), "rejected");
+  const lateJob = floodJob("late");
+  assert.equal(model.submit(2, lateJob, "answered"), "rejected");
   assert.equal(model.controllers[2]!.replica.windowVersion, 5);
   model.check();
 });
 
 test("a window stays in force without a leader, but not under a new epoch until the new leader writes it", () => {
   const model = limitedModel(0);
-  const first = floodJob("first");
-  assert.equal(model.submit(0, first, "answered"), "rejected");
+  const firstJob = floodJob("first");
+  assert.equal(model.submit(0, firstJob, "answered"), "rejected");
   model.acquireLeadership();
   // Admission control may be disabled on the new leader. The old window must not stay in force forever in that case.
-  assert.equal(model.submit(0, first, "answered"), "accepted");
+  assert.equal(model.submit(0, firstJob, "answered"), "accepted");
   writeGrants(model, [0, 0, 0, 0]);
   assert.equal(model.submit(0, floodJob("next"), "answered"), "rejected");
   model.check();
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -102,12 +102,16 @@
   const leader = leaderOfGpuMachines(["m1a", "m2a", "m3a", "m4a"]);
   leader.isStoreAvailable = false;
   leader.submit(gpuJob("second", { tasks: 4, oneZone: true, estimateS: 100 }));
-  const second = leader.scheduler.cluster.jobs.get("second")!;
-  for (const placement of [...second.allPlacements()])
+  const secondJob = leader.scheduler.cluster.jobs.get("second")!;
+  for (const placement of [...secondJob.allPlacements()])
     leader.scheduler.cluster.releasePlacement(placement, leader.now);
   for (const name of ["m1a", "m2a"]) {
     const until = leader.now + 100;
-    leader.scheduler.cluster.machines.get(name)!.reservation = { job: second, until, held: false };
+    leader.scheduler.cluster.machines.get(name)!.reservation = {
+      job: secondJob,
+      until,
+      held: false,
+    };
   }
   leader.submit(gpuJob("first", { tasks: 4, oneZone: true, estimateS: 1 }));
   leader.tick(1);
@@ -140,16 +144,16 @@
   for (let index = 0; index < 11; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.submit(gpuJob("next", { imageGb: 4 }));
-  const next = leader.scheduler.cluster.jobs.get("next")!;
+  const nextJob = leader.scheduler.cluster.jobs.get("next")!;
   leader.tick(0.3);
   assert.equal(
-    next.placements.size,
+    nextJob.placements.size,
     0,
     "the pull would take eight seconds, so the gang waits briefly",
   );
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   for (let step = 0; step < 4; step++) leader.tick(0.6);
-  assert.equal(next.placements.size, 1);
+  assert.equal(nextJob.placements.size, 1);
 });
 
 test("a job waits for a machine that has its image if an image pull would miss the start SLO", () => {
@@ -165,8 +169,8 @@
   for (let index = 0; index < 5; index++) leader.answerRequest([taskStatus(`now${index}`, 0, 1)]);
   leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.submit(gpuJob("next", webChange));
-  const next = leader.scheduler.cluster.jobs.get("next")!;
-  assert.equal(next.placements.size, 0);
+  const nextJob = leader.scheduler.cluster.jobs.get("next")!;
+  assert.equal(nextJob.placements.size, 0);
   assert.equal(
     leader.scheduler.cluster.machines.get("m0a")!.reservation,
     null,
@@ -177,7 +181,7 @@
     leader.receiveHeartbeat("m0a", [], { type: "big" });
   leader.tick(1);
   leader.tick(1);
-  assert.equal(next.placements.size, 1);
+  assert.equal(nextJob.placements.size, 1);
 });
 
 test("a gang task whose machine has the image is started once the first peer has pulled the image", () => {
--- a/tests/job-shards.test.ts
+++ b/tests/job-shards.test.ts
@@ -33,7 +33,7 @@
   return leader;
 }
 
-test("an array of thousands of tasks survives two takeovers: each task runs, none runs twice, and quotas hold", () => {
+test("after two takeovers, all tasks of a large array have run, none on two machines at a time, within quotas", () => {
   const tasks = 2357;
   assert.ok(needsShards(jobSpec("guest", { tasks }), VALUE_BYTES));
   let leader = new TestLeader();
