--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -26,7 +26,7 @@
 export interface AdmissionPorts {
   /** Name of this controller. */
   readonly member: string;
-  /** Monotonic time, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Time of day, in milliseconds since the Unix epoch. */
   readonly wallMs: () => number;
@@ -51,7 +51,10 @@
   readonly growing: boolean;
   /** Leadership epoch. */
   readonly epoch: number;
-  /** Mod revision of the epoch's key. As a precondition, it keeps a former leader from storing a window. */
+  /**
+   * Mod revision of the epoch's key. It is a precondition of writing a window, so that a previous leader cannot store
+   * one.
+   */
   readonly epochModRevision: number;
 }
 
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -8,11 +8,15 @@
   readonly memoryGb: number;
 }
 
+/** The resource types, as the field names of `ResourceVector`, for code that handles each of them alike. */
 export const RESOURCES = ["cpus", "gpus", "memoryGb"] as const;
+/** A resource type, one of `RESOURCES`. */
 export type Resource = (typeof RESOURCES)[number];
 
+/** The zero vector: the initial value of sums, and the capacity in a window that does not limit admission. */
 export const NO_RESOURCES: ResourceVector = { cpus: 0, gpus: 0, memoryGb: 0 };
 
+/** Returns the sum of two vectors, resource by resource; neither argument is changed. */
 export function addResources(left: ResourceVector, right: ResourceVector): ResourceVector {
   return {
     cpus: left.cpus + right.cpus,
@@ -21,6 +25,7 @@
   };
 }
 
+/** Returns the vector with each amount multiplied by `factor`; the argument is not changed. */
 export function scaleResources(resources: ResourceVector, factor: number): ResourceVector {
   return {
     cpus: resources.cpus * factor,
@@ -44,11 +49,13 @@
 export const UNLIMITED = Number.MAX_SAFE_INTEGER;
 
 /**
- * The category of a job for grants and charges. New work and followers (jobs with dependencies) have separate grants,
- * so that a flood of new work cannot use up the grants that later jobs of accepted pipelines need.
+ * The category of a job for grants and charges. Jobs without dependencies (`new`) and jobs with dependencies
+ * (`follower`) have separate grants, so that a flood of new work cannot use up the grants that later jobs of accepted
+ * pipelines need.
  */
 export type Lane = "new" | "follower";
 
+/** Returns the lane of a job: `follower` if it depends on other jobs, otherwise `new`. */
 export function laneOf(job: JobSpec): Lane {
   return (job.after?.length ?? 0) > 0 ? "follower" : "new";
 }
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -99,8 +99,8 @@
   share === null ? "unlimited" : `${(100 * share).toFixed(2)}%`;
 
 /**
- * Returns the cells of the table without its header, classes with the most rejected jobs first. Rows of followers
- * without use or rejections are left out.
+ * Returns the cells of the table without its header, classes with the most rejected jobs first. Rows of the lane
+ * `follower` without use or rejections are left out.
  */
 function tableRows(classes: readonly ClassStatus[]): string[][] {
   return classes
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -1,6 +1,6 @@
 /**
  * Computes the next admission window: a grant for each class of each team, derived from its unfinished and rejected
- * work, the cluster's capacity, and the teams' guarantees, limits and weights. The functions are pure. Only the
+ * work, the cluster's capacity, and the teams' guarantees, quotas and weights. The functions are pure. Only the
  * leader computes and stores windows.
  */
 import type { Team } from "../core/model/settings.js";
@@ -39,7 +39,7 @@
   readonly epoch: number;
   /** Capacity of the machines that are up or booting. */
   readonly capacity: ResourceVector;
-  /** Whether the cloud still grants requests for more machines. If so, only the teams' limits bound the shares. */
+  /** Whether the cloud still grants requests for more machines. If so, only the teams' quotas bound the shares. */
   readonly growing: boolean;
   readonly teams: readonly Team[];
   /** Factors that the weight calendar applies to the teams' weights; 1 for a team without an entry. */
@@ -97,7 +97,7 @@
 
 /**
  * Returns the largest ratio of demand to the resources that can be in use at the same time: to the cluster's
- * capacity, unless the cluster can still grow, and to each team's limits. At a ratio of 1 or less, the whole demand
+ * capacity, unless the cluster can still grow, and to each team's quota. At a ratio of 1 or less, the whole demand
  * can run at once. Resources that the cluster does not have are ignored in the comparison with its capacity.
  */
 export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
@@ -125,7 +125,7 @@
   return addResources(usage.unfinished, usage.refused);
 }
 
-/** Returns the bound, or infinity for 0: a team's maximum or guarantee of 0 means that none is set. */
+/** Returns the bound, or infinity for 0: a team's quota or guarantee of 0 means that none is set. */
 function unboundedIfZero(bound: number): number {
   return bound > 0 ? bound : Number.POSITIVE_INFINITY;
 }
@@ -269,7 +269,8 @@
 }
 
 function grantOf(team: string, className: string | null, units: number): Grant {
-  // At least one follower is admitted in each window: its predecessors were admitted, and it must not starve.
+  // At least one job with dependencies is admitted in each window: the jobs before it were admitted, and it must not
+  // starve.
   const follower = Math.max(ONE_JOB_GRANT, units);
   return { team, class: className, lanes: { new: units, follower } };
 }
--- a/src/api/outcomes.ts
+++ b/src/api/outcomes.ts
@@ -19,7 +19,7 @@
 export type SubmissionWriteResult =
   | WriteResult
   | NeverPossible
-  /** Refused by the submission gate, judged by the stored state that this node has read so far. */
+  /** Rejected by the submission gate, judged by the stored state that this node has read so far. */
   | { readonly kind: "refused" };
 
 /** The result of a submission. */
@@ -65,5 +65,5 @@
 export const UNAVAILABLE = { kind: "unavailable" } as const;
 /** The job can never be stored, or depends on a job that was never accepted. */
 export const NEVER = { kind: "never" } as const;
-/** The submission gate refused the job. */
+/** The submission gate rejected the job. */
 export const REFUSED = { kind: "refused" } as const;
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -36,7 +36,7 @@
    */
   readonly queryLimit: AdaptiveConcurrencyLimit;
   readonly mutationLimit: AdaptiveConcurrencyLimit;
-  /** The current monotonic time, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Seconds after which a refused client may retry. */
   readonly retryAfterS: number;
--- a/src/api/submission-gate.ts
+++ b/src/api/submission-gate.ts
@@ -21,7 +21,7 @@
 export interface GateBatch {
   /** Number of changes that admitting this job would add to the transaction, besides the job's own. */
   extraChanges(spec: JobSpec): number;
-  /** Admits the job to the transaction and returns true, or refuses it and returns false. */
+  /** Admits the job to the transaction and returns true, or rejects it and returns false. */
   tryAdmit(spec: JobSpec): boolean;
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -45,7 +45,7 @@
   readonly keyValueClient: KeyValueClient;
   /** Rate limit of the changes that this node writes, shared with the leader's transactions. */
   readonly writeBudget: TokenBucket;
-  /** The current monotonic time, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly maxChanges: number;
   readonly maxTransactionBytes: number;
@@ -158,7 +158,7 @@
     for (const write of overdue) write.resolve(UNAVAILABLE);
   }
 
-  /** Takes the writes of one transaction from the queue, and answers submissions that the gate refuses. */
+  /** Takes the writes of one transaction from the queue, and answers submissions that the gate rejects. */
   private takeBatch(gateBatch: GateBatch): PendingWrite[] {
     const { writeBudget, now, maxTransactionBytes } = this.options;
     const available = Math.floor(writeBudget.available(now()));
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -17,8 +17,8 @@
      */
     grace_ratio: ratioSchema(1, 0, 4),
     /**
-     * Lease extension: time for which a partitioned node keeps machines with replicas or gangs alive, as a multiple
-     * of lease_s. It is never shorter than the grace period.
+     * Lease extension: time for which a partitioned node keeps extending the leases of machines that run service or
+     * gang tasks, as a multiple of lease_s. It is never shorter than the grace period.
      */
     keep_ratio: ratioSchema(6, 0, 50),
   }),
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -223,8 +223,9 @@
 
   /**
    * Checks the placement constraints again immediately before a start. Since the task was placed, a worker may have
-   * reported an unrecorded task, or the machine's type, zone or spot property may have been corrected. A former
-   * leader may also have placed the task wrongly. Returns the constraint that the start would violate, or null.
+   * reported an unrecorded task of the job, or the machine's type, zone or spot flag may have been corrected. The
+   * placement of a previous leader may also violate a constraint. Returns the constraint that the start would
+   * violate, or null.
    */
   private findViolatedConstraint(placement: Placement): string | null {
     const { job, machine } = placement;
@@ -258,7 +259,7 @@
 
   /**
    * Whether the worker may forget an exited attempt. A delayed duplicate of its start could run a forgotten attempt
-   * again, so no start of it may be unanswered under the current fencing token, and its exit must be persisted.
+   * again, so no start of it may be unanswered under the current fencing token, and its exit must be stored.
    */
   private mayForget(machine: Machine, key: string, exited: ExitedTask): boolean {
     if (machine.unansweredStarts.has(key)) return false;
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -6,9 +6,9 @@
 import type { Machine } from "../machines/machine.js";
 
 /**
- * State of a placement. `loaded`: read from the store after a takeover, with its state on the machine still unknown.
- * `planned`: no start was sent under the current fencing token. `sent`: a start is in flight or unanswered. The other
- * states are those reported in the worker's last heartbeat.
+ * State of a placement. `loaded`: read from the stored state in a takeover; its state on the machine is not known
+ * yet. `planned`: no start was sent under the current fencing token. `sent`: a start is in flight or unanswered. The
+ * other states are those reported in the worker's last heartbeat.
  */
 export type PlacementState =
   | "loaded"
@@ -56,7 +56,7 @@
     readonly machine: Machine,
     /** Incarnation of the worker that the attempt belongs to. */
     readonly incarnation: number,
-    /** Version of the job that must be persisted before a start is sent. */
+    /** Version of the job that must be stored before a start is sent. */
     readonly version: number,
     now: number,
   ) {
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -28,8 +28,8 @@
    * Handles a heartbeat that the worker sent on its own or in response to a direct request.
    *
    * @returns the machine that sent the heartbeat, also if the heartbeat was ignored because it is no newer than the
-   * last one; null if the heartbeat was rejected because the machine is terminated, its type is unknown, or another
-   * leader has a higher fencing token.
+   * last one; null if the heartbeat was not processed because the machine is terminated, its type is unknown, or
+   * another leader has a higher fencing token.
    */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): Machine | null {
     if (this.machinePool.terminated.has(heartbeat.machine)) return null;
@@ -95,15 +95,15 @@
     }
     machine.lastMessageAt = now;
     machine.consecutiveFailedRequests = 0;
-    // The lease runs at least from this heartbeat, because an incarnation begins no later than its first heartbeat.
-    // A former leader may also have renewed the lease during its grace period.
+    // The lease runs at least from this heartbeat, because an incarnation begins no later than its first heartbeat. A
+    // previous leader may also have renewed the lease during that leader's grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
 
   /**
    * Handles a new worker incarnation, which begins when the worker's lease expires. The worker has killed and
-   * forgotten all its tasks, and refuses starts that were sent to an earlier incarnation.
+   * forgotten all its tasks, and drops starts that were sent to an earlier incarnation.
    */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     for (const placement of [...machine.placements.values()]) {
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -53,7 +53,7 @@
         case "planned":
           break;
         case "loaded":
-          // The worker has not received the former leader's start, and would now drop it if it still arrived.
+          // The worker has not received the previous leader's start. It would drop the start if it still arrived.
           placement.state = "planned";
           break;
         case "sent":
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -62,13 +62,13 @@
 
 /** Outcome of a transaction. */
 export type TransactionOutcome =
-  /** `revision`: store revision of the transaction's changes. */
+  /** `revision`: revision of the state service at which the changes were made. */
   | { readonly kind: "committed"; readonly revision: number }
   /** A precondition failed. Nothing was changed. */
   | { readonly kind: "conflict" }
   /** The transaction may have been committed, or may still be committed later. */
   | { readonly kind: "unknown" }
-  /** The store rejected the transaction. Nothing was changed. */
+  /** The state service refused the transaction. Nothing was changed. */
   | { readonly kind: "refused" };
 
 /** Parameters of a leader that are derived from the settings and from the set of other controllers. */
@@ -79,7 +79,7 @@
   readonly maxMachines: number;
   /** Seconds of idleness after which a machine that is not needed is released. */
   readonly idleReleaseS: number;
-  /** Seconds after the end of its term for which a former leader may still answer heartbeats. */
+  /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
   readonly gracePeriodS: number;
   /** Like `gracePeriodS`, for machines that run service or gang tasks. */
   readonly leaseExtensionS: number;
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -135,8 +135,8 @@
         const taskNumber = firstTask + task;
         const placement = new Placement(job, taskNumber, attempt, machine, incarnation, 0, now);
         placement.state = "loaded";
-        // It is not stored whether a task ran under the former leader. The first start is assumed to be reported
-        // already, so that it is not reported twice.
+        // The stored state does not show whether a task ran under the previous leader. The first start is assumed to
+        // have been reported, so that it is not reported twice.
         job.firstTaskStarted = true;
         this.context.cluster.addPlacement(placement);
         if (incarnation > machine.incarnation) machine.incarnation = incarnation;
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -1,6 +1,6 @@
 /**
- * The stored state of an active job: its done and placed tasks, the shards in which these are stored, and which
- * changes are persisted.
+ * The stored state of an active job: its done and placed tasks, the shards in which these are stored, and which of
+ * its changes are stored already.
  */
 import type { Placement } from "../dispatch/placement.js";
 import type { JobSpec } from "../model/jobs.js";
@@ -11,10 +11,10 @@
 /** Index of the main shard, which is the job record itself. */
 const MAIN_SHARD_INDEX = -1;
 
-/** Cause of a cancellation. Only `by user` has a key of its own in the store. */
+/** Cause of a cancellation. Only `by user` has a key of its own in the state service. */
 export type CancellationCause = "by user" | "by dependency";
 
-/** A job as read from the store. */
+/** A job as read from the state service. */
 export interface LoadedJob {
   readonly stored: Versioned<JobRecord>;
   /** The job's stored shards, by index. */
@@ -91,7 +91,7 @@
     return this.spec.kind === "gang" ? shard.shareAttempt(cycleAttempt) : shard.nextAttempt(task);
   }
 
-  /** Whether the state of a task as of this version of the job is stored. */
+  /** Whether the shard that contains the task is stored with all changes up to this version of the job. */
   isPersisted(task: number, version: number): boolean {
     return this.shardOf(task).isPersisted(version);
   }
@@ -119,7 +119,7 @@
     this.unpersistedShards.add(shard);
   }
 
-  /** Records that the shard is stored as of this version of the job, with this mod revision. */
+  /** Records that the shard is stored, with all changes up to this version of the job and with this mod revision. */
   markPersisted(shard: JobShard, version: number, modRevision: number): void {
     // A late notification of a write from before the resharding does not show that the new shards are stored.
     if (shard === this.mainShard && version >= this.reshardedAtVersion) this.resharded = null;
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -21,7 +21,7 @@
   readonly epoch: number;
   /** Mod revision of the epoch's key. */
   readonly epochModRevision: number;
-  /** Time at which leadership was acquired, in seconds of the steady clock. */
+  /** Monotonic time at which leadership was acquired, in seconds. */
   readonly startedAt: number;
 }
 
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Assumes, until a message of the machine's worker arrives, that the former leader renewed the worker's lease at
+   * Assumes, until a message of the machine's worker arrives, that the previous leader renewed the worker's lease at
    * the latest possible time.
    */
   awaitFirstContact(machine: Machine): void {
--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -1,6 +1,6 @@
 /**
  * Advances the fencing token during a term. A start command that got no answer may still reach its worker later; a
- * worker that has seen a higher token rejects it.
+ * worker that has seen a higher token drops it.
  */
 
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -1,32 +1,32 @@
 /**
  * Extension of worker leases during a network partition.
  *
- * A controller that can reach the workers of its own zone but not the key-value store may extend their leases for a
+ * A controller that can reach the workers of its own zone but not the state service may extend their leases for a
  * bounded time, without sending commands. Their tasks keep running, and users do not notice the partition.
  *
  * A leader adds that time before it declares the lease of an unreachable machine expired
  * (`MachineMonitor.leaseExpiryBound`). To keep the total bounded, a controller extends leases only if, before the
- * partition, it was in contact with the key-value store for longer than one lease. Otherwise a controller whose
- * contact is lost and regained repeatedly could extend a worker's lease without end.
+ * partition, it was in contact with the state service for longer than one lease. Otherwise a controller whose contact
+ * is lost and regained repeatedly could extend a worker's lease without end.
  */
 import { CLOCK_DRIFT } from "../model/constants.js";
 
 /** Margin, in seconds, on the time in contact that is required before leases may be extended. */
 const CONTACT_MARGIN_S = 1;
 
-/** Decides whether a partitioned controller may extend worker leases. Times are steady seconds. */
+/** Decides whether a partitioned controller may extend worker leases. Times are monotonic, in seconds. */
 export class LeaseExtension {
   private contactSince = Number.POSITIVE_INFINITY;
   private lastContactAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly leaseS: number,
-    /** Longest time between two answers of the key-value store that still counts as continuous contact. */
+    /** Longest time between two answers of the state service that still counts as continuous contact. */
     private readonly maximumContactGapS: number,
     private readonly extensionS: number,
   ) {}
 
-  /** Records that the key-value store answered at `now`. */
+  /** Records that the state service answered at `now`. */
   noteContact(now: number): void {
     if (now <= this.lastContactAt) return;
     if (now - this.lastContactAt > this.maximumContactGapS) this.contactSince = now;
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -1,5 +1,5 @@
 /**
- * Decides which worker heartbeats a node answers although it is not the leader.
+ * Decides which worker heartbeats a follower answers itself instead of redirecting the worker to the leader.
  *
  * Such an answer carries no command, but it extends the worker's lease. Each case is therefore bounded by the time
  * that a leader waits before it declares a lease expired (`MachineMonitor.leaseExpiryBound`). No case requires that
@@ -39,9 +39,9 @@
   readonly gracePeriodS: number;
 }
 
-/** Decides which worker heartbeats a node that does not lead answers itself. */
+/** Decides for each worker heartbeat whether this node answers it while it is a follower. */
 export class StandbyResponder {
-  /** Steady time at which a leader was last seen in the replica, or the replica was first loaded. */
+  /** Monotonic time at which a leader was last seen in the replica, or the replica was last loaded by a full read. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: StandbyResponderOptions) {}
@@ -50,7 +50,7 @@
     this.leaderSeenAt = now;
   }
 
-  /** `now` is steady time in seconds, `wallMs` the time of day in milliseconds. */
+  /** `now` is monotonic time in seconds, `wallMs` the time of day in milliseconds. */
   mayAnswer(
     heartbeat: WorkerHeartbeat,
     connectivity: NodeConnectivity,
@@ -114,10 +114,10 @@
   }
 
   /**
-   * While there is no leader, workers whose heartbeats are rejected retry every second, each over a new connection.
-   * With 1000 workers this load kept every node from acquiring leadership for 20 s. So for part of a lease, any node
-   * that reaches the key-value store answers them without commands, with the last fencing token; they find the next
-   * leader with a later heartbeat. That leader adds its grace period before it declares a lease expired.
+   * While there is no leader, a worker whose heartbeat is refused retries every second over a new connection. With
+   * 1000 workers this load kept every node from acquiring leadership for 20 s. So for part of a lease, any node that
+   * reaches the state service answers them without commands, with the last fencing token; they find the next leader
+   * with a later heartbeat. That leader adds its grace period before it declares a lease expired.
    */
   private mayAnswerBetweenLeaders(
     heartbeat: WorkerHeartbeat,
@@ -137,9 +137,8 @@
   }
 
   /**
-   * The node is partitioned: neither it nor any peer it reaches has contact with the key-value store, and no leader
-   * was heard from recently. Without an answer, the workers of its zone would lose their tasks when their leases
-   * expire.
+   * The node is partitioned: neither it nor any peer it reaches has contact with the state service, and no leader was
+   * heard from recently. Without an answer, the workers of its zone would lose their tasks when their leases expire.
    */
   private mayAnswerWhilePartitioned(
     heartbeat: WorkerHeartbeat,
--- a/src/core/leadership/takeover.ts
+++ b/src/core/leadership/takeover.ts
@@ -1,6 +1,6 @@
 /**
  * Loads the stored state into a new leader before it acts: machines, jobs and placements. It also completes work that
- * the former leader left unfinished.
+ * the previous leader left unfinished.
  */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
@@ -68,9 +68,10 @@
 }
 
 /**
- * Releases placements of earlier worker incarnations. They are still stored beside placements of a later incarnation
- * if the former leader ended before it had stored their loss; the later incarnation proves that they are lost. No
- * heartbeat mentions such tasks, so without this step their jobs do not end (9 jobs of one day waited until its end).
+ * Releases placements of earlier worker incarnations. They are still stored if the previous leader stopped leading
+ * after it had placed tasks on a later incarnation but before it had stored the loss of the earlier ones. The later
+ * incarnation proves that the earlier tasks are lost. No heartbeat mentions such tasks, so without this step their
+ * jobs do not end (9 jobs of one day waited until its end).
  */
 function releaseEarlierIncarnations({ context, dispatcher }: TakeoverTargets, now: number): void {
   for (const machine of context.cluster.machines.values()) {
@@ -82,9 +83,9 @@
 }
 
 /**
- * Restarts gangs that had lost tasks before this term. A former leader may have stored the loss and ended before it
- * had stopped the remaining tasks, and such stops are not stored. The remaining tasks cannot complete, and no task of
- * the gang is placed while they run.
+ * Restarts gangs that had lost tasks before this term. A previous leader may have stored the loss, and then stopped
+ * leading before it had stopped the remaining tasks. Requests to stop tasks are not stored. The remaining tasks
+ * cannot complete, and no task of the gang is placed while they run.
  */
 function restartIncompleteGangs({ context, dispatcher }: TakeoverTargets): void {
   for (const job of context.cluster.jobs.values()) {
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -4,8 +4,8 @@
  *
  * A term depends on a key with a lease, and is numbered by a counter that is never reset (the epoch). This module
  * computes until when the leader may act: for the length of the lease, counted from when the last renewal was sent,
- * less the clock drift and a margin. The leader therefore stops acting before its lease can expire. Times are steady
- * seconds unless the name says otherwise.
+ * less the clock drift and a margin. The leader therefore stops acting before its lease can expire. Times are
+ * monotonic, in seconds, unless the name says otherwise.
  */
 import { CLOCK_DRIFT } from "../model/constants.js";
 
@@ -28,7 +28,7 @@
  */
 export function termLeaseS(configuredS: number, cpuShare: number): number {
   const leaseS = Math.max(MINIMUM_LEASE_S, configuredS, MAXIMUM_STALL_CPU_S / cpuShare);
-  // The key-value store rejects lease lengths that are not whole milliseconds.
+  // The state service refuses lease lengths that are not whole milliseconds.
   return Math.ceil(1000 * leaseS) / 1000;
 }
 
@@ -39,7 +39,7 @@
   readonly epochModRevision: number;
   readonly leaseId: number;
   readonly leaseS: number;
-  /** Steady time at which the lease was requested. */
+  /** Monotonic time at which the lease was requested, in seconds. */
   readonly grantSentAt: number;
   /** Time of day at which leadership was acquired, in milliseconds. */
   readonly acquiredAtMs: number;
@@ -92,7 +92,7 @@
 
   /**
    * Whether the leader may still answer heartbeats without commands, for the grace period after it may no longer act.
-   * If the key-value store is down for all nodes, workers would otherwise lose all their tasks. The next leader waits
+   * If the state service is down for all nodes, workers would otherwise lose all their tasks. The next leader waits
    * for this time too (`gracePeriodS` of the scheduler).
    */
   isWithinGracePeriod(now: number, gracePeriodS: number): boolean {
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -13,7 +13,7 @@
 
 /** Heartbeat intervals without a message after which a machine is probed if the probe budget allows it. */
 const EARLY_PROBE_INTERVALS = 1;
-/** Like `EARLY_PROBE_INTERVALS`, for a machine that runs service replicas. */
+/** Like `EARLY_PROBE_INTERVALS`, for a machine that runs service tasks. */
 const EARLY_SERVICE_PROBE_INTERVALS = 0.8;
 /** Heartbeats arrive within this many intervals. A machine whose heartbeat is overdue is probed at once. */
 const OVERDUE_INTERVALS = 1.25;
@@ -103,7 +103,7 @@
   }
 
   /**
-   * Returns the machines that may have to be probed or released, those that run service replicas first. Also releases
+   * Returns the machines that may have to be probed or released, those that run service tasks first. Also releases
    * drained machines that are empty.
    */
   private collectLateMachines(running: readonly Machine[], now: number): Machine[] {
@@ -125,8 +125,8 @@
 
   /**
    * Probes overdue and unreachable machines at once. Probing earlier detects a failed machine sooner, but each probe
-   * costs as much as a heartbeat. Early probes are therefore limited per second, and machines that run service
-   * replicas come first.
+   * costs as much as a heartbeat. Early probes are therefore limited per second, and machines that run service tasks
+   * come first.
    */
   private probeIfDue(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -11,7 +11,7 @@
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
-  /** Job version that must be persisted before the worker may forget the attempt. */
+  /** Job version that must be stored before the worker may forget the attempt. */
   readonly version: number;
 }
 
@@ -38,7 +38,7 @@
 export type MachineState = "booting" | "up" | "releasing" | "terminated";
 
 /**
- * A machine. Times are in seconds of the leader's steady clock, as everywhere in `src/core`.
+ * A machine. Times are read from the leader's monotonic clock, in seconds, as everywhere in `src/core`.
  *
  * Several fields together describe one state, as the tables show. They are separate fields because each is read on
  * its own, for every machine.
@@ -46,8 +46,8 @@
  * | Knowledge of the worker | `state` | `incarnation` | `hasMetThisLeader` | `hasAcknowledgedToken` |
  * | --- | --- | --- | --- | --- |
  * | No message yet | `booting` | 0 | false | false |
- * | Only the stored record or placements of a former leader | `up` | as placed, or 0 | false | false |
- * | It has sent a message, but under a former leader's fencing token | `up` | > 0 | false | false |
+ * | Only the stored record or placements of a previous leader | `up` | as placed, or 0 | false | false |
+ * | It has sent a message, but under a previous leader's fencing token | `up` | > 0 | false | false |
  * | It has acknowledged the current token: start commands may be sent | `up` | > 0 | true | true |
  * | The token was advanced after it acknowledged the earlier one | `up` | > 0 | true | false |
  *
@@ -77,7 +77,7 @@
   sequence = -1;
   /** The worker has sent a message under the current fencing token, so it drops commands with an older one. */
   hasAcknowledgedToken = false;
-  /** The worker has seen a fencing token of this leader's term, so it drops answers of former leaders. */
+  /** The worker has seen a fencing token of this leader's term, so it drops answers of previous leaders. */
   hasMetThisLeader = false;
 
   /** Time at which the last message of any kind arrived from the worker. */
@@ -87,7 +87,7 @@
    * that answers direct requests but cannot reach a controller loses its lease, and with it all its tasks.
    */
   lastHeartbeatAt = Number.NEGATIVE_INFINITY;
-  /** Latest time at which any leader, this or a former one, can have renewed the worker's lease. */
+  /** Latest time at which this or a previous leader can have renewed the worker's lease. */
   leaseRenewedAt = Number.NEGATIVE_INFINITY;
   /** Time at which the cloud reclaims the spot machine; null until it has given an interruption notice. */
   interruptionAt: number | null = null;
@@ -103,7 +103,7 @@
    */
   unreachableSince: number | null = null;
 
-  /** The machine's record is in the key-value store. */
+  /** The machine's record is stored. */
   isPersisted = false;
   /** The stored record has a wrong type, zone or spot flag. */
   isRecordOutdated = false;
--- a/src/core/model/jobs.ts
+++ b/src/core/model/jobs.ts
@@ -2,7 +2,7 @@
 
 /**
  * Relation between the tasks of a job. `array`: independent tasks, each of which runs to completion. `gang`: either
- * all tasks run at the same time or none does. `service`: replicas that run until the job is cancelled.
+ * all tasks run at the same time or none does. `service`: tasks that run until the job is cancelled.
  */
 export type JobKind = "array" | "gang" | "service";
 
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -42,9 +42,9 @@
   readonly gangPeerS: number;
   /** Seconds from the confirmation of a cancellation after which no task of the job may run. */
   readonly cancelS: number;
-  /** Rate limit of the key-value store, in requests per second, for all controllers together. */
+  /** Rate limit of the state service, in requests per second, for all controllers together. */
   readonly stateRps: number;
-  /** Rate limit of the key-value store, in changes per second, for all controllers together. */
+  /** Rate limit of the state service, in changes per second, for all controllers together. */
   readonly stateWriteRps: number;
   /** Maximum size of a stored value, in KiB. */
   readonly valueKb: number;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -47,8 +47,8 @@
 
 /**
  * For a job whose tasks must share a zone, returns the candidates of the zone that takes the most of them; among
- * equal zones, that of the best candidate. For a service, slots for all its replicas count, because all must fit
- * eventually. With the candidates of all zones, tasks placed in one cycle ended up in several zones.
+ * equal zones, that of the best candidate. For a service, slots for all its tasks count, because all must fit
+ * eventually. When the candidates of all zones were used, tasks placed in one cycle ended up in several zones.
  */
 function restrictToOneZone(job: ActiveJob, candidates: readonly Candidate[]): readonly Candidate[] {
   const { oneZone, kind, tasks } = job.spec;
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -9,7 +9,7 @@
 
 /**
  * Places as many of `tasks` as fit on the candidates, in their order. Returns the number of tasks placed. A placement
- * counts against its team's quota and its machine's capacity immediately; it is persisted later, with the job.
+ * counts against its team's quota and its machine's capacity immediately; it is stored later, with the job.
  */
 export function assignTasks(
   job: ActiveJob,
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -11,10 +11,10 @@
 /** Cost of blocking a GPU job, in boot times of the machine. It keeps GPUs usable for GPU jobs. */
 const GPU_BLOCKING_COST_BOOTS = 2;
 
-/** Cost in seconds of each service replica on the machine. It spreads replicas, so a machine failure ends few. */
+/** Cost in seconds of each service task on the machine. It spreads service tasks, so a machine failure ends few. */
 const REPLICA_SPREAD_COST_S = 0.2;
 
-/** Cost in seconds of a machine with all CPUs free. It packs tasks other than replicas onto the fuller machines. */
+/** Cost in seconds of a machine with all CPUs free. It packs tasks other than service tasks onto fuller machines. */
 const BIN_PACKING_COST_S = 0.5;
 
 /**
@@ -24,7 +24,7 @@
  */
 const SPOT_COST_S = 1;
 
-/** Heartbeat intervals after which a waiting service is placed even where its replicas block GPU jobs. */
+/** Heartbeat intervals after which a waiting service is placed even where its tasks block GPU jobs. */
 const ANY_MACHINE_AFTER_HEARTBEAT_INTERVALS = 2;
 
 /** A machine with free capacity for tasks of a job. */
@@ -62,8 +62,8 @@
 }
 
 /**
- * Whether the job is a service that must not block GPU jobs on this machine. Replicas run for long, so a service
- * blocks GPU jobs only after there has been time to free capacity elsewhere.
+ * Whether the job is a service that must not block GPU jobs on this machine. Service tasks run for long, so a service
+ * may block GPU jobs only after there has been time to free capacity elsewhere.
  */
 function mustAvoidBlockingGpuJobs(
   job: ActiveJob,
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -14,7 +14,7 @@
   /** The leader's view of machines and jobs. The cycle adds its placements to it. */
   readonly cluster: Cluster;
   readonly settings: ClusterSettings;
-  /** Steady clock at the start of the cycle, in seconds. */
+  /** Monotonic time at the start of the cycle, in seconds. */
   readonly now: number;
   /** Time of day at the start of the cycle, in milliseconds since 1970. Deadlines and objectives refer to it. */
   readonly wallMs: number;
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -25,8 +25,8 @@
   reservation: GpuReservation,
 ): boolean {
   if (machine.type.gpus <= 0 || spec.gpus > 0) return false;
-  // Until a GPU job is known, neither are its demands, so any task may block one. Otherwise replicas that were placed
-  // first, at a cold start, blocked a GPU machine for a whole day.
+  // Until a GPU job is known, neither are its demands, so any task may block one. Without this rule, service tasks
+  // that were placed first, at a cold start, blocked a GPU machine for a whole day.
   if (reservation.gpuJobSpecs.length === 0) return true;
   return reservation.gpuJobSpecs.some((gpuJob) => {
     if (!isMachineAllowed(gpuJob, machine)) return false;
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -9,7 +9,7 @@
 
 /**
  * Builds the snapshot in one pass over all machines, and updates `weakestPrecedence` of each usable machine. `now`:
- * seconds of the steady clock.
+ * monotonic time in seconds.
  */
 export function takeMachineSnapshot(
   cluster: Cluster,
--- a/src/core/planning/planner.ts
+++ b/src/core/planning/planner.ts
@@ -1,7 +1,6 @@
 /**
  * The placement step of a scheduling cycle, which assigns waiting tasks to machines. The leader's view of the
- * machines may be stale. A placement takes effect only once it is persisted, and workers reject tasks that do not
- * fit.
+ * machines may be stale. A placement takes effect only once it is stored, and workers refuse tasks that do not fit.
  */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { placeIndependentTasks } from "./array-placement.js";
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -74,7 +74,10 @@
   return isMachineAllowed(job.spec, machine) && !job.failures.avoids(machine.name, context.now);
 }
 
-/** Whether a replica of the job alone on the machine would leave room for fewer tasks of some GPU job. */
+/**
+ * Whether a single task of the service on the otherwise empty machine would leave room for fewer tasks of some GPU
+ * job.
+ */
 function replicaBlocksGpuJobs(
   { spec }: ActiveJob,
   machine: Machine,
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -48,7 +48,7 @@
 
 /** Runs scheduling cycles on the leader, at a bounded rate. */
 export class SchedulingCycle {
-  /** When the last cycle began, in seconds of the steady clock. */
+  /** Monotonic time at which the last cycle began, in seconds. */
   private lastCycleAt = Number.NEGATIVE_INFINITY;
   /** Limits the rate at which tasks of sharded jobs are placed, so that processing them does not delay other jobs. */
   private readonly shardedTaskBudget = new TokenBucket(0, 0);
@@ -65,7 +65,7 @@
     this.preemption = new PreemptionExecutor(dispatcher);
   }
 
-  /** Runs a cycle if one is due. `now`: seconds of the steady clock; `wallMs`: time of day in milliseconds. */
+  /** Runs a cycle if one is due. `now`: monotonic time in seconds; `wallMs`: time of day in milliseconds. */
   runIfDue(now: number, wallMs: number): void {
     const maxCycles = this.monitor.isSettling(now)
       ? MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -17,7 +17,7 @@
 /** Share of `START_BOUND_S` that a service waits for capacity in its current zone before it may be relocated. */
 const ZONE_WAIT_SHARE = 1 / 4;
 
-/** Whether the job is a service bound to one zone that has waited long enough there for its missing replicas. */
+/** Whether the job is a service bound to one zone that has waited long enough there for its missing tasks. */
 export function mayRelocate(job: ActiveJob, now: number): boolean {
   const { kind, oneZone } = job.spec;
   if (kind !== "service" || !oneZone || job.placementCount === 0) return false;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -2,8 +2,8 @@
  * The leader: one state machine for jobs, machines, quotas and commands.
  *
  * Its methods take inputs (changed keys, heartbeats, results, the passing of time) and return the effects to be
- * carried out. It has no clock, socket or randomness of its own. Times are in seconds of the node's steady clock. The
- * caller fetches writes with `nextTransaction`, because the caller limits how much is written at a time.
+ * carried out. It has no clock, socket or randomness of its own. Times are read from the node's monotonic clock, in
+ * seconds. The caller fetches writes with `nextTransaction`, because it limits how much is written at a time.
  */
 
 import { MachinePool } from "./capacity/machine-pool.js";
@@ -268,7 +268,7 @@
     return hasPendingWrite(this.context.cluster, this.machinePool.recordShards);
   }
 
-  /** Handles a transaction whose only value the store rejected because of its size. */
+  /** Handles a transaction whose only value the state service refused because of its size. */
   handleRefusedValue(transaction: LeaderTransaction, now: number): void {
     this.oversizedValues.handleRefusedValue(transaction, now);
   }
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -58,7 +58,7 @@
 export const isTerminal = (job: ActiveJob): boolean =>
   job.placementCount === 0 && (job.isCancelled || job.isComplete);
 
-/** Length of a value as JSON, which is how the key-value store measures its size. */
+/** Length of a value as JSON, which is how the state service measures its size. */
 export const jsonBytes = (value: unknown): number => JSON.stringify(value).length;
 
 const storedShards = (job: ActiveJob): JobShard[] =>
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -27,7 +27,7 @@
 /**
  * Size of a gang's or service's shards as a share of the usual size. All tasks of such a job are placed at the same
  * time, so the values cannot be made smaller later by placing fewer tasks. The shards are smaller from the start in
- * case the key-value store accepts only smaller values than the settings say.
+ * case the state service accepts only smaller values than the settings say.
  */
 const ALL_AT_ONCE_SHARD_RATIO = 1 / 4;
 
@@ -44,9 +44,9 @@
 /**
  * Whether a job must be stored in shards. Smaller jobs are stored in one value, which takes one write per change
  * instead of several. An array can still make progress if only as many of its tasks are placed at a time as one value
- * holds, but the tasks of a gang or service must all run at the same time. (Before gangs were sharded, the write of a
- * gang with more tasks than fit one value was rejected again and again, together with all other changes in its
- * transaction.)
+ * holds, but the tasks of a gang or service must all run at the same time. (Before gangs were sharded, the state
+ * service refused the write of a gang with more tasks than fit one value again and again, together with all other
+ * changes in its transaction.)
  */
 export function needsShards(spec: JobSpec, valueBytes: number): boolean {
   const size = shardSizeFor(valueBytes);
@@ -81,9 +81,12 @@
   return Math.max(initialShardSize(spec, valueBytes), Math.ceil(spec.tasks / maxShards));
 }
 
-/** The leader's state for one stored value of a job: which versions of it have changed and which are persisted. */
+/**
+ * The leader's state for one stored value of a job: at which versions of the job it changed, and up to which version
+ * it is stored.
+ */
 export class JobShard {
-  /** Versions of the job at which the shard last changed, last got a placement, and was last persisted. */
+  /** Versions of the job at which the shard last changed, last got a placement, and was last stored. */
   changedVersion = 0;
   placedVersion = 0;
   persistedVersion = 0;
@@ -105,12 +108,12 @@
     return this.changedVersion > this.persistedVersion;
   }
 
-  /** Whether a placement in the shard is not persisted yet. Its task must not start before it is. */
+  /** Whether a placement in the shard is not stored yet. Its task must not start before it is. */
   get hasUnpersistedPlacement(): boolean {
     return this.placedVersion > this.persistedVersion;
   }
 
-  /** Whether the shard's content as of this version of the job is persisted. */
+  /** Whether the shard is stored with all changes up to this version of the job. */
   isPersisted(version: number): boolean {
     return this.persistedVersion >= version || !this.isUnpersisted;
   }
--- a/src/core/state/key-value.ts
+++ b/src/core/state/key-value.ts
@@ -1,5 +1,5 @@
 /**
- * Data types of the consensus-backed key-value store (the state service) that holds the cluster's state, as the core
+ * Data types of the state service, the consensus-backed key-value store that holds the cluster's state, as the core
  * and all adapters use them. `wire/key-value.ts` converts them to the field names on the wire.
  */
 
@@ -28,7 +28,7 @@
 export interface KeyValueItem {
   readonly key: string;
   readonly value: StoredValue;
-  /** Revision of the store at which the key was last changed. */
+  /** Revision of the state service at which the key was last changed. */
   readonly modRevision: number;
 }
 
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -1,7 +1,7 @@
 /**
  * Machine records are stored in shards, each of which holds many machines in one value. No task may be placed on a
  * machine before its record is stored; with one key per machine, hundreds of machines that start at the same time
- * would use up all changes that the key-value store accepts in half a minute.
+ * would use up all changes that the state service accepts in half a minute.
  *
  * Each write of a shard is conditional on the shard's mod revision, so a delayed copy of an older write cannot remove
  * machines that were added since.
@@ -103,7 +103,7 @@
     for (const shard of oversized) this.split(shard);
   }
 
-  /** Lowers the maximum size after the key-value store refused a value. Shards that may not fit are split. */
+  /** Lowers the maximum size after the state service refused a value. Shards that may not fit are split. */
   setMaxBytes(maxBytes: number): void {
     this.maxBytes = maxBytes;
     for (const shard of [...this.shards]) {
--- a/src/core/state/oversized-values.ts
+++ b/src/core/state/oversized-values.ts
@@ -1,4 +1,4 @@
-/** Handles values that the key-value store refuses for their size although they are within the known limits. */
+/** Handles values that the state service refuses for their size although they are within the known limits. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -10,7 +10,7 @@
 /** Share of the planned size that the value of an unsharded job may reach before the job is sharded. */
 const MAX_UNSHARDED_FILL_RATIO = 0.95;
 
-/** Makes stored values smaller after the key-value store refused one for its size. */
+/** Makes stored values smaller after the state service refused one for its size. */
 export class OversizedValueHandler {
   constructor(
     private readonly context: LeaderContext,
@@ -18,9 +18,10 @@
   ) {}
 
   /**
-   * Handles the refusal of a transaction with a single value. From then on, values are planned to be smaller. The
-   * unpersisted placements in the refused value were never sent to a worker; they are released, so that the value
-   * becomes smaller until it is accepted. Persisted placements keep running, and other values are still written.
+   * Handles the refusal of a transaction with a single value. From then on, values are planned to be smaller.
+   * Placements that only the refused value contained were never sent to a worker. They are released, so that the
+   * value becomes smaller until it is accepted. Tasks whose placements are stored keep running, and other values are
+   * still written.
    */
   handleRefusedValue(transaction: LeaderTransaction, now: number): void {
     const bytes = largestValueBytes(transaction);
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -59,7 +59,7 @@
   epoch = NO_EPOCH;
   machineTypes: readonly MachineType[] | null = null;
   machineTypesModRevision = 0;
-  /** Revision of the store up to which all changes are applied. */
+  /** Revision of the state service up to which all changes are applied. */
   revision = -1;
 
   private readonly shards = new Map<string, Map<number, Versioned<JobShardRecord>>>();
@@ -67,7 +67,9 @@
   private readonly taskCounts = new WeakMap<object, TaskCounts>();
   private readonly dependencies = new DependencyIndex(this.activeJobs, this.finalRecords);
 
-  /** Replaces the content with a full read. `revision` is that of the store before the first page was read. */
+  /**
+   * Replaces the content with a full read. `revision` is that of the state service before the first page was read.
+   */
   reset(items: readonly KeyValueItem[], revision: number): void {
     this.activeJobs.clear();
     this.finalRecords.clear();
@@ -121,7 +123,7 @@
    * (cancellation, query, repeated submission). It is confirmed once the final record is stored, and the leader
    * stores that only when no task of the job can be on a machine or start any more. A node that answers worker
    * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When cancellations
-   * were confirmed earlier, a leader that the key-value store refused could not know of them, and its answers to
+   * were confirmed earlier, a leader that the state service refused could not know of them, and its answers to
    * heartbeats kept the cancelled tasks running for longer than `cancel_s`.)
    */
   view(id: string): JobView | null {
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -86,7 +86,7 @@
   return { kind: "jobShard", id: name.slice(0, slash), index: Number(name.slice(slash + 1)) };
 }
 
-/** A decoded value with the revision of the store at which its key last changed. */
+/** A decoded value with the revision of the state service at which its key last changed. */
 export interface Versioned<V> {
   readonly value: V;
   readonly modRevision: number;
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks the size of the largest value that the key-value store accepts.
+ * Tracks the size of the largest value that the state service accepts.
  *
  * The settings give the limits that are in force now, and future ones. If a single value is refused although it is
  * within them, values are planned to be smaller from then on, and no value of that size or more is sent until a retry
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -1,11 +1,11 @@
 /**
  * Limits how many changes per second the leader writes. It may use most of the capacity that the other controllers
  * leave, estimated from the submissions and cancellations that they store, and always at least 2/5 of the limit. For
- * a while after the key-value store refused a write because of its rate, the leader uses at most 2/3 of the limit.
+ * a while after the state service refused a write because of its rate, the leader uses at most 2/3 of the limit.
  *
  * A fixed share of 2/3 failed in two ways: the placements of a new leader, or of thousands of tiny jobs, waited
- * although the store was idle; and when many submissions arrived at the same time, they were refused because of the
- * leader's writes.
+ * although the state service was idle; and when many submissions arrived at the same time, they were refused because
+ * of the leader's writes.
  */
 
 /** Largest share of the limit that the leader uses after a refusal. */
@@ -28,9 +28,7 @@
   private averagedAt = Number.NEGATIVE_INFINITY;
   private refusedAt = Number.NEGATIVE_INFINITY;
 
-  /**
-   * `limitPerS` is the number of changes per second that the key-value store accepts from all controllers together.
-   */
+  /** `limitPerS` is the number of changes per second that the state service accepts from all controllers together. */
   constructor(private readonly limitPerS: number) {}
 
   /** Records the number of submissions and cancellations that were stored, by any controller. */
@@ -38,7 +36,7 @@
     this.changesSinceAverage += changes;
   }
 
-  /** Records that the key-value store refused a write because of its rate. */
+  /** Records that the state service refused a write because of its rate. */
   recordRefusal(now: number): void {
     this.refusedAt = now;
   }
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -43,7 +43,7 @@
   readonly names: readonly string[];
 }
 
-/** A transaction of the leader: the content to send, and the writes that a commit makes persistent. */
+/** A transaction of the leader: the content to send, and the writes that are stored when it is committed. */
 export interface LeaderTransaction {
   readonly preconditions: Precondition[];
   readonly changes: Change[];
--- a/src/net/address.ts
+++ b/src/net/address.ts
@@ -1,5 +1,6 @@
 /** Addresses of the form `host:port`. */
 
+/** The two parts of an address, in the form that `connect` of `node:net` takes. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -16,7 +16,7 @@
   /** Null if tracing is disabled. */
   readonly tracer: JobTracer | null;
   readonly log: Logger;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly heartbeatIntervalS: number;
   /** Maximum number of sockets that this process may have open. */
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -1,7 +1,7 @@
 /**
- * The node's write budget for the key-value store, and the leader's transactions. Transactions are sent one at a
- * time, each as large as the write budget and the store's limits allow. The result of a transaction is used only if
- * the term in which it was composed is still current.
+ * The node's write budget for the state service, and the leader's transactions. Transactions are sent one at a time,
+ * each as large as the write budget and the limits of the state service allow. The result of a transaction is used
+ * only if the term in which it was composed is still current.
  */
 import type { Logger } from "pino";
 import { assertNever } from "../core/assert-never.js";
@@ -23,11 +23,13 @@
 const MINIMUM_ALLOWED_CHANGES = 3;
 /** Smallest burst of a node's write budget, in changes. */
 const MINIMUM_BURST = 4;
-/** Share of the store's accepted changes per second that all followers together may use. */
+/** Share, for all followers together, of the changes per second that the state service accepts. */
 const FOLLOWERS_SHARE = 5 / 6;
 /** Largest number of followers that the followers' share is divided by. */
 const MAXIMUM_FOLLOWERS = 5;
-/** Burst of a follower's write budget, in seconds of the store's whole rate of accepted changes. */
+/**
+ * Burst of a follower's write budget: the changes that the state service accepts from all nodes in this many seconds.
+ */
 const FOLLOWER_BURST_S = 1 / 3;
 /**
  * Delays after a refused transaction and before a read is retried: the heartbeat interval divided by these values.
@@ -41,7 +43,7 @@
   readonly keyValueClient: KeyValueClient;
   readonly watcher: StateWatcher;
   readonly replica: StateReplica;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly log: Logger;
   readonly performEffects: (effects: readonly Effect[]) => void;
@@ -57,7 +59,8 @@
   private readonly leaderRateLimit: WriteBudget;
   private isWriting = false;
   /**
-   * Maximum number of changes in a transaction. Reduced after one was rejected as invalid, then raised step by step.
+   * Maximum number of changes in a transaction. Reduced after the state service refused one as invalid, then raised
+   * step by step.
    */
   private changeLimit: number;
 
@@ -93,7 +96,7 @@
     if (!this.isTransactionDue(current.scheduler, allowedChanges)) return;
     const transaction = this.compose(current.scheduler, allowedChanges, now);
     if (transaction === null) {
-      // The next indivisible group of changes may exceed the limit that was reduced after a rejection.
+      // The next indivisible group of changes may exceed the limit that was reduced after a refusal.
       this.raiseChangeLimit();
       return;
     }
@@ -105,8 +108,8 @@
   /**
    * Changes per second that this node may write. `WriteBudget` gives the rate of the leader. The followers divide
    * `FOLLOWERS_SHARE` evenly, and each gets a burst (`FOLLOWER_BURST_S`), because submissions arrive in bursts. The
-   * shares of leader and followers may add up to more than the store accepts; refused writes are retried shortly
-   * after.
+   * shares of leader and followers may add up to more than the state service accepts; refused writes are retried
+   * shortly after.
    */
   private budgetRate(isLeader: boolean): number {
     const { stateWriteRps, nodes } = this.options.settings;
@@ -116,8 +119,8 @@
   }
 
   /**
-   * The leader's burst covers one second of `LEADER_SHARE_AFTER_REFUSAL`, which the store accepts. With the burst of
-   * a follower, the leader could send only the smallest transactions.
+   * The leader's burst covers one second of `LEADER_SHARE_AFTER_REFUSAL`, which the state service accepts. With the
+   * burst of a follower, the leader could send only the smallest transactions.
    */
   private budgetBurst(isLeader: boolean): number {
     const seconds = isLeader ? LEADER_SHARE_AFTER_REFUSAL : FOLLOWER_BURST_S;
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -25,11 +25,11 @@
   readonly member: string;
   readonly leaseS: number;
   /**
-   * Longest time after the end of a term for which a former leader may still answer worker heartbeats, in seconds
-   * (`NodeTiming.leaseExtensionS`).
+   * Longest time, in seconds, for which a previous leader may still answer worker heartbeats after the end of its
+   * term (`NodeTiming.leaseExtensionS`).
    */
   readonly leaseExtensionS: number;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly log: Logger;
   readonly createScheduler: (epoch: number, epochModRevision: number, now: number) => Scheduler;
@@ -47,10 +47,10 @@
 
 const STANDBY: LeadershipState = { kind: "standby" };
 
-/** A pending attempt of this node to become the leader. */
+/** An attempt of this node, as a candidate, to become the leader. */
 interface Candidacy {
   readonly leader: LeaderRecord;
-  /** Steady-clock time at which the lease was requested, in seconds. */
+  /** Monotonic time at which the lease was requested, in seconds. */
   readonly grantSentAt: number;
 }
 
@@ -81,7 +81,9 @@
     this.state = { kind: "stopped" };
   }
 
-  /** Keeps this node from campaigning for `durationS` seconds, so that another node can acquire leadership. */
+  /**
+   * Keeps this node from becoming a candidate for `durationS` seconds, so that another node can acquire leadership.
+   */
   startElectionCooldown(durationS: number): void {
     this.electionCooldownUntil = this.options.now() + durationS;
   }
@@ -111,7 +113,7 @@
     this.options.onLeadershipChange(false);
   }
 
-  /** Advances the fencing token within the current term, so that workers reject start commands still in flight. */
+  /** Advances the fencing token within the current term, so that workers drop start commands still in flight. */
   async advanceFencingToken({ term, scheduler }: ActiveLeadership): Promise<void> {
     const epoch = term.epoch + 1;
     const result = await this.storeAdvancedEpoch(term, epoch);
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -142,7 +142,7 @@
 
   /**
    * Records the times of the last contact with the state service and of the last stored leader. They decide whether a
-   * standby may answer heartbeats.
+   * follower may answer heartbeats.
    */
   private recordContacts(): void {
     const { keyValueClient, replica } = this.adapters;
--- a/src/node/node-cycle.ts
+++ b/src/node/node-cycle.ts
@@ -11,7 +11,7 @@
 
 /** Dependencies of `NodeCycle`. */
 export interface NodeCycleOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly heartbeatIntervalS: number;
   readonly watcher: StateWatcher;
@@ -23,7 +23,10 @@
   readonly performEffects: (effects: readonly Effect[]) => void;
 }
 
-/** Runs cycles: a standby campaigns for leadership; the leader schedules, updates admission and writes. */
+/**
+ * Runs cycles: a follower tries to acquire leadership if there is no leader; the leader schedules, updates the
+ * admission window and sends a transaction.
+ */
 export class NodeCycle {
   private nextAdmissionUpdateAt = Number.NEGATIVE_INFINITY;
 
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -22,8 +22,8 @@
 
   /**
    * A node is unhealthy if it cannot reach the state service while another node can. If no node can reach it, the
-   * service is down for all, and failing the health check would only delay the recovery. Also unhealthy before the
-   * replica is loaded, and while the node sheds users.
+   * state service is down for all, and failing the health check would only delay the recovery. Also unhealthy before
+   * the replica is loaded, and while the node sheds users.
    */
   isHealthy(): boolean {
     const { stateContact, peers } = this.options;
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -13,6 +13,7 @@
  * changes.
  */
 export const ACTIVITIES = ["heartbeats", "cycles", "effectResults", "replicaChanges"] as const;
+/** A measured activity, which is also the field name of its totals in a load report. */
 export type Activity = (typeof ACTIVITIES)[number];
 
 /** Count and total duration of an activity. */
@@ -44,7 +45,7 @@
 
 /** Clocks and settings of `NodeLoad`. */
 export interface NodeLoadOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Processor time that this process has used so far, in seconds. */
   readonly cpuS: () => number;
--- a/src/node/node-timing.ts
+++ b/src/node/node-timing.ts
@@ -6,9 +6,11 @@
 export interface NodeTiming {
   /** Longest time without an answer of the state service after which the node still counts as in contact with it. */
   readonly maximumContactGapS: number;
-  /** Time after the end of its term in which a former leader may still answer heartbeats. */
+  /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
   readonly gracePeriodS: number;
-  /** The same for machines that run service replicas or gang tasks, whose leases are extended during a partition. */
+  /**
+   * Like `gracePeriodS`, for machines that run service or gang tasks, whose leases are extended during a partition.
+   */
   readonly leaseExtensionS: number;
   /** Timeout of requests to the state service and to workers. */
   readonly requestTimeoutMs: number;
@@ -22,7 +24,7 @@
   const maximumContactGapS = (2 * heartbeatIntervalS) / 3;
   return {
     maximumContactGapS,
-    // At least the time for which standbys may answer heartbeats while no node leads (`StandbyResponder`).
+    // At least the time for which followers may answer heartbeats while there is no leader (`StandbyResponder`).
     gracePeriodS: Math.max(operator.graceRatio * leaseS, leaseS / 3 + maximumContactGapS),
     leaseExtensionS: operator.extensionRatio * leaseS,
     requestTimeoutMs: (heartbeatIntervalS * 1000) / 3,
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -8,7 +8,7 @@
 
 /** The replica, and the components that are notified of its changes. */
 export interface ReplicaChangeHandlerOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly leadership: Leadership;
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -21,7 +21,7 @@
 
 /** Callbacks that the loop runs, and callbacks that receive its measurements. */
 export interface SchedulingLoopOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly settings: Pick<ClusterSettings, "heartbeatIntervalS">;
   /** Called at each poll, before a due cycle is run. */
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -6,7 +6,7 @@
 export interface StateContactOptions {
   readonly keyValueClient: KeyValueClient;
   readonly watcher: StateWatcher;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Longest time since the last answer at which the node still counts as in contact, in seconds. */
   readonly maximumContactGapS: number;
@@ -23,7 +23,7 @@
 
   /**
    * Watches return several times within `maximumContactGapS`, so a longer time without an answer means that this node
-   * is partitioned from the service.
+   * is partitioned from the state service.
    */
   reachesStateService(): boolean {
     const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
--- a/src/node/user-requests.ts
+++ b/src/node/user-requests.ts
@@ -43,7 +43,7 @@
   "readJob" | "checkFeasibility" | "submit" | "cancel" | "waitForEnd"
 >;
 
-/** Serves users' requests on any node, leader or standby. */
+/** Serves users' requests on any node, leader or follower. */
 export class UserRequestHandler implements UserBackend {
   constructor(private readonly options: UserRequestHandlerOptions) {}
 
--- a/src/node/worker-heartbeats.ts
+++ b/src/node/worker-heartbeats.ts
@@ -1,4 +1,6 @@
-/** Answers worker heartbeats, whether the node is the leader, a former leader in its grace period, or a standby. */
+/**
+ * Answers worker heartbeats, whether the node is the leader, a previous leader in its grace period, or a follower.
+ */
 import type { HeartbeatBackend } from "../api/heartbeats.js";
 import type { HeartbeatAnswer } from "../api/outcomes.js";
 import type { Effect } from "../core/effects.js";
@@ -16,7 +18,7 @@
   /** The name of this node. */
   readonly member: string;
   readonly timing: NodeTiming;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly stateContact: StateContact;
@@ -78,8 +80,8 @@
   }
 
   /**
-   * A former leader may not send commands, but extends worker leases for a bounded time by answering heartbeats
-   * without commands.
+   * A leader whose term has ended may not send commands. For a bounded time, it still extends worker leases by
+   * answering heartbeats without commands.
    */
   private handleInGracePeriod(
     { term, scheduler }: ActiveLeadership,
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -21,7 +21,7 @@
   readonly listenAddress: string;
   /** `host:port` of each peer. */
   readonly peerAddresses: readonly string[];
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Interval between two heartbeats to a peer, in seconds. */
   readonly heartbeatIntervalS: number;
@@ -42,11 +42,11 @@
   private readonly links: readonly PeerLink[];
   private timer: NodeJS.Timeout | null = null;
   private readonly inbound = new Set<Socket>();
-  /** For each inbound connection: steady-clock time of the last heartbeat whose sender reached the state service. */
+  /** For each inbound connection: monotonic time of the last heartbeat whose sender reached the state service. */
   private readonly lastHeartbeatAt = new Map<Socket, number>();
-  /** Steady-clock time of the last heartbeat from any peer that reached the state service. */
+  /** Monotonic time of the last heartbeat from any peer that reached the state service. */
   private lastStateContactAt = Number.NEGATIVE_INFINITY;
-  /** Steady-clock time of the last heartbeat from a leader. */
+  /** Monotonic time of the last heartbeat from a leader. */
   private lastLeaderHeartbeatAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: PeerMeshOptions) {
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the key-value store that holds the cluster's state.
+ * Client of the state service, the consensus-backed key-value store that holds the cluster's state.
  *
  * No method rejects because a request failed. Results distinguish requests that were certainly not executed from
  * those that may have been executed.
@@ -33,7 +33,8 @@
   /** Not executed, because the preconditions on these keys did not hold. */
   | { readonly kind: "failed"; readonly keys: readonly string[] }
   /**
-   * Certainly not executed: over a limit, or the store is unavailable to this node. Status 0: no request was sent.
+   * Certainly not executed, because a limit was exceeded or the state service is unavailable to this node. Status 0:
+   * no request was sent.
    */
   | { readonly kind: "refused"; readonly status: number }
   /** May have been executed, or may still be executed later. */
@@ -42,7 +43,7 @@
 /** Result of a watch. */
 export type WatchResult =
   | { readonly kind: "ok"; readonly revision: number; readonly events: readonly ChangeEvent[] }
-  /** The store no longer keeps the changes since the requested revision; a full read is required. */
+  /** The state service no longer keeps the changes since the requested revision; a full read is required. */
   | { readonly kind: "compacted" }
   | { readonly kind: "failed" };
 
@@ -51,7 +52,7 @@
   | {
       readonly kind: "ok";
       readonly items: readonly KeyValueItem[];
-      /** Revision of the store before the first page was read. */
+      /** Revision of the state service before the first page was read. */
       readonly revision: number;
     }
   | { readonly kind: "failed" };
@@ -82,11 +83,11 @@
 
 const FAILED = { kind: "failed" } as const;
 
-/** Sends requests to the state service; no method rejects if the service does not answer. */
+/** Sends requests to the state service. No method rejects if the state service does not answer. */
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
-  /** Steady-clock time, in seconds, of the last answer with a status other than 429 and below 500. */
+  /** Monotonic time, in seconds, of the last answer with a status other than 429 and below 500. */
   lastAnswerAt = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -139,7 +140,10 @@
     }
   }
 
-  /** Reads the changes after a revision; the store waits up to `blockMs` milliseconds for a change. */
+  /**
+   * Reads the changes after a revision. If there are none, the state service waits up to `blockMs` milliseconds for
+   * one.
+   */
   async watch(revision: number, blockMs: number): Promise<WatchResult> {
     const result = await this.call({
       method: "GET",
--- a/src/state/state-watcher.ts
+++ b/src/state/state-watcher.ts
@@ -3,7 +3,8 @@
  * share.
  *
  * A user must not be answered from the replica alone, because another node may already have answered with newer
- * state. Each reader waits for a read of the store that starts after its request; all waiting readers share one read.
+ * state. Each reader waits for a read of the state service that starts after its request; all waiting readers share
+ * one read.
  */
 
 import type { ChangeEvent, KeyValueItem } from "../core/state/key-value.js";
@@ -21,11 +22,11 @@
 export interface StateWatcherOptions {
   readonly keyValueClient: KeyValueClient;
   readonly replica: StateReplica;
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   /** Shortest time between two linearizable reads, and between two watches, in seconds. */
   readonly minimumIntervalS: number;
-  /** Longest time for which the store may delay the answer to a watch until there is a change, in milliseconds. */
+  /** Longest time for which the state service waits for a change before it answers a watch, in milliseconds. */
   readonly blockMs: number;
   /** Called after the replica changed; with null after a full read. */
   readonly onChange: (change: ReplicaChange | null) => void;
@@ -38,7 +39,7 @@
 
 /** Keeps the replica up to date, and serves linearizable reads. */
 export class StateWatcher {
-  /** True if the replica was read completely and the store still keeps all changes since then. */
+  /** True if the replica was read completely and the state service still keeps all changes since then. */
   isLoaded = false;
   private pendingReads: ((ok: boolean) => void)[] = [];
   private isReading = false;
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -1,9 +1,9 @@
 /**
  * Codecs of the state service's API, between its field names and the types of `core/state/key-value.ts`. On the wire,
- * the `modRevision` of a key is called `mark`, and the `revision` of the store `ledger`.
+ * the `modRevision` of a key is called `mark`, and the `revision` of the state service `ledger`.
  *
  * Pages of keys and changes are validated field by field instead of with a schema, as heartbeats are, because every
- * node reads every change of the store.
+ * node reads every change.
  */
 import * as z from "zod";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
@@ -40,7 +40,7 @@
   readonly items: readonly KeyValueItem[];
   /** True if another page follows. */
   readonly more: boolean;
-  /** The store's revision when the page was read. */
+  /** Revision of the state service when the page was read. */
   readonly revision: number;
 }
 
@@ -64,7 +64,7 @@
   return { key, value: removed ? null : data, removed, modRevision: mark };
 }
 
-/** Changes in the order of their revisions, and the store's revision after them. */
+/** Changes in the order of their revisions, and the revision of the state service after them. */
 export interface WatchBatch {
   readonly revision: number;
   readonly events: readonly ChangeEvent[];
@@ -82,7 +82,9 @@
   failed: z.array(z.string()).nullish(),
 });
 
-/** The response to a transaction: the store's revision, and the keys whose preconditions did not hold. */
+/**
+ * The response to a transaction: the revision of the state service, and the keys whose preconditions did not hold.
+ */
 export interface TransactionResult {
   readonly revision: number;
   readonly failedKeys: readonly string[];
