--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -258,7 +258,8 @@
 }
 
 /**
- * Returns the claimant for those classes of a team that the window does not name. It demands a little of everything.
+ * Returns the claimant for those classes of a team that the window does not name. It demands `FLOOR_RATIO` of the
+ * capacity for each resource, or one CPU if there is no capacity.
  */
 function claimantForOthers(team: string, capacity: ResourceVector): Claimant {
   const hasCapacity = RESOURCES.some((resource) => capacity[resource] > 0);
--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -13,12 +13,12 @@
 export type Atom = string;
 /** A sequence of atoms that must occur in this order. */
 export type Term = readonly Atom[];
-/** A sum of terms, at least one of which must be met. */
+/** A sum of terms, at least one of which must be satisfied. */
 export type Expression = readonly Term[];
 
-/** The expression that no trace (sequence of events) meets. */
+/** The expression that no trace (sequence of events) satisfies. */
 export const ZERO: Expression = [];
-/** The expression that every trace meets. */
+/** The expression that every trace satisfies. */
 export const TOP: Expression = [[]];
 
 /** How the controllers can influence an event (Section 4). */
@@ -40,14 +40,14 @@
 /** The event that an atom or its complement names. */
 export const eventOf = (atom: Atom): string => (isComplement(atom) ? atom.slice(1) : atom);
 
-/** Whether no trace meets the expression. */
+/** Whether no trace satisfies the expression. */
 export const isZero = (expression: Expression): boolean => expression.length === 0;
 
-/** Whether every trace meets the expression. */
+/** Whether every trace satisfies the expression. */
 export const isTop = (expression: Expression): boolean =>
   expression.some((term) => term.length === 0);
 
-/** Drops duplicate terms and terms that no admissible trace meets. If a term is top, the result is top. */
+/** Drops duplicate terms and terms that no admissible trace satisfies. If a term is top, the result is top. */
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
   const distinct = new Map<string, Term>();
@@ -74,7 +74,9 @@
   return expression.map((term) => (term.length === 0 ? "T" : term.join("."))).join(" + ");
 }
 
-/** The residual: the expression that remains to be met once `atom` has occurred (Equations 1 to 4 and 8 to 10). */
+/**
+ * The residual: the expression that remains to be satisfied once `atom` has occurred (Equations 1 to 4 and 8 to 10).
+ */
 export function residuate(expression: Expression, atom: Atom): Expression {
   const residuals: Term[] = [];
   for (const term of expression) {
@@ -90,9 +92,9 @@
 
 /**
  * Whether the expression is secure, that is, whether no event can force the controllers to violate it. It is secure
- * if the controllers can meet some term by triggering and rejecting events, or if for some event outside their full
- * control the residuals are secure both after the event and after its complement. For example, `f + ~f` is always
- * secure (Example 12).
+ * if the controllers can satisfy some term by triggering and rejecting events, or if for some event outside their
+ * full control the residuals are secure both after the event and after its complement. For example, `f + ~f` is
+ * always secure (Example 12).
  */
 export function isSecure(expression: Expression, attributesOf: AttributesOf): boolean {
   if (isZero(expression)) return false;
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -40,7 +40,7 @@
   readonly now: () => number;
   /** Seconds after which a refused client may retry. */
   readonly retryAfterS: number;
-  /** Longest wait for a cancelled job to end, in seconds; after it the client is told to retry later. */
+  /** Longest wait for a cancelled job to end, in seconds. After that, the client is told to retry later. */
   readonly cancellationWaitS: number;
   /** Seconds after which an idle connection is closed. */
   readonly idleTimeoutS: number;
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -7,8 +7,8 @@
 import type { SubmissionWriter } from "./submission-writer.js";
 
 /**
- * Attempts to admit and write a submission before the client is told to retry later. An attempt fails if another
- * node's write comes first.
+ * Maximum number of attempts to admit and write a submission before the client is told to retry later. An attempt
+ * fails if another node uses up the grant first.
  */
 const MAX_ATTEMPTS = 4;
 
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Returns null if every job that `spec` depends on was accepted at some time, or else the outcome to answer with. A
-   * job known to the replica stays known. A dependency counts as never accepted only if it is missing after the
-   * replica has read everything that was stored when this method was called.
+   * Returns null if every job that `spec` depends on has been accepted, and otherwise the outcome to answer with. A
+   * job that the replica knows stays known. A dependency counts as never accepted only if the replica still lacks it
+   * after reading everything that was stored when this method was called.
    */
   private async checkDependencies(spec: JobSpec): Promise<SubmissionOutcome | null> {
     const hasUnknownDependency = (): boolean =>
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -78,7 +78,10 @@
   private readonly gate: SubmissionGate;
   private readonly queue: PendingQueue<PendingWrite>;
   private isDraining = false;
-  /** Maximum changes per transaction at present; reduced after the state service refused a batch for its size. */
+  /**
+   * Current maximum of changes per transaction. It is reduced after the state service refused a batch for its size,
+   * and then raised step by step.
+   */
   private currentMaxChanges: number;
 
   constructor(private readonly options: SubmissionWriterOptions) {
@@ -107,8 +110,8 @@
   }
 
   /**
-   * Stores the cancellation of a job that is known to be accepted. The leader must then carry it out; users see the
-   * job as cancelled only once its final state is stored (`StateReplica.view`).
+   * Stores the cancellation of a job that is known to be accepted. The leader then carries it out. Users see the job
+   * as cancelled only once its final state is stored (`StateReplica.view`).
    */
   async cancel(id: string, wallMs: number): Promise<WriteResult> {
     const value = encodeCancellation(wallMs);
@@ -253,7 +256,10 @@
     this.expireOverdue();
   }
 
-  /** Answers writes whose own preconditions failed with "known", and requeues the others. */
+  /**
+   * Answers writes whose own preconditions failed with "known", and requeues the others. If none of the failed keys
+   * is a precondition of the batch, all writes are answered with "unavailable".
+   */
   private async handleFailedPreconditions(
     batch: readonly PendingWrite[],
     gatePreconditions: readonly Precondition[],
--- a/src/core/capacity/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -10,7 +10,10 @@
 /** Boot timeout as a multiple of the usual boot time: the initial value and the maximum. */
 const INITIAL_TIMEOUT_RATIO = 4;
 const MAX_TIMEOUT_RATIO = 12;
-/** Factors on the timeout: an expired timeout adds a tenth, and a machine that came up subtracts a tenth. */
+/**
+ * Factors on the timeout: an expired timeout raises it by a tenth, and a machine that came up lowers it by a tenth at
+ * most (`recordBoot`).
+ */
 const TIMEOUT_GROWTH_FACTOR = 1.1;
 const TIMEOUT_DECAY_FACTOR = 0.9;
 
@@ -22,7 +25,10 @@
 export class BootTimeouts {
   private readonly ratioByType = new Map<string, number>();
 
-  /** Adapts the timeout to a machine that came up, as other machines of its type may take as long. */
+  /**
+   * Lowers the timeout after a machine came up, but not below the initial value or twice the boot time of this
+   * machine, because other machines of its type may take as long. A slow boot raises the timeout.
+   */
   recordBoot(machine: Machine, now: number): void {
     const bootRatio = (now - machine.bootingSince) / machine.type.bootS;
     const timeout = Math.max(
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Releases machines that were listed before and no longer are. The cloud lists a machine until it is terminated,
-   * and the release confirms the termination.
+   * Releases machines that were listed before and no longer are. The cloud lists a machine until it is terminated, so
+   * the request only has the termination confirmed.
    */
   private releaseUnlisted(listed: readonly ListedMachine[]): void {
     const names = new Set(listed.map(({ name }) => name));
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -22,7 +22,7 @@
 } from "./scaling.js";
 import type { ScalingContext } from "./scaling-context.js";
 
-/** Share of a stored value's size limit that machine records may fill. The rest is for records added later. */
+/** Share of a stored value's size limit up to which machine records are added to a value. The rest is a margin. */
 const SHARD_FILL_RATIO = 0.6;
 /** Backoff of an offer after the cloud lacked capacity for it, in worker leases. */
 const CAPACITY_BACKOFF_LEASES = 0.5;
@@ -36,13 +36,13 @@
   readonly recordShards: MachineRecordShards;
   /** Names of machines that are confirmed to be terminated. */
   readonly terminated = new Set<string>();
-  /** Resource demands of the known jobs, by class. */
+  /** Resource demands of the latest job of each class, by class. */
   readonly shapes = new Map<string, JobShape>();
   /** Jobs that lack capacity, as of the last scheduling cycle. */
   waitingJobs: ActiveJob[] = [];
   private readonly bootTimeouts = new BootTimeouts();
   private readonly machineList: MachineListReconciler;
-  /** By `offerKey`: the time until which the offer is not requested again. */
+  /** By `offerKey`: time until which an offer is not requested again after the cloud lacked capacity for it. */
   private readonly capacityBackoffUntil = new Map<string, number>();
   /** Reasons for the releases that the cloud has not confirmed yet, by machine name. */
   private readonly pendingReleases = new Map<string, string>();
@@ -203,7 +203,8 @@
 
   /** Sends one scale-out request, or scales in if no capacity is missing. */
   private scale(now: number): void {
-    // Before the first machine list, a newly elected leader does not know all machines yet.
+    // A new leader may not know all machines before the first machine list, so it waits for the list for a limited
+    // time.
     const { startedAt, settings } = this.context;
     if (now - startedAt < 2 * settings.listLagS && this.machineList.isEmpty) return;
     const isUnused = this.isClusterUnused(now);
--- a/src/core/capacity/scaling-context.ts
+++ b/src/core/capacity/scaling-context.ts
@@ -7,7 +7,7 @@
   readonly cluster: Cluster;
   readonly types: readonly MachineType[];
   readonly now: number;
-  /** By `offerKey`: the time until which an offer is not requested again after the cloud lacked capacity for it. */
+  /** By `offerKey`: time until which an offer is not requested again after the cloud lacked capacity for it. */
   readonly capacityBackoffUntil: ReadonlyMap<string, number>;
   /** Spare capacity to keep for each class of jobs, as a ratio of the number of its tasks placed. */
   readonly spareRatio: number;
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -193,7 +193,8 @@
   Math.max(1, Math.ceil(spareRatio * shape.runningTasks));
 
 /**
- * Whether the machine counts as capacity for new tasks. Machines late in booting do not, as they may never come up.
+ * Whether the machine counts as capacity for new tasks. A machine that is late in booting does not, because it may
+ * never come up; nor does one that is drained, unreachable or about to be reclaimed.
  */
 function acceptsNewTasks(machine: Machine, now: number): boolean {
   if (machine.drainReason !== null || machine.interruptionAt !== null) return false;
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -27,7 +27,7 @@
   readonly teams = new Map<string, Team>();
   /**
    * By job class: time until which its jobs cannot count as starving, because a starving job of the class was placed
-   * recently. Until then other jobs have a share of the capacity.
+   * recently. Until then other jobs go first.
    */
   readonly classCooldownUntil = new Map<string, number>();
   readonly gangStarts = new GangStarts();
@@ -102,7 +102,10 @@
     usage.gpus += gpus;
   }
 
-  /** Removes a placement and releases its resources. To be called once its attempt is proven to be terminated. */
+  /**
+   * Removes a placement and releases its resources. To be called only once its attempt has certainly terminated or
+   * can no longer start.
+   */
   releasePlacement(placement: Placement, now: number): void {
     const { job, machine, task } = placement;
     if (!machine.placements.delete(placement.key)) return;
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -8,7 +8,7 @@
 import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
 
-/** Probes per second and CPU core for machines whose heartbeat is not overdue yet. */
+/** Probes per second and CPU core that the probe budget allows. */
 const PROBES_PER_CORE_S = 40;
 const MAXIMUM_COMMANDS_PER_REQUEST = 400;
 /** Limit on concurrent probes, and on concurrent token-only requests, while the node is overloaded. */
@@ -34,7 +34,9 @@
   readonly tokenRequestsInFlight = new Set<string>();
   /** Names of the machines that have a probe in flight. */
   readonly probesInFlight = new Set<string>();
-  /** Rate limit of probes to machines whose heartbeat is not overdue yet. */
+  /**
+   * Rate limit of probes to machines whose heartbeat is not overdue yet, and to machines that may have just booted.
+   */
   readonly probeBudget: TokenBucket;
   /** Orphaned tasks to be stopped without time to checkpoint. */
   orphanedTasks: OrphanedTask[] = [];
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -95,8 +95,8 @@
     }
     machine.lastMessageAt = now;
     machine.consecutiveFailedRequests = 0;
-    // The lease runs at least from this heartbeat, because an incarnation begins no later than its first heartbeat. A
-    // previous leader may also have renewed the lease during that leader's grace period.
+    // An incarnation, and with it the worker's lease, begins no later than its first heartbeat. The lease may
+    // therefore run from now, or from a renewal by a previous leader in that leader's grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -177,7 +177,8 @@
     this.context.log("orphaned task", { task: `${id}/${task}`, attempt, machine: machine.name });
     const job = this.context.cluster.jobs.get(id);
     if (job === undefined) {
-      // The job is terminal, so no job is left to account the task's resources to. The task is stopped without grace.
+      // The job is terminal, so there is no job to which the task's resources can be charged. The task is stopped
+      // without time to checkpoint.
       this.dispatcher.orphanedTasks.push({ machine: machine.name, job: id, task, attempt });
       return;
     }
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -27,7 +27,10 @@
     }
   | { readonly kind: "release machines"; readonly machines: readonly string[] }
   | { readonly kind: "list machines" }
-  /** The first task of a job runs, as far as this leader knows. `submittedAt`: time of day, in milliseconds. */
+  /**
+   * A task of a job runs for the first time, as far as this leader knows. `submittedAt`: time of day, in
+   * milliseconds.
+   */
   | { readonly kind: "first start"; readonly job: string; readonly submittedAt: number }
   | { readonly kind: "advance fencing token" }
   | { readonly kind: "step down"; readonly why: string }
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -31,15 +31,15 @@
   readonly failures = new FailureHistory();
   /** Run times of completed tasks, in seconds. */
   readonly runTimes: number[] = [];
-  /** Preemption precedence as of the last cycle; a lower value is stronger. See `precedenceOf`. */
+  /** Precedence in the last scheduling cycle; a lower value is stronger. See `precedenceOf`. */
   precedence = 0;
   /** Earliest time of the next search for tasks to preempt; set after a search that found none. */
   nextPreemptionAt = Number.NEGATIVE_INFINITY;
-  /** For a gang: whether a start now would still meet the objectives on team guarantees. */
+  /** For a gang: whether a start now would still meet at least the longest objective on team guarantees. */
   guaranteeStillReachable = true;
   /** Whether the job goes first because it has waited for too long. */
   isStarving = false;
-  /** Position in the queue as of the last cycle. */
+  /** Position in the queue in the last scheduling cycle. */
   queuePosition = Number.MAX_SAFE_INTEGER;
   /** Zone in which capacity is reserved for a gang until all its tasks fit; "": any zone; null: no reservation. */
   reservedZone: string | null = null;
@@ -48,7 +48,9 @@
   private parsedResiduals: Expression[] | null = null;
   /** Cached `isBlockedOnDependencies`, cleared when the residuals change; null: not computed. */
   private blockedCache: boolean | null = null;
-  /** Time of day (ms) at which all dependencies of the job were done; null: not known to be done. */
+  /**
+   * Time of day (ms) at which this leader found all dependencies of the job done; null: not all are known to be done.
+   */
   private readyAtMs: number | null = null;
   /** Cached `pendingCount`, cleared when the placements change; null: not computed. */
   private pendingCountCache: number | null = null;
@@ -89,7 +91,7 @@
     return this.spec.after === undefined || this.readyAtMs !== null;
   }
 
-  /** Records the time of day at which the last dependency was done. */
+  /** Records the time of day at which this leader first found all dependencies done. */
   markReady(wallMs: number): void {
     this.readyAtMs ??= wallMs;
   }
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,4 +1,4 @@
-/** Counts the gangs of each class and size that started within the users' bound on the start latency. */
+/** Counts the recent starts of gangs by class and size, for the fairness between gang sizes. */
 import { START_BOUND_S } from "../model/constants.js";
 import type { JobSpec } from "../model/jobs.js";
 
@@ -9,7 +9,10 @@
 /** Returns the key of a gang's class and size. */
 export const gangSizeKey = (spec: JobSpec): string => `${spec.class} ${spec.tasks}`;
 
-/** Start times of gangs, by class and size. They are not stored: a new leader starts with none. */
+/**
+ * Start times of gangs, by class and size. They are not stored: a new leader counts every gang that has placements as
+ * started at the takeover.
+ */
 export class GangStarts {
   private readonly startTimes = new Map<string, number[]>();
   private readonly countedJobs = new WeakSet<StartedJob>();
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -20,10 +20,12 @@
 import type { CancellationCause } from "./sharded-job.js";
 import { TaskRanges } from "./task-ranges.js";
 
-/** Maximum size of an unsharded job, as a share of the largest stored value. Larger jobs are resharded. */
+/**
+ * Maximum size of an unsharded job, as a share of the planned size limit of stored values. Larger jobs are resharded.
+ */
 const FILL_RATIO = 0.95;
 
-/** Thrown when stored placements are loaded before the catalog of machine types is known. */
+/** Thrown when a stored placement is on a machine without a stored record and no machine type is known yet. */
 export class UnknownMachineTypesError extends Error {
   constructor() {
     super("machine types unknown");
@@ -144,7 +146,10 @@
     }
   }
 
-  /** Adds a machine without a stored record. It is kept until the cloud confirms that it is terminated. */
+  /**
+   * Adds a machine without a stored record and requests its release. It is kept until the cloud confirms the release,
+   * because its tasks may run until then.
+   */
   private addUnrecordedMachine(name: string, now: number): Machine {
     const [type] = this.context.machineTypes.values();
     if (type === undefined) throw new UnknownMachineTypesError();
--- a/src/core/jobs/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -84,7 +84,9 @@
   return residuateByEvent(residuated, `~${eventName(opposite, other)}`);
 }
 
-/** Whether some residual can be met only if the event never occurs. An excluded start is rejected permanently. */
+/**
+ * Whether some residual can be satisfied only if the event never occurs. An excluded start is rejected permanently.
+ */
 export const isEventExcluded = (dependencies: readonly Expression[], event: string): boolean =>
   dependencies.some(
     (dependency) => dependency.length > 0 && dependency.every((term) => term.includes(`~${event}`)),
@@ -114,7 +116,10 @@
   });
 }
 
-/** Starts without which some residual cannot be met. They are triggered, that is, queued as attempted events. */
+/**
+ * Start events without which some residual cannot be satisfied. They are to be triggered, that is, queued as
+ * attempted events.
+ */
 export function requiredStarts(dependencies: readonly Expression[]): string[] {
   const starts = new Set<string>();
   for (const dependency of dependencies) {
--- a/src/core/leader-context.ts
+++ b/src/core/leader-context.ts
@@ -43,7 +43,7 @@
   /** Changes when the fencing token is advanced. */
   epoch: number;
   epochModRevision: number;
-  /** A change calls for a scheduling cycle soon. */
+  /** Whether a change calls for a scheduling cycle before the next regular one. */
   cycleRequested = true;
   /** Machine types, by name; empty until the catalog is known. */
   machineTypes: ReadonlyMap<string, MachineType> = new Map();
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -2,22 +2,20 @@
  * A leadership term: at any time at most one controller is the leader, and only the leader makes writes that accept
  * events (docs/design.md, exception 1).
  *
- * A term depends on a key with a lease, and is numbered by a counter that is never reset (the epoch). This module
- * computes until when the leader may act: for the length of the lease, counted from when the last renewal was sent,
- * less the clock drift and a margin. The leader therefore stops acting before its lease can expire. Times are
- * monotonic, in seconds, unless the name says otherwise.
+ * A term ends at the latest when the lease of the stored leader record expires. It is numbered by the epoch, a
+ * counter that is never reset. This module computes until when the leader may act: for the length of the lease,
+ * counted from when the last renewal was sent, less the clock drift and a margin. The leader therefore stops acting
+ * before its lease can expire. Times are monotonic, in seconds, unless the name says otherwise.
  */
 import { CLOCK_DRIFT } from "../model/constants.js";
 
 /**
- * Longest time for which the leader may not reach its lease renewal, in seconds of processor time: twice the longest
+ * Longest time for which other work may delay a lease renewal, in seconds of processor time: twice the longest
  * scheduling cycle after a failover, including the heartbeats received during it.
  */
 const MAXIMUM_STALL_CPU_S = 0.3;
 const MINIMUM_LEASE_S = 0.5;
-/**
- * The leader stops acting this part of its lease (the lease divided by this) early, in addition to the clock drift.
- */
+/** The leader stops acting before its lease expires, earlier by the clock drift and by the lease divided by this. */
 const SAFETY_MARGIN_DIVISOR = 10;
 
 /**
@@ -72,7 +70,7 @@
     return this.currentEpochModRevision;
   }
 
-  /** Applies an epoch that was advanced within this term to fence off commands still in flight. */
+  /** Applies an epoch that was advanced within this term so that workers drop commands still in flight. */
   advanceEpoch(epoch: number, modRevision: number): void {
     this.currentEpoch = epoch;
     this.currentEpochModRevision = modRevision;
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -169,7 +169,7 @@
     ) {
       this.releaseWithinRate(machine, "no message from worker", machineCount, now);
     }
-    // Its heartbeats arrive, but neither their answers nor commands reach it, so its lease will expire.
+    // Even if its heartbeats arrive, neither their answers nor commands reach it, so its lease will expire.
     const { unreachableSince } = machine;
     const isUnreachable =
       unreachableSince !== null && now - unreachableSince > 2 * heartbeatIntervalS;
@@ -181,7 +181,7 @@
     if (isStopUndeliverable && runsCancelledTask(machine)) {
       this.machinePool.requestRelease(machine, "runs a cancelled task");
     }
-    // Longer than the longest partition that is tolerated: the machine is replaced.
+    // The silence has lasted for longer than any partition that is tolerated, so the machine is replaced.
     if (sinceLastMessageS > this.context.options.leaseExtensionS + leaseS) {
       this.machinePool.requestRelease(machine, "no message from worker for too long");
     }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -129,8 +129,8 @@
   /** Time until which the machine accepts no new tasks. */
   backoffUntil = Number.NEGATIVE_INFINITY;
   /**
-   * Weakest precedence of the tasks here as of the last scheduling cycle. A higher number is weaker; -1: no task.
-   * Only a job with a stronger precedence can preempt a task here.
+   * Weakest precedence of the tasks here in the last scheduling cycle. A higher number is weaker; -1: no task. Only a
+   * job with a stronger precedence can preempt a task here.
    */
   weakestPrecedence = -1;
   reservation: CapacityReservation | null = null;
--- a/src/core/model/machines.ts
+++ b/src/core/model/machines.ts
@@ -31,6 +31,6 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly state: "booting" | "running" | "failed";
-  /** Seconds since the machine was requested, as of the list. */
+  /** Seconds from the request of the machine until the cloud made the list. */
   readonly ageS: number;
 }
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -16,7 +16,11 @@
 const RESET_DIVISOR = 4;
 /** Latencies up to this multiple of the best latency do not indicate a queue. */
 const TOLERATED_LATENCY_FACTOR = 2;
-/** Lower bound of the gradient, and the weights of the gradient and of the current limit when the limit shrinks. */
+/**
+ * When the limit shrinks, its new value is a weighted mean of the limit and of its product with the gradient, the
+ * ratio of the tolerated to the measured latency. The constants are the lower bound of the gradient and the two
+ * weights.
+ */
 const MIN_GRADIENT = 0.5;
 const GRADIENT_WEIGHT = 0.02;
 const LIMIT_WEIGHT = 0.98;
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -32,7 +32,7 @@
 
 /**
  * Indexes of the machines as of the start of a cycle. They are built once for all jobs, because with many hundred
- * machines and jobs a pass over all machines for every job exceeds the CPU time of a controller.
+ * machines and jobs a pass over all machines for every job takes more CPU time than a controller has.
  */
 export interface MachineSnapshot {
   /** Usable machines, which are those that accept new work, by the name of their type. */
--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -4,19 +4,22 @@
 import type { PlanningContext } from "./context.js";
 import { isGuaranteed } from "./precedence.js";
 
-/** Minimum number of machines per task that hold the image for a gang to wait in order to meet an objective. */
+/** A gang waits in order to meet an objective only if at least this many machines per task hold its image. */
 const IMAGE_HOLDERS_PER_TASK_FOR_OBJECTIVE = 4;
 
-/** Minimum number of machines per task that hold the image for a gang to wait without an objective at stake. */
+/** A gang waits without an objective at stake only if at least this many machines per task hold its image. */
 const IMAGE_HOLDERS_PER_TASK_FOR_WAIT = 8;
 
 /** Share of the pull time that a gang of one task waits; a gang of n tasks waits 1/n of that. */
 const WAIT_SHARE_OF_PULL = 1 / 4;
 
-/** Used in place of the later objective, in seconds from the submission, if only one objective is left. */
+/** Time bound, in seconds, that replaces the later objective if only one objective is left. */
 const FALLBACK_OBJECTIVE_S = START_BOUND_S / 2;
 
-/** Pull times that must remain until the objective after the next one, so that the wait does not endanger it. */
+/**
+ * Number of pull times that must be left before the objective after the next one, so that the wait does not endanger
+ * it.
+ */
 const MIN_PULLS_BEFORE_LATER_OBJECTIVE = 1.4;
 
 /**
--- a/src/core/planning/gang-placement.ts
+++ b/src/core/planning/gang-placement.ts
@@ -84,8 +84,9 @@
 /**
  * Delays the tasks whose image pull is short. A gang task with its image ready waits for its peers for `gang_wait_s`
  * at most; after that the whole gang is restarted. If the longest pull takes half of `gang_wait_s` or more, the tasks
- * that pull for less than half of it start only when the first task with a long pull is ready. Without the delay, a
- * gang of four lost 85 s: one machine held the image, three pulled for 70 s, and 45 s were allowed.
+ * whose pull takes less than half as long as the longest one start only when another task of the gang has pulled the
+ * image. Without the delay, a gang of four lost 85 s: one machine held the image, three pulled for 70 s, and 45 s
+ * were allowed.
  */
 function delayTasksWithShortPulls(
   job: ActiveJob,
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -33,8 +33,8 @@
 
 /**
  * Finds the cheapest set of tasks to stop so that one task of the job fits on a machine. `zones`: the zones of the
- * job's tasks, including tasks that are to run on machines being freed for it. Returns null if no preemption is
- * allowed or would free enough.
+ * job's tasks, including tasks that are to run on machines being freed for it. Returns null if no set of tasks that
+ * may be preempted would free enough.
  */
 export function findPreemption(
   job: ActiveJob,
@@ -127,7 +127,7 @@
 function mayPreempt(job: ActiveJob, placement: Placement, context: PlanningContext): boolean {
   const victim = placement.job;
   if (placement.stop !== null || job.precedence >= victim.precedence) return false;
-  // CPUs are available on other machines too, GPUs are not. Without this rule, low-priority jobs within their
+  // CPUs are available on other machines too, but GPUs are not. Without this rule, low-priority jobs within their
   // guarantee stopped GPU gangs to get two of their CPUs. One gang was stopped eighteen times in half a minute, and
   // its image was pulled again each time.
   const takesGpus = victim.spec.gpus > 0 && job.spec.gpus === 0;
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -46,7 +46,8 @@
 }
 
 /**
- * Sets for each gang whether a start now still meets the longest of the guarantee objectives; true for other jobs.
+ * Sets `guaranteeStillReachable`: for a gang, whether a start now still meets the longest of the guarantee
+ * objectives; for other jobs, true.
  */
 function markReachableGuarantees(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const guarantees = context.settings.objectives.filter(({ kind }) => kind === "guarantee");
@@ -63,8 +64,8 @@
   // A job that fails on every machine never goes ahead of one that does not.
   if (job.isSuspect) return SUSPECT_PRECEDENCE;
   if (job.isStarving) return Math.min(STARVING_PRECEDENCE, job.precedence);
-  // Gangs within a guarantee go first only while the guarantee can still be met. In a burst, gangs that were late
-  // already otherwise stayed ahead of all others, in order of arrival, and made every job late.
+  // Gangs within a guarantee go first only while the guarantee can still be met. Without this rule, gangs that were
+  // already late stayed ahead of all others in a burst, in order of arrival, and made every job late.
   return job.guaranteeStillReachable || isProduction(job.precedence)
     ? job.precedence
     : precedenceBeyondGuarantee(job.effectiveRank);
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -21,7 +21,9 @@
 /** Maximum number of cycles in a heartbeat interval, which bounds the CPU time that a burst of changes costs. */
 const MAX_CYCLES_PER_INTERVAL = 40;
 
-/** Maximum while a new leader has not heard from most workers yet, when a cycle finds little usable capacity. */
+/**
+ * The same while a new leader has not heard from most workers yet, because a cycle then finds little usable capacity.
+ */
 const MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING = MAX_CYCLES_PER_INTERVAL / 8;
 
 /** Cycles in a heartbeat interval when no change was reported. Backoffs and time limits still expire meanwhile. */
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -18,11 +18,11 @@
 
 /**
  * Sets `isStarving` of every waiting job. In each class that is not in a cooldown, the largest job that has waited
- * for half of `START_BOUND_S` without a start counts as starving. It goes ahead of all but production jobs, one job
- * per class at a time. When it has started, a cooldown lets other jobs go first, long enough that starving jobs get
- * two thirds of the capacity. Without the cooldown, all jobs were started in the order of their size, the largest
- * first, once a burst had lasted for two minutes. With half of the capacity, the median job of the largest size
- * started after 289 s.
+ * for half of `START_BOUND_S` without a start counts as starving. Jobs past the bound are considered only if there
+ * are no others. It goes ahead of all but production jobs, one job per class at a time. When it has started, a
+ * cooldown lets other jobs go first, long enough that starving jobs get two thirds of the capacity. Without the
+ * cooldown, all jobs were started in the order of their size, the largest first, once a burst had lasted for two
+ * minutes. With half of the capacity, the median job of the largest size started after 289 s.
  */
 export function markStarvingJobs(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const byClass = new Map<string, ActiveJob[]>();
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -22,18 +22,18 @@
 /** How urgent a waiting job is. */
 export interface Urgency {
   /**
-   * Time of day (ms) by which the job must start for the most urgent objective it can still meet; infinite if it can
-   * meet none.
+   * Time of day (ms) by which the job must start to meet the most urgent objective that it can still meet; infinite
+   * if it can no longer meet any.
    */
   readonly latestStartAtMs: number;
-  /** 0: in time; 1: a gang that can only meet an objective on its end; 2: too late for all, or none applies. */
+  /** 0: in time; 1: a gang that can still meet only an objective on its end; 2: too late for all, or none applies. */
   readonly lateness: 0 | 1 | 2;
 }
 
 /**
- * Computes the urgency from the objectives that a start now still meets. A job that can meet none any more comes
- * last: serving an hour's backlog in order of arrival makes every job late, while jobs that are late already lose
- * little by waiting longer.
+ * Computes the urgency from the objectives that a start now still meets. A job that can no longer meet any objective
+ * comes last. If an hour's backlog is served in order of arrival, every job is late, whereas a job that is late
+ * already loses little by waiting longer.
  */
 export function urgencyOf(job: ActiveJob, context: PlanningContext): Urgency {
   const { spec, objectivesCountFromMs } = job;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -114,7 +114,7 @@
 
   // ---------------------------------------------------------------- stored state
 
-  /** Loads the entire stored state. To be called once, when leadership is acquired. */
+  /** Loads machines, jobs and placements from the stored state. To be called once, when leadership is acquired. */
   takeOver(replica: StateReplica, now: number): Effect[] {
     const { context, dispatcher, machinePool, jobLifecycle } = this;
     takeOver({ context, dispatcher, machinePool, jobLifecycle }, replica, now);
@@ -232,8 +232,8 @@
 
   /**
    * Returns the next transaction, or null if there is nothing to write or an earlier write is still in flight. The
-   * caller passes its outcome to `transactionEnded`. `urgentOnly`: leaves out progress updates and the removal of
-   * machines from their stored records.
+   * caller passes its outcome to `transactionEnded`. `urgentOnly`: leaves out progress updates, and changes of
+   * machine records other than additions.
    */
   nextTransaction(
     maxChanges: number,
--- a/src/core/state/dependency-index.ts
+++ b/src/core/state/dependency-index.ts
@@ -15,7 +15,7 @@
 
 /** Tracks the dependents of each job, and the active jobs that can never start. */
 export class DependencyIndex {
-  /** Active jobs that depend on a job, by the name of that job. */
+  /** Ids of the active jobs that depend on a job, by the id of that job. */
   private readonly dependents = new Map<string, Set<string>>();
   /**
    * Active jobs that can never start, because a job that they depend on, directly or through other jobs, was
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -76,8 +76,9 @@
     { key: KEY.activeJob(id), modRevision: job.mainShard.modRevision },
     { key: KEY.finalRecord(id), modRevision: 0 },
   ];
-  // A job is either done or cancelled: whichever is stored first makes the precondition of the other fail.
-  // (A job that is cancelled because of a dependency has no cancellation record.)
+  // A job ends either as done or as cancelled by its user: the final record and the user's cancellation each require
+  // that the other is not stored, so the one that is stored first prevents the other. (A job that is cancelled
+  // because of a dependency has no cancellation record.)
   if (!job.cancelledByUser) preconditions.push({ key: KEY.cancellation(id), modRevision: 0 });
   const changes: Change[] = [
     { op: "put", key: KEY.finalRecord(id), value },
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -26,7 +26,7 @@
 const MINIMUM_SHARDS = 2;
 /**
  * Size of a gang's or service's shards as a share of the usual size. All tasks of such a job are placed at the same
- * time, so the values cannot be made smaller later by placing fewer tasks. The shards are smaller from the start in
+ * time, so placing fewer tasks cannot make a value smaller later. The shards are therefore smaller from the start, in
  * case the state service accepts only smaller values than the settings say.
  */
 const ALL_AT_ONCE_SHARD_RATIO = 1 / 4;
--- a/src/core/state/key-value.ts
+++ b/src/core/state/key-value.ts
@@ -3,7 +3,7 @@
  * and all adapters use them. `wire/key-value.ts` converts them to the field names on the wire.
  */
 
-/** A stored value. The reader of a key knows the type of its value. */
+/** A stored value. Its type depends on the key; the code that reads a key knows the type. */
 export type StoredValue = unknown;
 
 /** Condition on one key under which a transaction (a compare-and-swap) is committed. */
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -135,7 +135,7 @@
     shard.version++;
   }
 
-  /** Removes a machine. `isStored` tells whether a record of it is stored. */
+  /** Removes a machine. `isStored`: whether a record of the machine is stored. */
   remove(name: string, isStored: boolean): void {
     const shard = this.shardOfMachine.get(name);
     if (shard === undefined) return;
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -32,7 +32,7 @@
 
 /** Summary of a batch of applied changes, so that the leader need not visit every job. */
 export interface ReplicaChange {
-  /** Names of the jobs with any changed key. */
+  /** Ids of the jobs with any changed key. */
   readonly jobs: Set<string>;
   /** Whether the leader or the epoch changed. */
   leadership: boolean;
@@ -101,7 +101,7 @@
     return change;
   }
 
-  /** Active jobs that depend on this one. */
+  /** Ids of the active jobs that depend on this one. */
   dependentsOf(id: string): ReadonlySet<string> {
     return this.dependencies.dependentsOf(id);
   }
@@ -122,9 +122,11 @@
    * Only this method decides when a cancellation is confirmed to a user, for every node and every kind of request
    * (cancellation, query, repeated submission). It is confirmed once the final record is stored, and the leader
    * stores that only when no task of the job can be on a machine or start any more. A node that answers worker
-   * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When cancellations
-   * were confirmed earlier, a leader that the state service refused could not know of them, and its answers to
-   * heartbeats kept the cancelled tasks running for longer than `cancel_s`.)
+   * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When a cancellation
+   * was confirmed as soon as it was stored, a leader whose requests the state service refused did not learn of it,
+   * and its answers to heartbeats kept the cancelled tasks running for longer than `cancel_s`.) A job that can never
+   * start because of its dependencies has no tasks on machines, so it is reported as cancelled before its final
+   * record is stored.
    */
   view(id: string): JobView | null {
     const final = this.finalRecords.get(id);
--- a/src/core/state/transaction-results.ts
+++ b/src/core/state/transaction-results.ts
@@ -33,7 +33,7 @@
     this.jobLifecycle = targets.jobLifecycle;
   }
 
-  /** Applies the outcome of a transaction. `Scheduler.transactionEnded` states what its caller must do before. */
+  /** Applies the outcome of a transaction. `Scheduler.transactionEnded` says what the caller must do first. */
   apply(
     transaction: LeaderTransaction,
     outcome: TransactionOutcome,
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -32,7 +32,7 @@
   /** Version of the job that the transaction stores; null if it stores the job's final record. */
   readonly version: number | null;
   readonly shards: readonly JobShard[];
-  /** Terminal shards, whose keys are deleted. */
+  /** Terminal shards. Their keys are deleted if they are stored. */
   readonly closedShards: readonly JobShard[];
 }
 
@@ -197,12 +197,12 @@
 /**
  * Jobs with changes, in the order in which they are written: first jobs that are being resharded; then production
  * placements; then ends, because users wait for them and they are few; then other placements, of which there can be
- * more than can be written under high load; then progress. (With ends after all placements, on a day with many faults
- * 299 jobs were done, and 25 users had been told.)
+ * more than can be written under high load; then progress. (When ends came after all placements, 299 jobs were done
+ * on a day with many faults, but only 25 users had been told.)
  *
  * Within a class, jobs are ordered by waiting time, and each step of priority counts as `priorityStepS` seconds of
- * it. Priority is not absolute, because in a backlog of urgent gangs the placements of the first steps of pipelines
- * were then stored only after 30 to 153 s. A job within its team's guarantee is ahead by `GUARANTEE_PRIORITY_STEPS`
+ * it. Priority is not absolute. When it was, the placements of the first steps of pipelines were stored only after 30
+ * to 153 s in a backlog of urgent gangs. A job within its team's guarantee is ahead by `GUARANTEE_PRIORITY_STEPS`
  * more steps. (Without these steps, 0.66 of the work within a guarantee started in time in such a backlog; when
  * priority was absolute, 0.78 did.)
  */
@@ -230,7 +230,10 @@
   return minimum;
 }
 
-/** Whether there may be something to write, urgent or not. */
+/**
+ * Whether a change of a job, urgent or not, or a new machine record has to be written. Other changes of machine
+ * records do not count; they are written together with these.
+ */
 export function hasPendingWrite(cluster: Cluster, machineShards: MachineRecordShards): boolean {
   for (const job of cluster.jobs.values()) {
     if (hasChanges(job)) return true;
--- a/src/node/http-server.ts
+++ b/src/node/http-server.ts
@@ -55,8 +55,8 @@
   const [host, port] = listenAddress.split(":") as [string, string];
   // The backlog holds as many connections as are accepted in one second. After a takeover all workers connect at
   // once, and a worker that is not answered in time closes its connection and retries. With a long backlog the leader
-  // accepted hundreds of connections a second that their workers had already closed, and kept none for the duration
-  // of a whole lease.
+  // accepted hundreds of connections a second that their workers had already closed, and for a whole lease no
+  // connection lasted.
   const backlog = Math.ceil(ACCEPTS_PER_CORE_S * cluster.cpuShare);
   await httpServer.listen({ host, port: Number(port), backlog });
   // Accepting a connection fails if no socket is left; this error must not end the process.
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -206,8 +206,8 @@
   }
 
   /**
-   * Reads the stored state, because a failed or unanswered transaction does not tell what is stored. Retries until a
-   * linearizable read succeeds. Returns false if this term is no longer current.
+   * Reads the stored state, because the result of a failed or unanswered transaction does not show what is stored.
+   * Retries until a linearizable read succeeds. Returns false if this term is no longer current.
    */
   private async readStoredOutcome(
     leadership: Leadership,
@@ -224,8 +224,9 @@
   }
 
   /**
-   * Handles status 400: the transaction is too large, or its lease has expired. Smaller transactions may be accepted,
-   * so the change limit is halved. For a single change, the scheduler plans smaller stored values from now on.
+   * Handles status 400: the transaction is too large, or refers to an expired lease. Smaller transactions may be
+   * accepted, so the change limit is halved. For a single change, the scheduler plans smaller stored values from now
+   * on.
    */
   private handleInvalidTransaction(scheduler: Scheduler, transaction: LeaderTransaction): void {
     const changes = transaction.changes.length;
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -22,8 +22,8 @@
 
   /**
    * A node is unhealthy if it cannot reach the state service while another node can. If no node can reach it, the
-   * state service is down for all, and failing the health check would only delay the recovery. Also unhealthy before
-   * the replica is loaded, and while the node sheds users.
+   * state service is down for all, and failing the health check would only delay the recovery. The node is also
+   * unhealthy before the replica is loaded, and while it sheds users.
    */
   isHealthy(): boolean {
     const { stateContact, peers } = this.options;
@@ -32,8 +32,8 @@
   }
 
   /**
-   * The leader has the most work. If enough other nodes are in contact, they serve the users, who are then not
-   * affected by slow scheduling cycles or by a failure of the leader.
+   * Whether users should move to other nodes. The leader has the most work, so if enough other nodes are in contact,
+   * they serve the users, who are then not affected by slow scheduling cycles or by a failure of the leader.
    */
   shedsUsers(): boolean {
     if (this.options.leadership.current === null) {
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -41,7 +41,7 @@
   ): void {
     const { replica, leadership } = this.options;
     const epoch = replica.epoch.value;
-    // When this node advances its own fencing token, the stored epoch is higher than the term's as well.
+    // While this node advances its own fencing token, the stored epoch may be higher than the term's, too.
     if (epoch > term.epoch && !leadership.fencingTokenAdvanceRequested) {
       const member = replica.leader?.value.member ?? "another node";
       leadership.stepDown(`epoch ${epoch} was acquired by ${member}`);
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -32,7 +32,7 @@
    * Receives the duration of each cycle, and the time from the end of the previous cycle to its start, in seconds.
    */
   readonly onCycleEnd: (durationS: number, sinceLastCycleS: number) => void;
-  /** Receives the average timer lag in seconds after each poll, and whether the node is overloaded by it. */
+  /** Receives the average timer lag in seconds after each poll, and whether the node counts as overloaded. */
   readonly onLag: (lagS: number, isOverloaded: boolean) => void;
 }
 
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Watches return several times within `maximumContactGapS`, so a longer time without an answer means that this node
-   * is partitioned from the state service.
+   * Whether the replica is loaded and the state service has answered within `maximumContactGapS`. Watches return
+   * within that time, so a longer time without an answer means that this node is partitioned from the state service.
    */
   reachesStateService(): boolean {
     const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
--- a/src/node/user-requests.ts
+++ b/src/node/user-requests.ts
@@ -56,7 +56,7 @@
     return job === null ? { kind: "not found" } : { kind: "found", job };
   }
 
-  /** Tells whether a job can ever run on the known machine types, and whether its team exists. */
+  /** Returns whether the team of a job exists and the job can ever run on the known machine types. */
   checkFeasibility(spec: JobSpec): Feasibility {
     const { cluster, machineTypes } = this.options;
     if (!cluster.teams.some((team) => team.name === spec.team)) return { kind: "infeasible" };
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -11,7 +11,7 @@
 export interface PeerHeartbeat {
   readonly reachesStateService: boolean;
   readonly holdsLeadership: boolean;
-  /** Largest epoch that the sender knows of. */
+  /** Largest epoch known to the sender. */
   readonly epoch: number;
   /** Index of the sender's zone in the settings. */
   readonly zoneIndex: number;
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -53,12 +53,12 @@
     this.links = options.peerAddresses.map((address) => ({ address, socket: null }));
   }
 
-  /** True if a peer sent a heartbeat within `CONTACT_INTERVALS` that says it reaches the state service. */
+  /** True if a peer sent a heartbeat within `CONTACT_INTERVALS` that says that it reaches the state service. */
   anyPeerReachesStateService(): boolean {
     return this.isWithinContactTime(this.lastStateContactAt);
   }
 
-  /** Number of peers that sent such a heartbeat within `CONTACT_INTERVALS`. */
+  /** Number of peers that sent a heartbeat within `CONTACT_INTERVALS` that says that they reach the state service. */
   peersInContact(): number {
     let count = 0;
     for (const heartbeatAt of this.lastHeartbeatAt.values()) {
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,4 +1,4 @@
-/** Decodes the settings file that the platform provides. Fields that this version does not know are ignored. */
+/** Decodes the settings file that the platform provides. Unknown fields are ignored. */
 import * as z from "zod";
 import type { ClusterSettings, Objective, Team } from "../core/model/settings.js";
 
@@ -162,7 +162,7 @@
   share: objective.share,
 });
 
-/** The smaller of the present and the next limit, from the start, so that no change has to be detected later. */
+/** Uses the smaller of the present and the next limit from the start, so that no change has to be detected later. */
 const stateLimits = ({ next, ...present }: WireClusterSettings["state"]) => ({
   stateRps: Math.min(present.rps, next?.rps ?? Infinity),
   stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -51,7 +51,7 @@
   };
 }
 
-/** A cause that this version does not know is treated as an error, so that the exit itself is not lost. */
+/** An unknown cause is decoded as `error`, so that the exit itself is not lost. */
 const decodeExitCause = (cause: unknown): ExitCause =>
   typeof cause === "string" && Object.hasOwn(EXIT_CAUSE_FROM_WIRE, cause)
     ? EXIT_CAUSE_FROM_WIRE[cause]!
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Requests the worker's present status; null if it does not answer. Never rejects. */
+  /** Requests a heartbeat from the worker; null if it does not answer. Never rejects. */
   async probe(address: string): Promise<WorkerHeartbeat | null> {
     try {
       const pool = this.poolFor(address);
