--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -1,6 +1,6 @@
 /**
- * Aggregates the rejections of this controller into one small record per window, so that a flood of rejected
- * submissions causes few writes.
+ * Aggregates the rejections of this controller into small records, of which it stores at most one per window length,
+ * so that a flood of rejected submissions causes few writes.
  */
 import { createHash } from "node:crypto";
 import type { JobSpec } from "../core/model/jobs.js";
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -13,12 +13,12 @@
     lease_ratio: ratioSchema(0.5, 0.2, 10),
     /**
      * Grace period in which a leader that cannot reach the state service answers heartbeats, as a multiple of
-     * lease_s.
+     * lease_s. `nodeTiming` sets a lower bound for it.
      */
     grace_ratio: ratioSchema(1, 0, 4),
     /**
      * Lease extension: time for which a partitioned node keeps extending the leases of machines that run service or
-     * gang tasks, as a multiple of lease_s. It is never shorter than the grace period.
+     * gang tasks, as a multiple of lease_s. If grace_ratio is larger, its value is used instead.
      */
     keep_ratio: ratioSchema(6, 0, 50),
   }),
@@ -31,7 +31,10 @@
     idle_leases: ratioSchema(20, 1, 1000),
   }),
   api: z.object({
-    /** Upper limit on concurrent requests, regardless of the measured durations. */
+    /**
+     * Upper limit on concurrent queries, and also on concurrent submissions and cancellations, regardless of the
+     * measured durations.
+     */
     max_in_progress: z.coerce.number().int().min(4).max(100_000).default(400),
   }),
   tracing: z.object({
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -76,7 +76,7 @@
 
 /**
  * Whether a single task of the service on the otherwise empty machine would leave room for fewer tasks of some GPU
- * job.
+ * job. True for every GPU machine while no GPU job is known.
  */
 function replicaBlocksGpuJobs(
   { spec }: ActiveJob,
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -1,9 +1,9 @@
 /**
  * Tracks the size of the largest value that the state service accepts.
  *
- * The settings give the limits that are in force now, and future ones. If a single value is refused although it is
- * within them, values are planned to be smaller from then on, and no value of that size or more is sent until a retry
- * interval has passed.
+ * The settings give the current limits and the next ones. If a single value is refused although it is within them,
+ * values are planned to be smaller from then on, and no value of that size or more is sent until a retry interval has
+ * passed.
  */
 
 /** Planned size of values, as a share of the smallest value that was refused. */
@@ -15,7 +15,7 @@
   private retryAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * `knownBytes` is the smaller of the present and the future limit in the settings. `retryS` is the time in seconds
+   * `knownBytes` is the smaller of the current and the next limit in the settings. `retryS` is the time in seconds
    * after which a value as large as a refused one is tried again.
    */
   constructor(
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -3,7 +3,7 @@
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
 import { decodeList, isObject, nonNegativeNumber } from "./fields.js";
 
-/** Image download rate of machine types whose catalog entry has none. */
+/** Rate at which images are pulled, in GB per second, on machine types whose catalog entry has none. */
 const DEFAULT_FETCH_GB_PER_S = 1;
 
 const machineTypeSchema = z
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -162,7 +162,7 @@
   share: objective.share,
 });
 
-/** Uses the smaller of the present and the next limit from the start, so that no change has to be detected later. */
+/** Uses the smaller of the current and the next limit from the start, so that no change has to be detected later. */
 const stateLimits = ({ next, ...present }: WireClusterSettings["state"]) => ({
   stateRps: Math.min(present.rps, next?.rps ?? Infinity),
   stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
