--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -8,7 +8,7 @@
 import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
 
-/** Probes per second and CPU core for machines whose heartbeat is not overdue yet. */
+/** Probes per second and CPU core that the probe budget allows. */
 const PROBES_PER_CORE_S = 40;
 const MAXIMUM_COMMANDS_PER_REQUEST = 400;
 /** Limit on concurrent probes, and on concurrent token-only requests, while the node is overloaded. */
@@ -34,7 +34,9 @@
   readonly tokenRequestsInFlight = new Set<string>();
   /** Names of the machines that have a probe in flight. */
   readonly probesInFlight = new Set<string>();
-  /** Rate limit of probes to machines whose heartbeat is not overdue yet. */
+  /**
+   * Rate limit of probes to machines whose heartbeat is not overdue yet, and to machines that may have just booted.
+   */
   readonly probeBudget: TokenBucket;
   /** Orphaned tasks to be stopped without time to checkpoint. */
   orphanedTasks: OrphanedTask[] = [];
@@ -223,8 +225,9 @@
 
   /**
    * Checks the placement constraints again immediately before a start. Since the task was placed, a worker may have
-   * reported an unrecorded task, or the machine's type, zone or spot property may have been corrected. A former
-   * leader may also have placed the task wrongly. Returns the constraint that the start would violate, or null.
+   * reported an unrecorded task of the job, or the machine's type, zone or spot flag may have been corrected. The
+   * placement of a previous leader may also violate a constraint. Returns the constraint that the start would
+   * violate, or null.
    */
   private findViolatedConstraint(placement: Placement): string | null {
     const { job, machine } = placement;
@@ -258,7 +261,7 @@
 
   /**
    * Whether the worker may forget an exited attempt. A delayed duplicate of its start could run a forgotten attempt
-   * again, so no start of it may be unanswered under the current fencing token, and its exit must be persisted.
+   * again, so no start of it may be unanswered under the current fencing token, and its exit must be stored.
    */
   private mayForget(machine: Machine, key: string, exited: ExitedTask): boolean {
     if (machine.unansweredStarts.has(key)) return false;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -27,7 +27,10 @@
     }
   | { readonly kind: "release machines"; readonly machines: readonly string[] }
   | { readonly kind: "list machines" }
-  /** The first task of a job runs, as far as this leader knows. `submittedAt`: time of day, in milliseconds. */
+  /**
+   * A task of a job runs for the first time, as far as this leader knows. `submittedAt`: time of day, in
+   * milliseconds.
+   */
   | { readonly kind: "first start"; readonly job: string; readonly submittedAt: number }
   | { readonly kind: "advance fencing token" }
   | { readonly kind: "step down"; readonly why: string }
@@ -62,13 +65,13 @@
 
 /** Outcome of a transaction. */
 export type TransactionOutcome =
-  /** `revision`: store revision of the transaction's changes. */
+  /** `revision`: revision of the state service at which the changes were made. */
   | { readonly kind: "committed"; readonly revision: number }
   /** A precondition failed. Nothing was changed. */
   | { readonly kind: "conflict" }
   /** The transaction may have been committed, or may still be committed later. */
   | { readonly kind: "unknown" }
-  /** The store rejected the transaction. Nothing was changed. */
+  /** The state service refused the transaction. Nothing was changed. */
   | { readonly kind: "refused" };
 
 /** Parameters of a leader that are derived from the settings and from the set of other controllers. */
@@ -79,7 +82,7 @@
   readonly maxMachines: number;
   /** Seconds of idleness after which a machine that is not needed is released. */
   readonly idleReleaseS: number;
-  /** Seconds after the end of its term for which a former leader may still answer heartbeats. */
+  /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
   readonly gracePeriodS: number;
   /** Like `gracePeriodS`, for machines that run service or gang tasks. */
   readonly leaseExtensionS: number;
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -14,7 +14,7 @@
   /** The leader's view of machines and jobs. The cycle adds its placements to it. */
   readonly cluster: Cluster;
   readonly settings: ClusterSettings;
-  /** Steady clock at the start of the cycle, in seconds. */
+  /** Monotonic time at the start of the cycle, in seconds. */
   readonly now: number;
   /** Time of day at the start of the cycle, in milliseconds since 1970. Deadlines and objectives refer to it. */
   readonly wallMs: number;
@@ -32,7 +32,7 @@
 
 /**
  * Indexes of the machines as of the start of a cycle. They are built once for all jobs, because with many hundred
- * machines and jobs a pass over all machines for every job exceeds the CPU time of a controller.
+ * machines and jobs a pass over all machines for every job takes more CPU time than a controller has.
  */
 export interface MachineSnapshot {
   /** Usable machines, which are those that accept new work, by the name of their type. */
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -21,7 +21,9 @@
 /** Maximum number of cycles in a heartbeat interval, which bounds the CPU time that a burst of changes costs. */
 const MAX_CYCLES_PER_INTERVAL = 40;
 
-/** Maximum while a new leader has not heard from most workers yet, when a cycle finds little usable capacity. */
+/**
+ * The same while a new leader has not heard from most workers yet, because a cycle then finds little usable capacity.
+ */
 const MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING = MAX_CYCLES_PER_INTERVAL / 8;
 
 /** Cycles in a heartbeat interval when no change was reported. Backoffs and time limits still expire meanwhile. */
@@ -48,7 +50,7 @@
 
 /** Runs scheduling cycles on the leader, at a bounded rate. */
 export class SchedulingCycle {
-  /** When the last cycle began, in seconds of the steady clock. */
+  /** Monotonic time at which the last cycle began, in seconds. */
   private lastCycleAt = Number.NEGATIVE_INFINITY;
   /** Limits the rate at which tasks of sharded jobs are placed, so that processing them does not delay other jobs. */
   private readonly shardedTaskBudget = new TokenBucket(0, 0);
@@ -65,7 +67,7 @@
     this.preemption = new PreemptionExecutor(dispatcher);
   }
 
-  /** Runs a cycle if one is due. `now`: seconds of the steady clock; `wallMs`: time of day in milliseconds. */
+  /** Runs a cycle if one is due. `now`: monotonic time in seconds; `wallMs`: time of day in milliseconds. */
   runIfDue(now: number, wallMs: number): void {
     const maxCycles = this.monitor.isSettling(now)
       ? MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -2,8 +2,8 @@
  * The leader: one state machine for jobs, machines, quotas and commands.
  *
  * Its methods take inputs (changed keys, heartbeats, results, the passing of time) and return the effects to be
- * carried out. It has no clock, socket or randomness of its own. Times are in seconds of the node's steady clock. The
- * caller fetches writes with `nextTransaction`, because the caller limits how much is written at a time.
+ * carried out. It has no clock, socket or randomness of its own. Times are read from the node's monotonic clock, in
+ * seconds. The caller fetches writes with `nextTransaction`, because it limits how much is written at a time.
  */
 
 import { MachinePool } from "./capacity/machine-pool.js";
@@ -114,7 +114,7 @@
 
   // ---------------------------------------------------------------- stored state
 
-  /** Loads the entire stored state. To be called once, when leadership is acquired. */
+  /** Loads machines, jobs and placements from the stored state. To be called once, when leadership is acquired. */
   takeOver(replica: StateReplica, now: number): Effect[] {
     const { context, dispatcher, machinePool, jobLifecycle } = this;
     takeOver({ context, dispatcher, machinePool, jobLifecycle }, replica, now);
@@ -232,8 +232,8 @@
 
   /**
    * Returns the next transaction, or null if there is nothing to write or an earlier write is still in flight. The
-   * caller passes its outcome to `transactionEnded`. `urgentOnly`: leaves out progress updates and the removal of
-   * machines from their stored records.
+   * caller passes its outcome to `transactionEnded`. `urgentOnly`: leaves out progress updates, and changes of
+   * machine records other than additions.
    */
   nextTransaction(
     maxChanges: number,
@@ -268,7 +268,7 @@
     return hasPendingWrite(this.context.cluster, this.machinePool.recordShards);
   }
 
-  /** Handles a transaction whose only value the store rejected because of its size. */
+  /** Handles a transaction whose only value the state service refused because of its size. */
   handleRefusedValue(transaction: LeaderTransaction, now: number): void {
     this.oversizedValues.handleRefusedValue(transaction, now);
   }
--- a/src/core/state/state-replica.ts
+++ b/src/core/state/state-replica.ts
@@ -32,7 +32,7 @@
 
 /** Summary of a batch of applied changes, so that the leader need not visit every job. */
 export interface ReplicaChange {
-  /** Names of the jobs with any changed key. */
+  /** Ids of the jobs with any changed key. */
   readonly jobs: Set<string>;
   /** Whether the leader or the epoch changed. */
   leadership: boolean;
@@ -59,7 +59,7 @@
   epoch = NO_EPOCH;
   machineTypes: readonly MachineType[] | null = null;
   machineTypesModRevision = 0;
-  /** Revision of the store up to which all changes are applied. */
+  /** Revision of the state service up to which all changes are applied. */
   revision = -1;
 
   private readonly shards = new Map<string, Map<number, Versioned<JobShardRecord>>>();
@@ -67,7 +67,9 @@
   private readonly taskCounts = new WeakMap<object, TaskCounts>();
   private readonly dependencies = new DependencyIndex(this.activeJobs, this.finalRecords);
 
-  /** Replaces the content with a full read. `revision` is that of the store before the first page was read. */
+  /**
+   * Replaces the content with a full read. `revision` is that of the state service before the first page was read.
+   */
   reset(items: readonly KeyValueItem[], revision: number): void {
     this.activeJobs.clear();
     this.finalRecords.clear();
@@ -99,7 +101,7 @@
     return change;
   }
 
-  /** Active jobs that depend on this one. */
+  /** Ids of the active jobs that depend on this one. */
   dependentsOf(id: string): ReadonlySet<string> {
     return this.dependencies.dependentsOf(id);
   }
@@ -120,9 +122,11 @@
    * Only this method decides when a cancellation is confirmed to a user, for every node and every kind of request
    * (cancellation, query, repeated submission). It is confirmed once the final record is stored, and the leader
    * stores that only when no task of the job can be on a machine or start any more. A node that answers worker
-   * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When cancellations
-   * were confirmed earlier, a leader that the key-value store refused could not know of them, and its answers to
-   * heartbeats kept the cancelled tasks running for longer than `cancel_s`.)
+   * heartbeats therefore need not know of confirmed cancellations, however stale its replica is. (When a cancellation
+   * was confirmed as soon as it was stored, a leader whose requests the state service refused did not learn of it,
+   * and its answers to heartbeats kept the cancelled tasks running for longer than `cancel_s`.) A job that can never
+   * start because of its dependencies has no tasks on machines, so it is reported as cancelled before its final
+   * record is stored.
    */
   view(id: string): JobView | null {
     const final = this.finalRecords.get(id);
--- a/src/node/replica-changes.ts
+++ b/src/node/replica-changes.ts
@@ -8,7 +8,7 @@
 
 /** The replica, and the components that are notified of its changes. */
 export interface ReplicaChangeHandlerOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly leadership: Leadership;
@@ -41,7 +41,7 @@
   ): void {
     const { replica, leadership } = this.options;
     const epoch = replica.epoch.value;
-    // When this node advances its own fencing token, the stored epoch is higher than the term's as well.
+    // While this node advances its own fencing token, the stored epoch may be higher than the term's, too.
     if (epoch > term.epoch && !leadership.fencingTokenAdvanceRequested) {
       const member = replica.leader?.value.member ?? "another node";
       leadership.stepDown(`epoch ${epoch} was acquired by ${member}`);
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -21,7 +21,7 @@
 
 /** Callbacks that the loop runs, and callbacks that receive its measurements. */
 export interface SchedulingLoopOptions {
-  /** Current time of the steady clock, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly settings: Pick<ClusterSettings, "heartbeatIntervalS">;
   /** Called at each poll, before a due cycle is run. */
@@ -32,7 +32,7 @@
    * Receives the duration of each cycle, and the time from the end of the previous cycle to its start, in seconds.
    */
   readonly onCycleEnd: (durationS: number, sinceLastCycleS: number) => void;
-  /** Receives the average timer lag in seconds after each poll, and whether the node is overloaded by it. */
+  /** Receives the average timer lag in seconds after each poll, and whether the node counts as overloaded. */
   readonly onLag: (lagS: number, isOverloaded: boolean) => void;
 }
 
