--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes submissions and cancellations by compare-and-swap, which any node may do, leader or not. Many share one
- * transaction; one whose job is known already falls out of it and is answered by a read.
+ * Writes submissions and cancellations to the state service by compare-and-swap, so that any node can do it, leader
+ * or follower. Writes are batched into transactions. A write whose job is known already is removed from its batch,
+ * and its request is answered by a read.
  */
 import { assertNever } from "../core/assert-never.js";
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
@@ -26,35 +27,36 @@
 } from "./outcomes.js";
 import type { PendingQueue } from "./pending-queue.js";
 import {
+  ADMIT_ALL_GATE,
   type GateBatch,
-  OPEN_GATE,
   type PendingWrite,
   type SubmissionGate,
 } from "./submission-gate.js";
 
-/** The share of the largest value that a submission may take; the rest is for the job's tasks. */
+/** Share of the maximum value size that a submission may use; the rest is reserved for the state of its tasks. */
 const MAX_SUBMISSION_SHARE = 0.8;
+/** Estimated size of the stored value of a cancellation. */
 const CANCELLATION_BYTES = 100;
-/** Capacity in a transaction for the preconditions and keys of one write. */
+/** Estimated bytes that the preconditions and keys of one write take in a transaction. */
 const WRITE_OVERHEAD_BYTES = 400;
 
-/** What a `SubmissionWriter` works with. */
+/** Dependencies and limits of a `SubmissionWriter`. */
 export interface SubmissionWriterOptions {
   readonly keyValueClient: KeyValueClient;
-  /** Changes that this node may write, shared with the leader's transactions. */
+  /** Rate limit of the changes that this node writes, shared with the leader's transactions. */
   readonly writeBudget: TokenBucket;
-  /** Steady time, in seconds. */
+  /** Current monotonic time, in seconds. */
   readonly now: () => number;
   readonly maxChanges: number;
   readonly maxTransactionBytes: number;
   readonly maxValueBytes: number;
   /** How long a submission or cancellation may wait for its transaction, in seconds. */
   readonly maxWaitS: number;
-  /** Admits everything if it is left out. */
+  /** Every job is admitted if this is omitted. */
   readonly gate?: SubmissionGate | undefined;
 }
 
-/** What is stored of a job as it is submitted. */
+/** The value that is stored for a newly submitted job. */
 function storedSubmission(spec: JobSpec, wallMs: number): ReturnType<typeof encodeJobRecord> {
   return encodeJobRecord({
     spec,
@@ -71,16 +73,19 @@
 
 const keyDoesNotExist = (key: string): Precondition => ({ key, modRevision: 0 });
 
-/** The queue of submissions and cancellations, and the loop that writes them. */
+/** Queues submissions and cancellations and writes them in batches. */
 export class SubmissionWriter {
   private readonly gate: SubmissionGate;
   private readonly queue: PendingQueue<PendingWrite>;
   private isDraining = false;
-  /** Submissions in a transaction; fewer after one was refused for its size. */
+  /**
+   * Current maximum of changes per transaction. It is reduced after the state service refused a batch for its size,
+   * and then raised step by step.
+   */
   private currentMaxChanges: number;
 
   constructor(private readonly options: SubmissionWriterOptions) {
-    this.gate = options.gate ?? OPEN_GATE;
+    this.gate = options.gate ?? ADMIT_ALL_GATE;
     this.queue = this.gate.createQueue();
     this.currentMaxChanges = options.maxChanges;
   }
@@ -89,24 +94,24 @@
     return this.queue.size;
   }
 
-  /** Does the job's value leave capacity for what its tasks will need? */
+  /** True if the job's value leaves enough of the maximum value size for the state of its tasks. */
   fitsValueLimit(spec: JobSpec): boolean {
-    return this.isWithinShare(JSON.stringify(storedSubmission(spec, Date.now())).length);
+    return this.isWithinSubmissionLimit(JSON.stringify(storedSubmission(spec, Date.now())).length);
   }
 
-  /** Resolves once the outcome is certain, or after `maxWaitS`. */
+  /** Resolves once the outcome is known, or after `maxWaitS` with "unavailable". */
   submit(spec: JobSpec, wallMs: number): Promise<SubmissionWriteResult> {
     const value = storedSubmission(spec, wallMs);
     const bytes = JSON.stringify(value).length;
-    if (!this.isWithinShare(bytes)) return Promise.resolve(NEVER);
+    if (!this.isWithinSubmissionLimit(bytes)) return Promise.resolve(NEVER);
     const key = KEY.activeJob(spec.id);
     const preconditions = [keyDoesNotExist(key), keyDoesNotExist(KEY.finalRecord(spec.id))];
     return this.enqueue(preconditions, { op: "put", key, value }, bytes, spec);
   }
 
   /**
-   * For a job that is known to have been accepted. Once stored it binds the leader, and no user is told: they are told
-   * when the job's end is stored (`StateReplica.view`).
+   * Stores the cancellation of a job that is known to be accepted. The leader then carries it out. Users see the job
+   * as cancelled only once its final state is stored (`StateReplica.view`).
    */
   async cancel(id: string, wallMs: number): Promise<WriteResult> {
     const value = encodeCancellation(wallMs);
@@ -114,11 +119,11 @@
     const preconditions = [keyDoesNotExist(KEY.finalRecord(id)), keyDoesNotExist(key)];
     const change: Change = { op: "put", key, value };
     const result = await this.enqueue(preconditions, change, CANCELLATION_BYTES, null);
-    // Only submissions pass the gate.
+    // Cancellations do not pass the gate, so these two results are not expected.
     return result.kind === "refused" || result.kind === "never" ? UNAVAILABLE : result;
   }
 
-  private isWithinShare(bytes: number): boolean {
+  private isWithinSubmissionLimit(bytes: number): boolean {
     return bytes <= MAX_SUBMISSION_SHARE * this.options.maxValueBytes;
   }
 
@@ -156,8 +161,8 @@
     for (const write of overdue) write.resolve(UNAVAILABLE);
   }
 
-  /** Takes from the queue what goes into one transaction; what the gate refuses is answered. */
-  private nextBatch(claims: GateBatch): PendingWrite[] {
+  /** Takes the writes of one transaction from the queue, and answers submissions that the gate rejects. */
+  private takeBatch(gateBatch: GateBatch): PendingWrite[] {
     const { writeBudget, now, maxTransactionBytes } = this.options;
     const available = Math.floor(writeBudget.available(now()));
     const maxChanges = Math.max(1, Math.min(this.currentMaxChanges, available));
@@ -167,16 +172,16 @@
     while (batch.length < maxChanges) {
       const next = this.queue.peek();
       if (next === undefined) break;
-      // The same job twice in one transaction: the second waits and finds it known.
+      // A second write of the same key waits for the next transaction, where it fails as known.
       if (keys.has(next.change.key)) break;
       if (batch.length > 0) {
-        const changes = batch.length + claims.changes.length + 1;
-        const extra = next.spec === null ? 0 : claims.extraChanges(next.spec);
-        if (changes + extra > maxChanges) break;
+        const changes = batch.length + gateBatch.changes.length + 1;
+        const additional = next.spec === null ? 0 : gateBatch.countAdditionalChanges(next.spec);
+        if (changes + additional > maxChanges) break;
         if (bytes + next.bytes + WRITE_OVERHEAD_BYTES > maxTransactionBytes) break;
       }
       this.queue.shift();
-      if (next.spec !== null && !claims.tryAdmit(next.spec)) {
+      if (next.spec !== null && !gateBatch.tryAdmit(next.spec)) {
         next.resolve(REFUSED);
         continue;
       }
@@ -189,21 +194,26 @@
 
   private async writeBatch(): Promise<void> {
     const { keyValueClient, writeBudget, now } = this.options;
-    const claims = this.gate.beginBatch();
-    const batch = this.nextBatch(claims);
+    const gateBatch = this.gate.beginBatch();
+    const batch = this.takeBatch(gateBatch);
     if (batch.length === 0) return;
-    const changes = [...batch.map((write) => write.change), ...claims.changes];
-    const ofBatch = batch.flatMap((write) => write.preconditions);
-    // A transaction of cancellations alone depends on no gate.
-    const ofGate = batch.some((write) => write.spec !== null) ? claims.preconditions : [];
+    const changes = [...batch.map((write) => write.change), ...gateBatch.changes];
+    const batchPreconditions = batch.flatMap((write) => write.preconditions);
+    // A transaction with cancellations only must not fail on preconditions of the gate.
+    const gatePreconditions = batch.some((write) => write.spec !== null)
+      ? gateBatch.preconditions
+      : [];
     writeBudget.takeOnCredit(changes.length, now());
-    const result = await keyValueClient.transact([...ofBatch, ...ofGate], changes);
-    await this.settle(batch, ofGate, result);
+    const result = await keyValueClient.transact(
+      [...batchPreconditions, ...gatePreconditions],
+      changes,
+    );
+    await this.handleResult(batch, gatePreconditions, result);
   }
 
-  private async settle(
+  private async handleResult(
     batch: readonly PendingWrite[],
-    ofGate: readonly Precondition[],
+    gatePreconditions: readonly Precondition[],
     result: TransactionResult,
   ): Promise<void> {
     switch (result.kind) {
@@ -212,7 +222,7 @@
         for (const write of batch) write.resolve(OK);
         return;
       case "failed":
-        return this.handleFailedPreconditions(batch, ofGate, new Set(result.keys));
+        return this.handleFailedPreconditions(batch, gatePreconditions, new Set(result.keys));
       case "refused":
         return this.handleRefusal(batch, result.status);
       case "unknown":
@@ -224,31 +234,35 @@
 
   private async handleRefusal(batch: readonly PendingWrite[], status: number): Promise<void> {
     if (status === 400 && batch.length > 1) {
-      // Larger than the state service takes by now, though not than the limits that are known.
+      // The batch is within the configured limits, but the state service now accepts less: halve the batch size.
       this.currentMaxChanges = Math.max(1, batch.length >> 1);
       this.queue.requeue(batch);
       return;
     }
     if (status === 429) return this.retry(batch, this.options.maxWaitS / 40);
-    // The state service takes nothing from this node now. Say so at once; the user comes back.
+    // The state service refuses all requests of this node now: answer at once, so that users can retry.
     for (const write of batch) write.resolve(UNAVAILABLE);
     for (const write of this.queue.removeWhere(() => true)) write.resolve(UNAVAILABLE);
   }
 
   /**
-   * Over the rate limit, or the outcome is unknown. Either way the same conditional write may be sent again: a copy that
-   * still arrives and one that was executed both make it fail as `known`.
+   * Writes the batch again after the rate limit was exceeded or the outcome is unknown. This is safe because the
+   * writes are conditional: if the first copy was executed, or arrives late, only one copy succeeds and the other one
+   * fails as `known`.
    */
-  private async retry(batch: readonly PendingWrite[], afterS: number): Promise<void> {
+  private async retry(batch: readonly PendingWrite[], delayS: number): Promise<void> {
     this.queue.requeue(batch);
-    await sleepSeconds(afterS);
+    await sleepSeconds(delayS);
     this.expireOverdue();
   }
 
-  /** Those whose own keys exist already are known; the others are tried again. */
+  /**
+   * Answers writes whose own preconditions failed with "known", and requeues the others. If none of the failed keys
+   * is a precondition of the batch, all writes are answered with "unavailable".
+   */
   private async handleFailedPreconditions(
     batch: readonly PendingWrite[],
-    ofGate: readonly Precondition[],
+    gatePreconditions: readonly Precondition[],
     failedKeys: ReadonlySet<string>,
   ): Promise<void> {
     const retried: PendingWrite[] = [];
@@ -256,14 +270,14 @@
       if (write.preconditions.some(({ key }) => failedKeys.has(key))) write.resolve(KNOWN);
       else retried.push(write);
     }
-    const hasGateChanged = ofGate.some(({ key }) => failedKeys.has(key));
-    if (retried.length === batch.length && !hasGateChanged) {
+    const hasGatePreconditionFailed = gatePreconditions.some(({ key }) => failedKeys.has(key));
+    if (retried.length === batch.length && !hasGatePreconditionFailed) {
       for (const write of retried) write.resolve(UNAVAILABLE);
       return;
     }
     this.queue.requeue(retried);
-    // Another node charged the same ledger, or a new window began: they are evaluated again by what is stored now.
-    if (hasGateChanged && !(await this.gate.refresh())) {
+    // Another node charged the same ledger, or a new window began: read the stored state and evaluate them again.
+    if (hasGatePreconditionFailed && !(await this.gate.refresh())) {
       await sleepSeconds(this.options.maxWaitS / 20);
     }
     this.expireOverdue();
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,34 +1,37 @@
-/** How many gangs of each class and size started lately, within the users' bound on starting. */
-import { START_BOUND_S } from "../model/constants.js";
+/** Counts the recent starts of gangs by class and size, for the fairness between gang sizes. */
+import { START_LATENCY_BOUND_S } from "../model/constants.js";
 import type { JobSpec } from "../model/jobs.js";
 
 interface StartedJob {
   readonly spec: JobSpec;
 }
 
-/** Names the class and size that a gang belongs to. */
+/** Returns the key of a gang's class and size. */
 export const gangSizeKey = (spec: JobSpec): string => `${spec.class} ${spec.tasks}`;
 
-/** Times at which gangs started, by class and size. Not stored: a new leader counts anew. */
+/**
+ * Start times of gangs, by class and size. They are not stored: a new leader counts every gang that has placements as
+ * started at the takeover.
+ */
 export class GangStarts {
   private readonly startTimes = new Map<string, number[]>();
-  private readonly counted = new WeakSet<StartedJob>();
+  private readonly countedJobs = new WeakSet<StartedJob>();
 
-  /** A job was placed. A gang counts once, however often it starts again; other jobs do not count. */
-  noteStart(job: StartedJob, now: number): void {
-    if (job.spec.kind !== "gang" || this.counted.has(job)) return;
-    this.counted.add(job);
+  /** Records that a job was placed. A gang is counted once, even if it restarts; other jobs are not counted. */
+  recordStart(job: StartedJob, now: number): void {
+    if (job.spec.kind !== "gang" || this.countedJobs.has(job)) return;
+    this.countedJobs.add(job);
     const key = gangSizeKey(job.spec);
     const times = this.startTimes.get(key);
     if (times === undefined) this.startTimes.set(key, [now]);
     else times.push(now);
   }
 
-  /** How many of a class and size started within the last `START_BOUND_S` seconds. */
+  /** Number of gangs with this key that started within the last `START_LATENCY_BOUND_S` seconds. */
   recentStarts(key: string, now: number): number {
     const times = this.startTimes.get(key);
     if (times === undefined) return 0;
-    while (times.length > 0 && now - times[0]! > START_BOUND_S) times.shift();
+    while (times.length > 0 && now - times[0]! > START_LATENCY_BOUND_S) times.shift();
     return times.length;
   }
 }
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -1,12 +1,13 @@
 /**
- * Messages of the state service: the codec between its names and the core's terms (`core/state/key-value.ts`). A key's
- * `modRevision` is its `mark` on the wire, and the store's `revision` is the `ledger`.
+ * Codecs of the state service's API, between its field names and the types of `core/state/key-value.ts`. On the wire,
+ * the `modRevision` of a key is called `mark`, and the `revision` of the state service `ledger`.
  *
- * Pages of keys and changes are validated field by field, as heartbeats are: every node reads each change of the service.
+ * Pages of keys and changes are validated field by field instead of with a schema, as heartbeats are, because every
+ * node reads every change.
  */
 import * as z from "zod";
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
-import { decodeAll, isFields } from "./fields.js";
+import { decodeList, isObject } from "./fields.js";
 
 const encodeChange = (change: Change) =>
   change.op === "put"
@@ -17,44 +18,44 @@
       }
     : { remove: change.key };
 
-/** A compare-and-swap: the changes are made together, and only if all preconditions hold. */
+/** Encodes a compare-and-swap: the changes are made atomically, and only if all preconditions hold. */
 export const encodeTransaction = (
   preconditions: readonly Precondition[],
   changes: readonly Change[],
 ) => ({
   if: preconditions.map(({ key, modRevision }) => ({ k: key, mark: modRevision })),
-  // biome-ignore lint/suspicious/noThenProperty: the protocol's name; it holds a list, no function
+  // biome-ignore lint/suspicious/noThenProperty: the protocol's field name; its value is an array, not a function
   then: changes.map(encodeChange),
 });
 
 function decodeItem(entry: unknown): KeyValueItem | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { k, data, mark } = entry;
   if (typeof k !== "string" || typeof mark !== "number") return null;
   return { key: k, value: data, modRevision: mark };
 }
 
-/** A page of keys in their order. */
+/** A page of keys, in the order of the keys. */
 export interface KeyPage {
   readonly items: readonly KeyValueItem[];
-  /** More keys follow after the last of this page. */
+  /** True if another page follows. */
   readonly more: boolean;
-  /** The store's revision as the page was read. */
+  /** Revision of the state service when the page was read. */
   readonly revision: number;
 }
 
-/** Null if the body is malformed. */
+/** Decodes a page of keys; null if the body is malformed. */
 export function decodeRange(body: unknown): KeyPage | null {
-  if (!isFields(body)) return null;
+  if (!isObject(body)) return null;
   const { ledger } = body;
   const more = body.more ?? false;
   if (typeof ledger !== "number" || typeof more !== "boolean") return null;
-  const items = decodeAll(body.items, decodeItem);
+  const items = decodeList(body.items, decodeItem);
   return items === null ? null : { items, more, revision: ledger };
 }
 
 function decodeEvent(entry: unknown): ChangeEvent | null {
-  if (!isFields(entry)) return null;
+  if (!isObject(entry)) return null;
   const { write, remove, data, mark } = entry;
   const key = remove ?? write;
   if (typeof key !== "string" || typeof mark !== "number") return null;
@@ -63,16 +64,16 @@
   return { key, value: removed ? null : data, removed, modRevision: mark };
 }
 
-/** Changes in their order, and the store's revision after them. */
+/** Changes in the order of their revisions, and the revision of the state service after them. */
 export interface WatchBatch {
   readonly revision: number;
   readonly events: readonly ChangeEvent[];
 }
 
-/** Null if the body is malformed. */
+/** Decodes the response to a watch; null if the body is malformed. */
 export function decodeWatchResponse(body: unknown): WatchBatch | null {
-  if (!isFields(body) || typeof body.ledger !== "number") return null;
-  const events = decodeAll(body.log, decodeEvent);
+  if (!isObject(body) || typeof body.ledger !== "number") return null;
+  const events = decodeList(body.log, decodeEvent);
   return events === null ? null : { revision: body.ledger, events };
 }
 
@@ -81,13 +82,15 @@
   failed: z.array(z.string()).nullish(),
 });
 
-/** The answer to a transaction: the store's revision, and the keys whose preconditions did not hold. */
+/**
+ * The response to a transaction: the revision of the state service, and the keys whose preconditions did not hold.
+ */
 export interface TransactionResult {
   readonly revision: number;
   readonly failedKeys: readonly string[];
 }
 
-/** Null if the body is malformed. */
+/** Decodes the response to a transaction; null if the body is malformed. */
 export function decodeTransactionResult(body: unknown): TransactionResult | null {
   const parsed = transactionResultSchema.safeParse(body);
   if (!parsed.success) return null;
@@ -96,7 +99,7 @@
 
 const leaseSchema = z.object({ tether: z.number() });
 
-/** The id of a granted lease, or null if the body is malformed. */
+/** Decodes the id of a granted lease; null if the body is malformed. */
 export function decodeLease(body: unknown): number | null {
   const parsed = leaseSchema.safeParse(body);
   return parsed.success ? parsed.data.tether : null;
--- a/tests/joined-faults-pipelines.test.ts
+++ b/tests/joined-faults-pipelines.test.ts
@@ -1,7 +1,7 @@
 /** Faults that meet pipelines, as docs/joined-faults.md numbers them: whole controllers against the stand-ins. */
 import assert from "node:assert/strict";
 import { KEY } from "../src/core/state/stored-values.js";
-import { encodeJob } from "../src/wire/counterpart.js";
+import { encodeJob } from "../src/wire/inverse-codecs.js";
 import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
 import { isDone, isStored, storedKeys } from "./support/job-answers.js";
 import { clusterJob } from "./support/job-builders.js";
--- a/tests/joined-faults.test.ts
+++ b/tests/joined-faults.test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { KEY } from "../src/core/state/stored-values.js";
 import { sleepSeconds } from "../src/time/sleep.js";
-import { encodeJob } from "../src/wire/counterpart.js";
+import { encodeJob } from "../src/wire/inverse-codecs.js";
 import { PATH } from "../src/wire/names.js";
 import { clusterTest, type InProcessCluster } from "./support/in-process-cluster.js";
 import {
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -10,7 +10,7 @@
 import { encodePeerHeartbeat } from "../src/peers/codec.js";
 import { sleepSeconds } from "../src/time/sleep.js";
 import { encodeCommands, encodeRedirect } from "../src/wire/commands.js";
-import { decodeRedirect } from "../src/wire/counterpart.js";
+import { decodeRedirect } from "../src/wire/inverse-codecs.js";
 import { decode, encode } from "../src/wire/msgpack.js";
 import { PATH } from "../src/wire/names.js";
 import { encodeWorkerHeartbeat } from "../src/wire/worker-heartbeat.js";
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -52,7 +52,7 @@
     return seen;
   };
   const withoutTaskLines = messagesOf(false);
-  for (const message of ["place", "running", "task ended"]) {
+  for (const message of ["place", "task running", "task ended"]) {
     assert.equal(withoutTaskLines.has(message), false, message);
     assert.ok(messagesOf(true).has(message), message);
   }
@@ -117,7 +117,7 @@
     cpuS: () => cpuS,
     memory: () => ({ heapUsed: 20 * 2 ** 20, rss: 90 * 2 ** 20 }),
     cpuShare: SMALL_SHARE,
-    lineIntervalS: 15,
+    reportIntervalS: 15,
   });
   const measureHeartbeats = (): string =>
     load.measure("heartbeats", () => {
@@ -131,15 +131,15 @@
       throw new Error("a fault is counted too");
     }),
   );
-  assert.equal(load.line(0), null);
+  assert.equal(load.takeDueReport(0), null);
   now = 30;
   cpuS = 3;
-  const line = load.line(0.25);
+  const line = load.takeDueReport(0.25);
   assert.deepEqual(
     [line?.intervalS, line?.cpu, line?.cpuShare, line?.lagMs, line?.heapMb, line?.residentMb],
     [20, 0.1, SMALL_SHARE, 250, 20, 90],
   );
   assert.deepEqual(line?.activities.heartbeats, { perSecond: 0.05, share: 0.025 });
   assert.deepEqual(line?.activities.cycles, { perSecond: 0.05, share: 0.05 });
-  assert.equal(load.line(0), null, "the counters were reset");
+  assert.equal(load.takeDueReport(0), null, "the counters were reset");
 });
--- a/tests/support/cloud-stand-in.ts
+++ b/tests/support/cloud-stand-in.ts
@@ -1,6 +1,6 @@
 /** A cloud whose machines are workers in this process. */
 import type { ListedMachine, MachineType } from "../../src/core/model/machines.js";
-import { decodeRelease, encodeCatalog, encodeMachineList } from "../../src/wire/counterpart.js";
+import { decodeRelease, encodeCatalog, encodeMachineList } from "../../src/wire/inverse-codecs.js";
 import { PATH } from "../../src/wire/names.js";
 import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
 import type { WorkerStandIn } from "./worker-stand-in.js";
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import type { Controller } from "../../src/node/controller.js";
-import { decodeJobState, encodeJob } from "../../src/wire/counterpart.js";
+import { decodeJobState, encodeJob } from "../../src/wire/inverse-codecs.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { CloudStandIn } from "./cloud-stand-in.js";
 import {
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -9,7 +9,7 @@
 import type { TaskStatus } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { sleepSeconds } from "../../src/time/sleep.js";
-import { decodeJobState, encodeJob } from "../../src/wire/counterpart.js";
+import { decodeJobState, encodeJob } from "../../src/wire/inverse-codecs.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { CloudStandIn } from "./cloud-stand-in.js";
 import { startControllerProcess } from "./controller-process.js";
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -6,7 +6,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import type { JobSpec } from "../../../src/core/model/jobs.js";
 import { sleepSeconds } from "../../../src/time/sleep.js";
-import { decodeJobState, encodeJob } from "../../../src/wire/counterpart.js";
+import { decodeJobState, encodeJob } from "../../../src/wire/inverse-codecs.js";
 import { decode, encode } from "../../../src/wire/msgpack.js";
 import { submittedJob } from "../job-builders.js";
 import { MultiProcessCluster } from "../multi-process-cluster.js";
--- a/tests/support/overload/report.ts
+++ b/tests/support/overload/report.ts
@@ -1,6 +1,6 @@
 /** What an overload run measured, and what must hold of it. */
 import assert from "node:assert/strict";
-import { START_BOUND_S } from "../../../src/core/model/constants.js";
+import { START_LATENCY_BOUND_S } from "../../../src/core/model/constants.js";
 import { CPUS, type Load, PATIENCE_S, TASK_S } from "./workload.js";
 
 /** Counts of one class. */
@@ -67,7 +67,7 @@
     assert.ok(figures.cpus >= 0.8 * guaranteed, `${name}: ${figures.cpus} of ${guaranteed} CPUs`);
     assert.ok(figures.accepted > 0, `${name} is shut out`);
     // Any job begins within the users' bound; in a shorter run a gang of half the cluster need not have begun.
-    const hasRun = report.seconds < START_BOUND_S || figures.cpus > 0.01 * used;
+    const hasRun = report.seconds < START_LATENCY_BOUND_S || figures.cpus > 0.01 * used;
     assert.ok(hasRun, `${name} starves: ${figures.cpus} CPUs`);
     const { longestAdmissionS } = figures;
     assert.ok(longestAdmissionS <= PATIENCE_S, `${name}: ${longestAdmissionS} s`);
--- a/tests/support/state-service-proxy.ts
+++ b/tests/support/state-service-proxy.ts
@@ -1,5 +1,5 @@
 /** One node's way to the state service, on which a test can cause faults. */
-import { decodeTransaction, type Transaction } from "../../src/wire/counterpart.js";
+import { decodeTransaction, type Transaction } from "../../src/wire/inverse-codecs.js";
 import { PATH } from "../../src/wire/names.js";
 import {
   noResponse,
--- a/tests/support/state-service-stand-in.ts
+++ b/tests/support/state-service-stand-in.ts
@@ -8,7 +8,7 @@
   encodeTransactionResult,
   encodeWatchResponse,
   type Transaction,
-} from "../../src/wire/counterpart.js";
+} from "../../src/wire/inverse-codecs.js";
 import { PATH } from "../../src/wire/names.js";
 import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
 import { StateServiceProxy } from "./state-service-proxy.js";
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -3,7 +3,7 @@
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { sleepSeconds } from "../../src/time/sleep.js";
 import { decodeCommands } from "../../src/wire/commands.js";
-import { decodeRedirect } from "../../src/wire/counterpart.js";
+import { decodeRedirect } from "../../src/wire/inverse-codecs.js";
 import { decode, encode } from "../../src/wire/msgpack.js";
 import { PATH } from "../../src/wire/names.js";
 import { encodeWorkerHeartbeat } from "../../src/wire/worker-heartbeat.js";
