--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -1,4 +1,7 @@
-/** Real processes on loopback: the leader is killed, or stopped and continued, while tasks run. */
+/**
+ * Tests with controllers as real processes that communicate over loopback: while tasks run, the leader is killed, the
+ * leader is paused and continued, and all processes restart.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { sleepSeconds } from "../src/time/sleep.js";
@@ -6,90 +9,91 @@
 import { MultiProcessCluster } from "./support/multi-process-cluster.js";
 import { waitForProcesses } from "./support/waiting.js";
 
-/** Submits six jobs, kills the leader while their tasks run, and expects each to complete once. */
-async function leaderIsKilled(site: MultiProcessCluster): Promise<KilledLeader> {
+/** Submits six jobs, kills the leader while their tasks run, and waits until each job is done. */
+async function killLeader(cluster: MultiProcessCluster): Promise<KilledLeaderResult> {
   const ids = Array.from({ length: 6 }, (_, index) => `run-${index}`);
   for (const [index, id] of ids.entries()) {
-    // 200 if the answer to the first attempt was late and the submission was repeated.
-    assert.ok((await site.submitJob(index % 3, id, { tasks: 8 })).status <= 201);
+    // The status is 200 instead of 201 if the answer to the first attempt was late and the submission was repeated.
+    assert.ok((await cluster.submitJob(index % 3, id, { tasks: 8 })).status <= 201);
   }
-  await waitForProcesses("tasks run", () => site.ruleChecker.startCount >= 8);
-  const killed = site.leaderIndex();
-  site.signalNode(killed, "SIGKILL");
-  const leader = await site.awaitOtherLeader(killed);
-  for (const id of ids) await awaitDone(site, leader, id);
-  assert.ok(site.ruleChecker.startCount >= 48);
-  const again = await site.submitJob(leader, ids[0]!, { tasks: 1 });
-  assert.deepEqual(again, { status: 200, state: "done" });
-  site.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
-  assert.equal((await site.queryJob(leader, "run-nobody")).status, 404);
+  await waitForProcesses("eight tasks have started", () => cluster.ruleChecker.startCount >= 8);
+  const killed = cluster.leaderIndex();
+  cluster.signalNode(killed, "SIGKILL");
+  const leader = await cluster.awaitOtherLeader(killed);
+  for (const id of ids) await awaitDone(cluster, leader, id);
+  assert.ok(cluster.ruleChecker.startCount >= 48);
+  const repeatedSubmission = await cluster.submitJob(leader, ids[0]!, { tasks: 1 });
+  assert.deepEqual(repeatedSubmission, { status: 200, state: "done" });
+  cluster.ruleChecker.jobSubmitted(jobSpec("run-nobody"));
+  assert.equal((await cluster.queryJob(leader, "run-nobody")).status, 404);
   return { killed, ids };
 }
 
 /**
- * A leader is paused while its clocks run, and another acquires leadership. What is in its buffers when it
- * continues (due timers, heartbeats, answers) must start nothing.
+ * Pauses the leader, while its clocks advance, until another node has acquired leadership. When the former leader
+ * continues, the events in its buffers (due timers, heartbeats, answers) must not start any task.
  */
-async function leaderIsPaused(site: MultiProcessCluster): Promise<void> {
-  const held = Array.from({ length: 4 }, (_, index) => `held-${index}`);
-  for (const id of held) await site.submitJob(1, id, { tasks: 8 });
-  const paused = site.leaderIndex();
+async function pauseLeader(cluster: MultiProcessCluster): Promise<void> {
+  const jobIds = Array.from({ length: 4 }, (_, index) => `held-${index}`);
+  for (const id of jobIds) await cluster.submitJob(1, id, { tasks: 8 });
+  const paused = cluster.leaderIndex();
   const others = [0, 1, 2].filter((node) => node !== paused);
-  site.signalNode(paused, "SIGSTOP");
-  await site.awaitOtherLeader(paused);
+  cluster.signalNode(paused, "SIGSTOP");
+  await cluster.awaitOtherLeader(paused);
   await sleepSeconds(1.5);
-  const epoch = storedEpoch(site);
-  site.signalNode(paused, "SIGCONT");
-  for (const id of held) await awaitDone(site, others[0]!, id);
-  assert.ok(storedEpoch(site) >= epoch);
+  const epoch = storedEpoch(cluster);
+  cluster.signalNode(paused, "SIGCONT");
+  for (const id of jobIds) await awaitDone(cluster, others[0]!, id);
+  assert.ok(storedEpoch(cluster) >= epoch);
 }
 
 /**
- * All processes restart in the middle of an election, each at once, while requests of its predecessor are still
- * in flight: after the election every node knows the state of every job.
+ * Restarts all processes, and again during the election that follows. Each process starts immediately after its
+ * predecessor was killed, while requests of the predecessor are still in flight. After the election, every node must
+ * know the state of every job.
  */
-async function allProcessesRestart(
-  site: MultiProcessCluster,
+async function restartAllProcesses(
+  cluster: MultiProcessCluster,
   earlierIds: readonly string[],
 ): Promise<void> {
-  const late = Array.from({ length: 4 }, (_, index) => `late-${index}`);
-  for (const id of late) await site.submitJob(0, id);
+  const newIds = Array.from({ length: 4 }, (_, index) => `late-${index}`);
+  for (const id of newIds) await cluster.submitJob(0, id);
   for (let round = 0; round < 2; round++) {
-    for (let node = 0; node < 3; node++) site.replaceNode(node);
+    for (let node = 0; node < 3; node++) cluster.replaceNode(node);
     await sleepSeconds(round === 0 ? 0.7 : 0);
   }
-  for (const id of [...earlierIds, ...late]) await site.awaitJobState(id, "done");
+  for (const id of [...earlierIds, ...newIds]) await cluster.awaitJobState(id, "done");
 }
 
-interface KilledLeader {
+interface KilledLeaderResult {
   readonly killed: number;
-  /** The jobs that ran meanwhile. */
+  /** Ids of the jobs that ran when the leader was killed. */
   readonly ids: readonly string[];
 }
 
-async function awaitDone(site: MultiProcessCluster, node: number, id: string): Promise<void> {
+async function awaitDone(cluster: MultiProcessCluster, node: number, id: string): Promise<void> {
   await waitForProcesses(
     `${id} is done`,
-    async () => (await site.queryJob(node, id)).state === "done",
+    async () => (await cluster.queryJob(node, id)).state === "done",
   );
 }
 
-const storedEpoch = (site: MultiProcessCluster): number =>
-  (site.stateService.entries.get("epoch")!.value as { n: number }).n;
+const storedEpoch = (cluster: MultiProcessCluster): number =>
+  (cluster.stateService.entries.get("epoch")!.value as { n: number }).n;
 
 test("no job is lost and no task runs twice when the leader is killed or paused, or all processes restart", {
   timeout: 120_000,
 }, async () => {
-  const site = await MultiProcessCluster.open({ taskMs: () => 1500 });
+  const cluster = await MultiProcessCluster.open({ taskMs: () => 1500 });
   try {
-    for (let node = 0; node < 3; node++) site.startNode(node);
-    const { killed, ids } = await leaderIsKilled(site);
-    site.startNode(killed);
-    await site.awaitHealthy(killed);
-    await leaderIsPaused(site);
-    await allProcessesRestart(site, ids);
-    assert.deepEqual(site.ruleChecker.violations, []);
+    for (let node = 0; node < 3; node++) cluster.startNode(node);
+    const { killed, ids } = await killLeader(cluster);
+    cluster.startNode(killed);
+    await cluster.awaitHealthy(killed);
+    await pauseLeader(cluster);
+    await restartAllProcesses(cluster, ids);
+    assert.deepEqual(cluster.ruleChecker.violations, []);
   } finally {
-    site.close();
+    cluster.close();
   }
 });
--- a/tests/joined-faults-pipelines.test.ts
+++ b/tests/joined-faults-pipelines.test.ts
@@ -1,4 +1,7 @@
-/** Faults that meet pipelines, as docs/joined-faults.md numbers them: whole controllers against the stand-ins. */
+/**
+ * Combinations of faults that affect pipelines, which are jobs that depend on other jobs, numbered as in
+ * docs/joined-faults.md. Each test runs complete controllers against stand-ins of the services and the workers.
+ */
 import assert from "node:assert/strict";
 import { KEY } from "../src/core/state/stored-values.js";
 import { encodeJob } from "../src/wire/counterpart.js";
@@ -7,8 +10,8 @@
 import { clusterJob } from "./support/job-builders.js";
 import { waitUntil } from "./support/waiting.js";
 
-/** Submits a job of two tasks with its dependencies as they are on the wire; returns the status. */
-async function submitAfter(
+/** Submits a job of two tasks and returns the status; `follows` is sent unchanged, so it may be invalid. */
+async function submitWithDependencies(
   cluster: InProcessCluster,
   node: number,
   id: string,
@@ -18,59 +21,73 @@
   return (await cluster.submitBody(node, body)).status;
 }
 
-/** Jobs b and c need a; d needs both. No job of it starts a task before all tasks of those it needs started. */
-function checkDiamondOrder({ startedTasks }: InProcessCluster): void {
-  const first = (id: string) => startedTasks.findIndex((task) => task.startsWith(`${id}/`));
-  const last = (id: string) => startedTasks.findLastIndex((task) => task.startsWith(`${id}/`));
-  for (const [needed, dependent] of [
+/**
+ * Checks the starts of a pipeline in which jobs b and c depend on a, and d depends on b and c: a job starts no task
+ * before all tasks of the jobs that it depends on have started.
+ */
+function checkStartOrder({ startedTasks }: InProcessCluster): void {
+  const firstStart = (id: string) => startedTasks.findIndex((task) => task.startsWith(`${id}/`));
+  const lastStart = (id: string) => startedTasks.findLastIndex((task) => task.startsWith(`${id}/`));
+  for (const [dependency, dependent] of [
     ["a", "b"],
     ["a", "c"],
     ["b", "d"],
     ["c", "d"],
   ] as const) {
-    assert.ok(last(needed) < first(dependent), `${needed} before ${dependent}`);
+    assert.ok(
+      lastStart(dependency) < firstStart(dependent),
+      `all tasks of ${dependency} start before those of ${dependent}`,
+    );
   }
 }
 
 clusterTest(
-  "11: a diamond of jobs submitted to three nodes runs in order to its end, and invalid dependencies are refused",
+  "11: a pipeline submitted to three nodes runs in order of its dependencies, and invalid dependencies are rejected",
   { taskS: 0.3 },
   async (cluster) => {
     const submit = (node: number, id: string, follows: unknown) =>
-      submitAfter(cluster, node, id, follows);
-    assert.equal(await submit(0, "b", ["a"]), 422, "never accepted");
-    assert.equal(await submit(0, "b", ["b"]), 422, "itself");
+      submitWithDependencies(cluster, node, id, follows);
+    assert.equal(await submit(0, "b", ["a"]), 422, "it depends on a job that was never accepted");
+    assert.equal(await submit(0, "b", ["b"]), 422, "it depends on itself");
     assert.equal(await submit(0, "b", "a"), 400);
     assert.equal(await submit(0, "b", [7]), 400);
-    const many = Array.from({ length: 400 }, (_, n) => `a-job-with-a-long-name-${n}`);
-    assert.equal(await submit(0, "b", many), 422, "more than can be stored, none accepted");
+    const manyIds = Array.from({ length: 400 }, (_, index) => `a-job-with-a-long-name-${index}`);
+    assert.equal(
+      await submit(0, "b", manyIds),
+      422,
+      "it has more dependencies than can be stored, none of them accepted",
+    );
     assert.deepEqual(storedKeys(cluster, /^[pd]\//), []);
 
-    // Each is named on another node a moment after it was accepted.
+    // Each job is named as a dependency at another node immediately after it was accepted.
     assert.equal(await submit(0, "a", null), 201);
     assert.equal(await submit(1, "b", ["a", "a"]), 201);
     assert.equal(await submit(2, "c", ["a"]), 201);
     assert.equal(await submit(0, "d", ["b", "c"]), 201);
-    assert.equal(await submit(1, "d", ["b", "nobody"]), 200, "known, whatever it names by now");
-    const statesOfLast = new Set<string>();
+    assert.equal(
+      await submit(1, "d", ["b", "nobody"]),
+      200,
+      "a known job is answered regardless of the dependencies in the request",
+    );
+    const observedStates = new Set<string>();
     await waitUntil("d is done", async () => {
       const [b, c, d] = await Promise.all(["b", "c", "d"].map((id) => cluster.queryJob(1, id)));
       if (d!.state === "running" || d!.state === "done") {
         assert.deepEqual([b!.state, c!.state].includes("queued"), false);
       }
-      statesOfLast.add(d!.state!);
+      observedStates.add(d!.state!);
       return d!.state === "done";
     });
-    assert.ok(statesOfLast.has("queued"));
-    checkDiamondOrder(cluster);
-    // Submitted when all that it names is done.
+    assert.ok(observedStates.has("queued"));
+    checkStartOrder(cluster);
+    // The jobs that it depends on are already done when it is submitted.
     assert.equal(await submit(2, "late", ["d", "a"]), 201);
-    await waitUntil("it is done", () => isDone(cluster, 0, "late"));
+    await waitUntil("the late job is done", () => isDone(cluster, 0, "late"));
   },
 );
 
 clusterTest(
-  "12: when a pipeline's first job is cancelled while the leader is refused and a node is replaced, all of it is cancelled",
+  "12: cancelling a pipeline's first job cancels all its jobs while the state service refuses the leader and a node restarts",
   {},
   async (cluster) => {
     await cluster.submitAndAwaitRunning("a");
@@ -85,29 +102,33 @@
     }
     const leader = cluster.leaderIndex();
     const other = (leader + 1) % 3;
-    const replaced = (leader + 2) % 3;
+    const restarted = (leader + 2) % 3;
     cluster.nodes[leader]!.stateProxy.isRefusing = true;
     const { status } = await cluster.cancelJob(other, "a");
     if (status === 200) assert.deepEqual([...cluster.machinesOf("a")], []);
-    await cluster.stopNode(replaced);
-    await cluster.startNode(replaced);
+    await cluster.stopNode(restarted);
+    await cluster.startNode(restarted);
     const isConfirmed = async () => (await cluster.cancelJob(other, "a")).state === "cancelled";
     await waitUntil("the cancellation is confirmed", isConfirmed);
-    // From here on every node says so of all dependents, and no task of theirs runs or starts.
+    // From now on every node reports all dependent jobs as cancelled, and none of their tasks runs or starts.
     cluster.nodes[leader]!.stateProxy.reopen();
-    for (const node of [other, replaced]) {
+    for (const node of [other, restarted]) {
       for (const id of pipeline) {
         assert.equal((await cluster.queryJob(node, id)).state, "cancelled", id);
       }
     }
-    const late = await cluster.submitJob(other, "e", { after: ["d"] });
-    assert.equal(late.status, 201, "accepted all the same");
+    const lateAnswer = await cluster.submitJob(other, "e", { after: ["d"] });
+    assert.equal(lateAnswer.status, 201, "a job that depends on a cancelled job is accepted");
     assert.equal((await cluster.queryJob(other, "e")).state, "cancelled");
-    await waitUntil("all ends are stored", () =>
+    await waitUntil("the final records of all jobs are stored", () =>
       [...pipeline, "e"].every((id) => isStored(cluster, KEY.finalRecord(id))),
     );
     const haveDependentsStarted = cluster.startedTasks.some((task) => /^[bcde]\//.test(task));
-    assert.equal(haveDependentsStarted, false, "orphaned or too_early");
+    assert.equal(
+      haveDependentsStarted,
+      false,
+      "tasks of dependent jobs started (orphaned or too_early)",
+    );
     for (const id of pipeline) assert.deepEqual([...cluster.machinesOf(id)], []);
   },
 );
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -1,7 +1,7 @@
-/** How a leader keeps its leadership when the key-value store answers late. */
+/** Tests that a leader keeps its leadership when the state service answers the renewals of its lease late. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as nextEventLoopTurn } from "node:timers/promises";
 import { pino } from "pino";
 import type { Change } from "../src/core/state/key-value.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
@@ -12,11 +12,11 @@
 const LEASE_S = 4;
 const RENEWAL_INTERVAL_S = LEASE_S / 4;
 
-/** A controller that acquired leadership; its renewals are answered when the test says so. */
+/** A controller that has acquired leadership. A test answers the renewals of its lease with `pendingRenewals`. */
 class TestCandidate {
   now = 100;
-  /** Times at which renewals were sent. */
-  readonly sentAt: number[] = [];
+  /** Times at which renewals were sent, in seconds. */
+  readonly renewalsSentAt: number[] = [];
   readonly pendingRenewals: ((renewal: LeaseRenewal) => void)[] = [];
   readonly leadership: Leadership;
 
@@ -36,7 +36,7 @@
         return { kind: "ok", revision: 1 };
       },
       extendLease: () => {
-        this.sentAt.push(this.now);
+        this.renewalsSentAt.push(this.now);
         return new Promise((resolve) => this.pendingRenewals.push(resolve));
       },
       revokeLease: async () => {},
@@ -60,29 +60,30 @@
   }
 }
 
-test("renewals are sent four times a lease, answered or not, and each answer counts from when it was asked", async (t) => {
-  t.mock.timers.enable({ apis: ["setTimeout"] });
+test("lease renewals are sent four times per lease, even if unanswered, and each answer counts from the time of its renewal", async (context) => {
+  context.mock.timers.enable({ apis: ["setTimeout"] });
   const candidate = new TestCandidate();
-  await nextTurn();
+  await nextEventLoopTurn();
   assert.notEqual(candidate.leadership.current, null);
   for (let renewal = 0; renewal < 8; renewal++) {
     candidate.now += RENEWAL_INTERVAL_S;
-    t.mock.timers.tick(1000 * RENEWAL_INTERVAL_S);
-    await nextTurn();
+    context.mock.timers.tick(1000 * RENEWAL_INTERVAL_S);
+    await nextEventLoopTurn();
   }
-  assert.deepEqual(candidate.sentAt, [101, 102, 103, 104, 105, 106, 107, 108]);
-  const answer = async (renewal: number, result: LeaseRenewal): Promise<void> => {
+  assert.deepEqual(candidate.renewalsSentAt, [101, 102, 103, 104, 105, 106, 107, 108]);
+  const answerRenewal = async (renewal: number, result: LeaseRenewal): Promise<void> => {
     candidate.pendingRenewals[renewal]!(result);
-    await nextTurn();
+    await nextEventLoopTurn();
   };
-  // An answer counts from when its renewal was sent, and an older one shortens nothing.
+  // An answer extends the term from the time at which its renewal was sent. The answer to an older renewal does not
+  // shorten the term.
   const { term } = candidate.leadership.current!;
   assert.equal(term.mayAct(104), false);
-  await answer(5, { kind: "ok" });
+  await answerRenewal(5, { kind: "ok" });
   assert.equal(term.mayAct(106 + 0.89 * LEASE_S), true);
-  await answer(0, { kind: "ok" });
+  await answerRenewal(0, { kind: "ok" });
   assert.equal(term.mayAct(106 + 0.89 * LEASE_S), true);
   assert.equal(term.mayAct(106 + 0.9 * LEASE_S), false);
-  await answer(1, { kind: "expired" });
+  await answerRenewal(1, { kind: "expired" });
   assert.equal(candidate.leadership.current, null);
 });
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -1,4 +1,8 @@
-/** A controller that loses the state service and the other controllers, but not its workers. */
+/**
+ * Tests how a controller that does not lead answers worker heartbeats: while it is partitioned from the state service
+ * and from the other controllers but not from its workers, while there is no leader, and while a new leader starts.
+ * Also tests when a leader leaves users to the other controllers.
+ */
 import assert from "node:assert/strict";
 import { connect } from "node:net";
 import { type TestContext, test } from "node:test";
@@ -29,13 +33,13 @@
 const MAX_CONNECTIONS = 8;
 const REQUEST_TIMEOUT_MS = 2000;
 const TIMEOUT = { timeout: 60_000 };
-/** Each check of a condition is a request to the node. */
+/** Conditions are polled less often than by default, because most checks send a request to the node. */
 const WAIT = { timeoutS: 15, intervalS: 0.1 };
 
 const OK = 200;
 const REDIRECTED = 421;
 
-/** A worker's heartbeat with one running task of the job. */
+/** Returns the heartbeat of a worker that runs one task of the job. */
 const heartbeatOf = (
   job: string,
   sequence: number,
@@ -54,15 +58,18 @@
   ...change,
 });
 
-/** What a node runs against. */
+/** Services that a node uses, and the lease of its workers. */
 interface NodeEnvironment {
   readonly stateService: StateServiceStandIn;
-  /** Null: there is none, so that machine types are unknown and the node cannot acquire leadership. */
+  /** Null if there is no cloud: the machine types are then unknown, and the node cannot acquire leadership. */
   readonly cloud: CloudStandIn | null;
   readonly leaseS: number;
 }
 
-/** A node of zone a, and a way to send heartbeats to it; after the test it is stopped before its services. */
+/**
+ * Starts a node of zone a, and returns it with a function that sends heartbeats to it. After the test, the node is
+ * stopped before its services.
+ */
 async function startNode(context: TestContext, { stateService, cloud, leaseS }: NodeEnvironment) {
   const [address, peerAddress, otherAddress] = (await freeAddresses(3)) as [string, string, string];
   const cloudAddress = cloud?.address ?? (await freeAddress());
@@ -120,19 +127,19 @@
   });
 }
 
-/** Job `gone` is cancelled, and its cancellation may have been confirmed to users. */
+/** Stores a cancellation of job `gone` that may have been confirmed to users. */
 function putCancellation(stateService: StateServiceStandIn): void {
   put(stateService, KEY.cancellation("gone"), { at: 0, told: true });
 }
 
-/** The other controller, n9, holds leadership with epoch 7. */
+/** Stores that the other controller, n9, holds leadership with epoch 7. */
 function putOtherLeader(stateService: StateServiceStandIn): void {
   put(stateService, KEY.leader, { member: "n9", epoch: 7, lease: 99 });
   put(stateService, KEY.epoch, { n: 7 });
 }
 
 test(
-  "partitioned with its workers a node keeps services alive without commands, and refuses users at once",
+  "a partitioned node extends the leases of service tasks without sending commands, and refuses users at once",
   TIMEOUT,
   async (context) => {
     const stateService = await startStateService();
@@ -148,56 +155,64 @@
       cloud,
       leaseS: 2,
     });
-    // While it reaches the others, workers are redirected to the leader, whatever they run.
+    // While the node reaches the state service, it redirects workers to the leader, whatever tasks they run.
     const redirect = { status: REDIRECTED, body: encodeRedirect("n9") };
     assert.deepEqual(await sendHeartbeat("web"), redirect);
-    // In contact for longer than a lease of 2 s. A gap in it, two seconds here, is noticed late.
+    // Leases are extended only if the contact with the state service lasted longer than a lease, which is 2 s here.
+    // A gap in the contact is noticed once it lasts two seconds with these settings.
     await sleepSeconds(5);
     const partitionedAtMs = performance.now();
     stateService.stop();
     const statusFor = async (job: string, change: Partial<WorkerHeartbeat> = {}) =>
       (await sendHeartbeat(job, change)).status;
-    await waitUntil("it answers itself", async () => (await statusFor("web")) === OK, WAIT);
+    await waitUntil("the node answers workers", async () => (await statusFor("web")) === OK, WAIT);
     const withoutCommands = { status: OK, body: encodeCommands(7, null, []) };
     assert.deepEqual(await sendHeartbeat("web"), withoutCommands);
     assert.equal(await statusFor("web", { fencingToken: 6 }), OK);
-    assert.equal(await statusFor("web", { fencingToken: 8 }), REDIRECTED, "there is a later term");
-    assert.equal(await statusFor("web", { zone: "b" }), REDIRECTED, "not of this zone");
-    assert.equal(await statusFor("list"), REDIRECTED, "arrays start again elsewhere");
+    assert.equal(await statusFor("web", { fencingToken: 8 }), REDIRECTED, "token of a later term");
+    assert.equal(
+      await statusFor("web", { zone: "b" }),
+      REDIRECTED,
+      "the worker is in another zone",
+    );
+    assert.equal(await statusFor("list"), REDIRECTED, "array tasks may restart elsewhere");
     const tasks = [taskStatus("web", 0, 1), taskStatus("gone", 0, 1)];
-    assert.equal(await statusFor("web", { tasks }), REDIRECTED, "cancelled, must be gone");
-    const askedAtMs = performance.now();
+    assert.equal(await statusFor("web", { tasks }), REDIRECTED, "cancelled tasks must end");
+    const requestedAtMs = performance.now();
     const answer = await connection.request("GET", `${PATH.jobs}/web`, null, REQUEST_TIMEOUT_MS);
     assert.equal(answer.status, 503);
     assert.equal(answer.headers.get("retry-after"), "1");
-    assert.ok(performance.now() - askedAtMs < 1000, "refused at once");
+    assert.ok(performance.now() - requestedAtMs < 1000, "users are refused at once");
     const isExtensionOver = async () => (await statusFor("web")) === REDIRECTED;
     await waitUntil("keep_ratio leases have passed", isExtensionOver, WAIT);
-    assert.ok(performance.now() - partitionedAtMs > 10_000, "but not before");
+    assert.ok(performance.now() - partitionedAtMs > 10_000, "leases are extended for 10 s");
   },
 );
 
+// Without these answers, all workers retry every second over new connections, and this load keeps the nodes from
+// acquiring leadership.
 test(
-  "between two leaders any node answers for a third of a lease, so that workers do not all return at once",
+  "while there is no leader, any node answers worker heartbeats for a third of a lease",
   TIMEOUT,
   async (context) => {
     const stateService = await startStateService();
     put(stateService, KEY.epoch, { n: 7 });
     putCancellation(stateService);
-    // Without a cloud the node cannot acquire leadership itself.
+    // Without a cloud, the node cannot acquire leadership itself.
     const { sendHeartbeat } = await startNode(context, { stateService, cloud: null, leaseS: 30 });
     const withoutCommands = { status: OK, body: encodeCommands(7, null, []) };
     assert.deepEqual(await sendHeartbeat("list"), withoutCommands);
     const fromLaterTerm = await sendHeartbeat("list", { fencingToken: 8 });
-    assert.equal(fromLaterTerm.status, REDIRECTED, "there is a later term");
-    assert.equal((await sendHeartbeat("gone")).status, REDIRECTED, "cancelled, must be gone");
+    assert.equal(fromLaterTerm.status, REDIRECTED, "token of a later term");
+    assert.equal((await sendHeartbeat("gone")).status, REDIRECTED, "cancelled tasks must end");
     const isRedirected = async () => (await sendHeartbeat("list")).status === REDIRECTED;
     await waitUntil("a third of a lease has passed", isRedirected, WAIT);
   },
 );
 
+// Without this limit, all workers connect to the new leader at once.
 test(
-  "in a new leader's grace period the others redirect a limited number of workers a second and answer the rest",
+  "during a new leader's grace period, other nodes redirect a limited number of workers per second and answer the rest",
   TIMEOUT,
   async (context) => {
     const stateService = await startStateService();
@@ -206,12 +221,12 @@
     put(stateService, KEY.leader, leader);
     putCancellation(stateService);
     const { sendHeartbeat } = await startNode(context, { stateService, cloud: null, leaseS: 6 });
-    const sendHundred = async () => {
+    const sendHundredHeartbeats = async () => {
       const answers: Awaited<ReturnType<typeof sendHeartbeat>>[] = [];
       for (let sent = 0; sent < 100; sent++) answers.push(await sendHeartbeat("list"));
       return answers;
     };
-    const answers = await sendHundred();
+    const answers = await sendHundredHeartbeats();
     const answered = answers.filter(({ status }) => status === OK);
     const redirected = answers.filter(({ status }) => status === REDIRECTED);
     const { length } = redirected;
@@ -220,17 +235,18 @@
     for (const { body } of answered) assert.deepEqual(body, encodeCommands(7, null, []));
     for (const { body } of redirected) assert.equal(decodeRedirect(body), "n9");
     const fromLaterTerm = await sendHeartbeat("list", { fencingToken: 8 });
-    assert.equal(fromLaterTerm.status, REDIRECTED, "there is a later term");
-    assert.equal((await sendHeartbeat("gone")).status, REDIRECTED, "cancelled, must be gone");
-    // The leader counts leases as expired from its own start plus the grace period: no answer comes after that.
+    assert.equal(fromLaterTerm.status, REDIRECTED, "token of a later term");
+    assert.equal((await sendHeartbeat("gone")).status, REDIRECTED, "cancelled tasks must end");
+    // The leader assumes that no lease was extended later than its own start plus the grace period, so other nodes
+    // must not answer heartbeats after that.
     const haveTwoThirdsPassed = () => Date.now() - leader.at > 4000;
     await waitUntil("two thirds of a lease have passed", haveTwoThirdsPassed, WAIT);
-    const lateAnswers = await sendHundred();
+    const lateAnswers = await sendHundredHeartbeats();
     assert.equal(lateAnswers.filter(({ status }) => status === OK).length, 0);
   },
 );
 
-test("a leader leaves users to the others while at least two are in contact, and serves them again with fewer", async (context) => {
+test("a leader leaves users to the other nodes until fewer than two of them are in contact, and then serves users again", async (context) => {
   const stateService = await startStateService();
   const cloud = await startCloud();
   const { controller, connection, peerAddress } = await startNode(context, {
@@ -238,8 +254,8 @@
     cloud,
     leaseS: 10,
   });
-  await waitUntil("it leads", () => stateService.entries.has(KEY.leader), WAIT);
-  assert.equal(controller.isHealthy(), true, "alone it serves users");
+  await waitUntil("the node leads", () => stateService.entries.has(KEY.leader), WAIT);
+  assert.equal(controller.isHealthy(), true, "a leader without peers in contact serves users");
   const heartbeat = encodePeerHeartbeat({
     reachesStateService: true,
     holdsLeadership: false,
@@ -252,18 +268,30 @@
     for (const peer of peers) if (!peer.destroyed) peer.write(heartbeat);
   }, 100);
   try {
-    await waitUntil("it leaves users to the others", () => !controller.isHealthy(), WAIT);
-    // Users who ask it all the same are answered.
+    await waitUntil(
+      "the leader leaves users to the other nodes",
+      () => !controller.isHealthy(),
+      WAIT,
+    );
+    // Requests of users that still arrive at the leader are answered.
     const path = `${PATH.jobs}/nobody`;
     const answer = await connection.request("GET", path, null, REQUEST_TIMEOUT_MS);
     assert.deepEqual([answer.status, answer.headers.get("connection")], [404, "close"]);
     peers[0]!.destroy();
     await sleepSeconds(2);
-    assert.equal(controller.isHealthy(), false, "two peers are enough to go on so");
+    assert.equal(
+      controller.isHealthy(),
+      false,
+      "with two peers in contact, the leader continues to leave users to them",
+    );
     peers[1]!.destroy();
-    await waitUntil("one peer is not enough", () => controller.isHealthy(), WAIT);
+    await waitUntil(
+      "with one peer in contact, the leader serves users",
+      () => controller.isHealthy(),
+      WAIT,
+    );
   } finally {
-    // Before the node stops: a peer that writes to a closed connection would fail the test process.
+    // The peers stop before the node: a write to a closed connection would fail the test process.
     clearInterval(heartbeats);
     for (const peer of peers) peer.destroy();
   }
--- a/tests/small-controllers.test.ts
+++ b/tests/small-controllers.test.ts
@@ -1,5 +1,6 @@
 /**
- * A leader with a small share of a core: which work it omits, and how many machines it examines. Counts, not times.
+ * Tests of a leader with a small share of a processor core: which work it omits, and how many machines it examines.
+ * The tests compare counts, which do not depend on the speed of the machine, and not durations.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -8,12 +9,15 @@
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { TestLeader } from "./support/test-leader.js";
 
-const SMALL_SHARE = 0.076;
-/** The names end in the zone: a or b. */
+const SMALL_CPU_SHARE = 0.076;
+/** Returns a machine name that ends with the zone, a or b. */
 const machineName = (index: number): string =>
   `m-${String(index).padStart(6, "0")}${index % 2 ? "b" : "a"}`;
 
-function leaderWith(machines: number, options: { cpuShare?: number; logsTasks?: boolean } = {}) {
+function leaderWithMachines(
+  machines: number,
+  options: { cpuShare?: number; logsTasks?: boolean } = {},
+) {
   const leader = new TestLeader(options);
   for (let index = 0; index < machines; index++)
     leader.receiveHeartbeatOnly(machineName(index), []);
@@ -23,10 +27,10 @@
 
 test("an overloaded leader does not step down because of heartbeats that it has not read yet", () => {
   const stepsDown = (overloaded: boolean): boolean => {
-    const leader = leaderWith(8);
+    const leader = leaderWithMachines(8);
     leader.scheduler.isOverloaded = overloaded;
     leader.takeTrace();
-    // Long enough for heartbeats of all machines, but only one of eight sends any.
+    // All machines have time to send heartbeats, but only one of the eight does.
     for (let second = 0; second < 14; second++) {
       leader.receiveHeartbeatOnly(machineName(0), []);
       leader.tick(1);
@@ -37,29 +41,32 @@
   assert.equal(stepsDown(false), true);
 });
 
-test("log lines on single tasks are not composed where they are not written", () => {
+test("log lines about single tasks are not composed if they are not written", () => {
   const messagesOf = (logsTasks: boolean): Set<string> => {
-    const leader = leaderWith(1, { logsTasks });
-    const seen = new Set<string>();
+    const leader = leaderWithMachines(1, { logsTasks });
+    const messages = new Set<string>();
     const performEffects = leader.performEffects.bind(leader);
     leader.performEffects = (effects: Effect[]) => {
-      for (const effect of effects) if (effect.kind === "log") seen.add(effect.message);
+      for (const effect of effects) if (effect.kind === "log") messages.add(effect.message);
       performEffects(effects);
     };
     leader.submit(jobSpec("j", {}));
     leader.answerRequest([taskStatus("j", 0, 1)]);
     leader.receiveHeartbeat(machineName(0), [taskStatus("j", 0, 1, "exited", "done")]);
-    return seen;
+    return messages;
   };
-  const withoutTaskLines = messagesOf(false);
+  const messagesWithoutTaskLines = messagesOf(false);
   for (const message of ["place", "task running", "task ended"]) {
-    assert.equal(withoutTaskLines.has(message), false, message);
+    assert.equal(messagesWithoutTaskLines.has(message), false, message);
     assert.ok(messagesOf(true).has(message), message);
   }
-  assert.ok(withoutTaskLines.has("all tasks done"), "lines on jobs are still written");
+  assert.ok(
+    messagesWithoutTaskLines.has("all tasks done"),
+    "log lines about jobs are still written",
+  );
 });
 
-/** How often machines are examined during `work`: every examination reads a machine's free CPUs. */
+/** Counts the examinations of machines during `work`. Each examination reads the free CPUs of a machine. */
 function countExaminations(leader: TestLeader, work: () => void): number {
   let examinations = 0;
   for (const machine of leader.scheduler.cluster.machines.values()) {
@@ -76,23 +83,26 @@
   return examinations;
 }
 
-test("large arrays without tasks that may be placed now cause no examinations of machines", () => {
+test("large arrays cause no examinations of machines while none of their tasks may be placed", () => {
   const examinationsWith = (waiting: number): number => {
-    const leader = leaderWith(400, { cpuShare: SMALL_SHARE });
+    const leader = leaderWithMachines(400, { cpuShare: SMALL_CPU_SHARE });
     const tasks = 5000;
     for (let index = 0; index <= waiting; index++)
       leader.submit(jobSpec(`j-${index}`, { team: "maps", tasks }));
     leader.tick(0.5);
-    // Long enough for another cycle, which places as many tasks of the first array as it may.
+    // Long enough for another scheduling cycle, which places as many tasks of the first array as is permitted.
     return countExaminations(leader, () => leader.tick(1.1));
   };
   const [one, many] = [examinationsWith(1), examinationsWith(12)];
-  assert.ok(many < 1.5 * one + 400, `${many} examinations with twelve waiting, ${one} with one`);
+  assert.ok(
+    many < 1.5 * one + 400,
+    `${many} examinations with twelve waiting arrays, ${one} with one`,
+  );
 });
 
-test("examinations of machines in a heartbeat interval grow at most in proportion to the machines", () => {
+test("the number of machine examinations per heartbeat interval grows at most in proportion to the number of machines", () => {
   const examinationsOf = (machines: number): number => {
-    const leader = leaderWith(machines, { cpuShare: SMALL_SHARE });
+    const leader = leaderWithMachines(machines, { cpuShare: SMALL_CPU_SHARE });
     for (let index = 0; index < 6; index++)
       leader.submit(jobSpec(`w-${index}`, { team: "maps", cpus: 5 }));
     return countExaminations(leader, () => {
@@ -103,20 +113,26 @@
       }
     });
   };
-  const [small, middle, large] = [examinationsOf(720), examinationsOf(1535), examinationsOf(4000)];
+  const [small, medium, large] = [examinationsOf(720), examinationsOf(1535), examinationsOf(4000)];
   assert.ok(small > 0);
-  assert.ok(middle <= (1.2 * small * 1535) / 720, `${middle} at 1,535, ${small} at 720`);
-  assert.ok(large <= (1.2 * small * 4000) / 720, `${large} at 4,000, ${small} at 720`);
+  assert.ok(
+    medium <= (1.2 * small * 1535) / 720,
+    `${medium} examinations with 1,535 machines, ${small} with 720`,
+  );
+  assert.ok(
+    large <= (1.2 * small * 4000) / 720,
+    `${large} examinations with 4,000 machines, ${small} with 720`,
+  );
 });
 
-test("the load line contains processor time, the share of a core, and the rate and time share of each activity", () => {
+test("the load report contains processor time, the share of a core, and the rate and time share of each activity", () => {
   let now = 10;
   let cpuS = 1;
   const load = new NodeLoad({
     now: () => now,
     cpuS: () => cpuS,
     memory: () => ({ heapUsed: 20 * 2 ** 20, rss: 90 * 2 ** 20 }),
-    cpuShare: SMALL_SHARE,
+    cpuShare: SMALL_CPU_SHARE,
     lineIntervalS: 15,
   });
   const measureHeartbeats = (): string =>
@@ -128,18 +144,25 @@
   assert.throws(() =>
     load.measure("cycles", () => {
       now += 1;
-      throw new Error("a fault is counted too");
+      throw new Error("an activity that fails is counted too");
     }),
   );
   assert.equal(load.line(0), null);
   now = 30;
   cpuS = 3;
-  const line = load.line(0.25);
+  const report = load.line(0.25);
   assert.deepEqual(
-    [line?.intervalS, line?.cpu, line?.cpuShare, line?.lagMs, line?.heapMb, line?.residentMb],
-    [20, 0.1, SMALL_SHARE, 250, 20, 90],
+    [
+      report?.intervalS,
+      report?.cpu,
+      report?.cpuShare,
+      report?.lagMs,
+      report?.heapMb,
+      report?.residentMb,
+    ],
+    [20, 0.1, SMALL_CPU_SHARE, 250, 20, 90],
   );
-  assert.deepEqual(line?.activities.heartbeats, { perSecond: 0.05, share: 0.025 });
-  assert.deepEqual(line?.activities.cycles, { perSecond: 0.05, share: 0.05 });
+  assert.deepEqual(report?.activities.heartbeats, { perSecond: 0.05, share: 0.025 });
+  assert.deepEqual(report?.activities.cycles, { perSecond: 0.05, share: 0.05 });
   assert.equal(load.line(0), null, "the counters were reset");
 });
--- a/tests/storm.test.ts
+++ b/tests/storm.test.ts
@@ -1,4 +1,4 @@
-/** A storm of queries by users: everything else is still answered. */
+/** Tests that user queries in excess of a node's query limit do not keep the node from serving other requests. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobReadResult } from "../src/api/outcomes.js";
@@ -21,33 +21,33 @@
   strides: [],
 };
 
-const VIEW: JobView = { id: "run-1", state: "queued", done: 0, running: 0 };
-const FOUND: JobReadResult = { kind: "found", job: VIEW };
+const JOB_VIEW: JobView = { id: "run-1", state: "queued", done: 0, running: 0 };
+const FOUND_JOB: JobReadResult = { kind: "found", job: JOB_VIEW };
 
-/** Its queries are answered only once the storm is over, and then the pending ones by `answerPending`. */
-class StormBackend implements ApiBackend {
-  isStorm = true;
+/** A backend that does not answer queries while `holdsQueries` is true. `answerPending` answers the pending ones. */
+class BlockingQueryBackend implements ApiBackend {
+  holdsQueries = true;
   isSheddingUsers = false;
   submissions = 0;
-  private readonly pending: ((result: JobReadResult) => void)[] = [];
+  private readonly pendingQueries: ((result: JobReadResult) => void)[] = [];
 
   answerPending(): void {
-    for (const answer of this.pending.splice(0)) answer(FOUND);
+    for (const answer of this.pendingQueries.splice(0)) answer(FOUND_JOB);
   }
 
   isHealthy = () => true;
   shedsUsers = () => this.isSheddingUsers;
   readJob = () =>
-    this.isStorm
-      ? new Promise<JobReadResult>((resolve) => this.pending.push(resolve))
-      : Promise.resolve(FOUND);
+    this.holdsQueries
+      ? new Promise<JobReadResult>((resolve) => this.pendingQueries.push(resolve))
+      : Promise.resolve(FOUND_JOB);
   checkFeasibility = () => ({ kind: "feasible" as const });
   submit = async () => {
     this.submissions++;
     return { kind: "ok" as const };
   };
   cancel = async () => ({ kind: "ok" as const });
-  waitForEnd = async () => ({ ...VIEW, state: "cancelled" as const });
+  waitForEnd = async () => ({ ...JOB_VIEW, state: "cancelled" as const });
   handleHeartbeat = () => ({ kind: "answer" as const, fencingToken: 1, commands: [] });
   redirectTarget = () => null;
 }
@@ -64,36 +64,39 @@
     onFault: (error) => assert.fail(error),
   });
 
-test("a storm of queries is refused with staggered retries; submissions, cancellations and heartbeats are not", async () => {
-  const backend = new StormBackend();
-  const app = startServer(backend);
-  const query = () => app.inject({ method: "GET", url: "/api/jobs/run-1" });
+test("excess queries are rejected with staggered retry times, while submissions, cancellations and heartbeats are accepted", async () => {
+  const backend = new BlockingQueryBackend();
+  const server = startServer(backend);
+  const query = () => server.inject({ method: "GET", url: "/api/jobs/run-1" });
   const queries = Array.from({ length: 400 }, query);
   const headers = { "content-type": "application/msgpack" };
   const post = (url: string, body: unknown) =>
-    app.inject({ method: "POST", url, headers, payload: encode(body) });
+    server.inject({ method: "POST", url, headers, payload: encode(body) });
   const submissions = await Promise.all(
     Array.from({ length: 8 }, (_, index) => post("/api/jobs", jobBody({ id: `run-${index}` }))),
   );
   assert.deepEqual([...new Set(submissions.map((response) => response.statusCode))], [201]);
   assert.equal(backend.submissions, 8);
   assert.equal((await post("/checkin", HEARTBEAT)).statusCode, 200);
-  assert.equal((await app.inject({ method: "GET", url: "/healthz" })).statusCode, 200);
-  backend.isStorm = false;
+  assert.equal((await server.inject({ method: "GET", url: "/healthz" })).statusCode, 200);
+  backend.holdsQueries = false;
   assert.equal((await post("/api/jobs/run-1/withdraw", {})).statusCode, 200);
   backend.answerPending();
   const answers = await Promise.all(queries);
-  const refused = answers.filter((response) => response.statusCode === 429);
+  const rejected = answers.filter((response) => response.statusCode === 429);
   assert.equal(answers.filter((response) => response.statusCode === 200).length, 8);
-  assert.equal(refused.length, 392);
-  // The retries are spread over several seconds.
-  const retryAfterS = refused.map((response) => Number(response.headers["retry-after"]));
+  assert.equal(rejected.length, 392);
+  // The retry times are spread over several seconds.
+  const retryAfterS = rejected.map((response) => Number(response.headers["retry-after"]));
   for (const seconds of [1, 2, 3]) {
-    assert.ok(retryAfterS.filter((value) => value === seconds).length > 100, `${seconds} s`);
+    assert.ok(
+      retryAfterS.filter((value) => value === seconds).length > 100,
+      `more than 100 retry times of ${seconds} s`,
+    );
   }
-  // A leader that sheds users to other nodes still answers, and closes the connection with the answer.
+  // A leader that leaves users to other nodes still answers them, and closes the connection with the answer.
   backend.isSheddingUsers = true;
-  const last = await post("/api/jobs", jobBody({ id: "run-9" }));
-  assert.deepEqual([last.statusCode, last.headers.connection], [201, "close"]);
-  await app.close();
+  const lastResponse = await post("/api/jobs", jobBody({ id: "run-9" }));
+  assert.deepEqual([lastResponse.statusCode, lastResponse.headers.connection], [201, "close"]);
+  await server.close();
 });
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -1,6 +1,6 @@
 /**
- * Compatibility of stored state with the version in production. `traces/production.json` holds values that a leader of
- * that version stored; the schemas below are all that it reads and writes.
+ * Tests the compatibility of stored state with the version in production. `traces/production.json` holds values that
+ * a leader of that version stored. The schemas below contain all fields that it reads and writes.
  */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
@@ -13,8 +13,9 @@
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { TestLeader } from "./support/test-leader.js";
 
-const file = new URL("../../../tests/traces/production.json", import.meta.url);
-const trace = (): KeyValueItem[] => JSON.parse(readFileSync(file, "utf8")) as KeyValueItem[];
+const traceFile = new URL("../../../tests/traces/production.json", import.meta.url);
+const productionItems = (): KeyValueItem[] =>
+  JSON.parse(readFileSync(traceFile, "utf8")) as KeyValueItem[];
 
 const storedPlacements = z.array(z.tuple([z.number(), z.number(), z.array(z.string())]));
 const storedShard = { v: z.number(), n: z.number(), done: z.string(), pl: storedPlacements };
@@ -25,8 +26,8 @@
   o: z.number(),
   c: z.number().optional(),
 };
-/** Schemas of the version in production by key prefix: unknown fields are faults. */
-const PRODUCTION: Record<string, z.ZodType> = {
+/** Schemas of the values that the version in production stores, by key prefix. Unknown fields are errors. */
+const PRODUCTION_SCHEMAS: Record<string, z.ZodType> = {
   p: z.strictObject({ ...storedJob, j: z.record(z.string(), z.unknown()) }),
   q: z.strictObject(storedShard),
   d: z.strictObject({ s: z.enum(["done", "cancelled"]), n: z.number() }),
@@ -40,8 +41,8 @@
     at: z.number(),
   }),
 };
-const shapeOf = (key: string) => PRODUCTION[key.split("/")[0]!]!;
-const specKeys = (items: readonly KeyValueItem[]) =>
+const schemaOf = (key: string) => PRODUCTION_SCHEMAS[key.split("/")[0]!]!;
+const specFields = (items: readonly KeyValueItem[]) =>
   new Set(
     items.flatMap((item) =>
       item.key.startsWith("p/") ? Object.keys((item.value as { j: JobSpec }).j) : [],
@@ -54,22 +55,25 @@
   return new TestLeader({ replica, epoch: 2, state });
 }
 
-test("the values that production stored match the schemas that this version's values are checked against", () => {
-  const kinds = new Set<string>();
-  for (const item of trace()) {
-    kinds.add(item.key.split("/")[0]!);
-    assert.doesNotThrow(() => shapeOf(item.key).parse(item.value), item.key);
+test("values stored by the version in production match the schemas that the tests of this version's values use", () => {
+  const prefixes = new Set<string>();
+  for (const item of productionItems()) {
+    prefixes.add(item.key.split("/")[0]!);
+    assert.doesNotThrow(() => schemaOf(item.key).parse(item.value), item.key);
   }
-  assert.deepEqual([...kinds].sort(), Object.keys(PRODUCTION).sort());
+  assert.deepEqual([...prefixes].sort(), Object.keys(PRODUCTION_SCHEMAS).sort());
 });
 
-test("a leader of this version loads production's stored state, under the present and the next limits of the state service", () => {
+test("a leader of this version loads the state stored in production, under the current and the next limits of the state service", () => {
   for (const state of [{}, { next: { value_kb: 2, txn_ops: 8 } }]) {
-    const leader = takeOver(trace(), state);
+    const leader = takeOver(productionItems(), state);
     leader.tick();
     const { jobs } = leader.scheduler.cluster;
-    const placed = (id: string) => jobs.get(id)?.placements.size;
-    assert.deepEqual(["web", "gang", "list", "large", "waiting"].map(placed), [2, 2, 6, 659, 0]);
+    const placementCountOf = (id: string) => jobs.get(id)?.placements.size;
+    assert.deepEqual(
+      ["web", "gang", "list", "large", "waiting"].map(placementCountOf),
+      [2, 2, 6, 659, 0],
+    );
     assert.equal(jobs.get("gang")!.isCancelled, true);
     assert.deepEqual(
       ["web", "gang", "list", "over", "nobody"].map((id) => leader.replica.view(id)?.state),
@@ -78,10 +82,10 @@
   }
 });
 
-test("this version stores only fields that production knows, until a job depends on another", () => {
-  const leader = takeOver(trace());
+test("this version stores only fields that the version in production knows, as long as no job depends on another", () => {
+  const leader = takeOver(productionItems());
   leader.epoch = 2;
-  const known = specKeys(trace());
+  const productionFields = specFields(productionItems());
   const machines = [...leader.scheduler.cluster.machines.values()].map((machine) => machine.name);
   leader.submit(jobSpec("new", { team: "maps", tasks: 3 }));
   for (const machine of machines) {
@@ -94,31 +98,36 @@
     );
   }
   for (let step = 0; step < 6; step++) leader.tick();
-  const items = (): KeyValueItem[] => {
-    const stored = new Map<string, KeyValueItem | null>(trace().map((item) => [item.key, item]));
+  const storedItems = (): KeyValueItem[] => {
+    const stored = new Map<string, KeyValueItem | null>(
+      productionItems().map((item) => [item.key, item]),
+    );
     for (const [key, item] of leader.writtenItems) stored.set(key, item);
     return [...stored.values()].filter(
       (item) => item !== null && /^[pqdg]\//.test(item.key),
     ) as KeyValueItem[];
   };
   const { placements } = leader.replica.activeJobs.get("new")!.value;
-  assert.ok(placements.length > 0, "placements were stored");
-  for (const item of items()) shapeOf(item.key).parse(JSON.parse(JSON.stringify(item.value)));
-  assert.deepEqual(specKeys(items()), known);
-  // Residuals too are those that production stores for a job without dependencies.
+  assert.ok(placements.length > 0, "placements are stored");
+  for (const item of storedItems())
+    schemaOf(item.key).parse(JSON.parse(JSON.stringify(item.value)));
+  assert.deepEqual(specFields(storedItems()), productionFields);
+  // The residuals of a job without dependencies are also equal to those that the version in production stores.
   const residualsOf = (id: string) =>
     leader.replica.activeJobs.get(id)!.value.residuals.join().replaceAll(id, "JOB");
-  const waiting = trace().find((item) => item.key === "p/waiting")!.value as { r: string[] };
+  const waiting = productionItems().find((item) => item.key === "p/waiting")!.value as {
+    r: string[];
+  };
   leader.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
   assert.equal(residualsOf("other"), waiting.r.join().replaceAll("waiting", "JOB"));
   leader.submit(jobSpec("follower", { after: ["other"] }));
   assert.deepEqual(
-    [...specKeys(items())].filter((key) => !known.has(key)),
+    [...specFields(storedItems())].filter((key) => !productionFields.has(key)),
     ["after"],
   );
 });
 
-test("peer heartbeats are the bytes that production sends and reads", () => {
+test("peer heartbeats have the encoding that the version in production sends and reads", () => {
   const heartbeat = { reachesStateService: true, holdsLeadership: true, epoch: 258, zoneIndex: 1 };
   const recorded = "5001000a0300000000000001" + "02" + "01";
   assert.equal(encodePeerHeartbeat(heartbeat).toString("hex"), recorded);
