--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -1,7 +1,7 @@
 /** Tests that a leader keeps its leadership when the state service answers the renewals of its lease late. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { setImmediate as nextEventLoopTurn } from "node:timers/promises";
+import { setImmediate as nextTurn } from "node:timers/promises";
 import { pino } from "pino";
 import type { Change } from "../src/core/state/key-value.js";
 import { StateReplica } from "../src/core/state/state-replica.js";
@@ -63,17 +63,17 @@
 test("lease renewals are sent four times per lease, even if unanswered, and each answer counts from the time of its renewal", async (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const candidate = new TestCandidate();
-  await nextEventLoopTurn();
+  await nextTurn();
   assert.notEqual(candidate.leadership.current, null);
   for (let renewal = 0; renewal < 8; renewal++) {
     candidate.now += RENEWAL_INTERVAL_S;
     context.mock.timers.tick(1000 * RENEWAL_INTERVAL_S);
-    await nextEventLoopTurn();
+    await nextTurn();
   }
   assert.deepEqual(candidate.renewalsSentAt, [101, 102, 103, 104, 105, 106, 107, 108]);
   const answerRenewal = async (renewal: number, result: LeaseRenewal): Promise<void> => {
     candidate.pendingRenewals[renewal]!(result);
-    await nextEventLoopTurn();
+    await nextTurn();
   };
   // An answer extends the term from the time at which its renewal was sent. The answer to an older renewal does not
   // shorten the term.
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -75,7 +75,7 @@
 
 const awaitRunningTasks = (cluster: MultiProcessCluster, id: string, tasks: number) =>
   waitForProcesses(
-    `${id} runs ${tasks} tasks`,
+    `${id} runs all its tasks`,
     () => cluster.ruleChecker.runningTaskCount(id) === tasks,
   );
 
