--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -14,7 +14,7 @@
 import { TestLeader } from "./support/test-leader.js";
 
 const traceFile = new URL("../../../tests/traces/production.json", import.meta.url);
-const recordedItems = (): KeyValueItem[] =>
+const traceItems = (): KeyValueItem[] =>
   JSON.parse(readFileSync(traceFile, "utf8")) as KeyValueItem[];
 
 const storedPlacements = z.array(z.tuple([z.number(), z.number(), z.array(z.string())]));
@@ -57,7 +57,7 @@
 
 test("values stored by the version in production match the schemas that the tests of this version's values use", () => {
   const prefixes = new Set<string>();
-  for (const item of recordedItems()) {
+  for (const item of traceItems()) {
     prefixes.add(item.key.split("/")[0]!);
     assert.doesNotThrow(() => schemaOf(item.key).parse(item.value), item.key);
   }
@@ -66,7 +66,7 @@
 
 test("a leader of this version loads the state stored in production, under the current and the next limits of the state service", () => {
   for (const state of [{}, { next: { value_kb: 2, txn_ops: 8 } }]) {
-    const leader = takeOver(recordedItems(), state);
+    const leader = takeOver(traceItems(), state);
     leader.tick();
     const { jobs } = leader.scheduler.cluster;
     const placementCountOf = (id: string) => jobs.get(id)?.placements.size;
@@ -83,9 +83,9 @@
 });
 
 test("this version stores only fields that the version in production knows, as long as no job depends on another", () => {
-  const leader = takeOver(recordedItems());
+  const leader = takeOver(traceItems());
   leader.epoch = 2;
-  const productionFields = specFields(recordedItems());
+  const productionFields = specFields(traceItems());
   const machines = [...leader.scheduler.cluster.machines.values()].map((machine) => machine.name);
   leader.submit(jobSpec("new", { team: "maps", tasks: 3 }));
   for (const machine of machines) {
@@ -100,7 +100,7 @@
   for (let step = 0; step < 6; step++) leader.tick();
   const storedItems = (): KeyValueItem[] => {
     const stored = new Map<string, KeyValueItem | null>(
-      recordedItems().map((item) => [item.key, item]),
+      traceItems().map((item) => [item.key, item]),
     );
     for (const [key, item] of leader.writtenItems) stored.set(key, item);
     return [...stored.values()].filter(
@@ -115,9 +115,7 @@
   // The residuals of a job without dependencies are also equal to those that the version in production stores.
   const residualsOf = (id: string) =>
     leader.replica.activeJobs.get(id)!.value.residuals.join().replaceAll(id, "JOB");
-  const waiting = recordedItems().find((item) => item.key === "p/waiting")!.value as {
-    r: string[];
-  };
+  const waiting = traceItems().find((item) => item.key === "p/waiting")!.value as { r: string[] };
   leader.submit(jobSpec("other", { types: ["big"], cpus: 4 }));
   assert.equal(residualsOf("other"), waiting.r.join().replaceAll("waiting", "JOB"));
   leader.submit(jobSpec("follower", { after: ["other"] }));
