--- a/tests/joined-faults.test.ts
+++ b/tests/joined-faults.test.ts
@@ -214,7 +214,7 @@
 );
 
 clusterTest(
-  "7: after all controllers were stopped for longer than a lease, tasks start again and none runs twice",
+  "7: when all controllers have been stopped for longer than a lease, tasks start again and none runs twice",
   { taskS: 4 },
   async (cluster) => {
     await cluster.submitAndAwaitRunning("job");
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -210,7 +210,8 @@
   },
 );
 
-// Without this limit, all workers connect to the new leader at once.
+// Without this limit, all workers connect to the new leader at once, and their leases expire before it has answered
+// them.
 test(
   "during a new leader's grace period, other nodes redirect a limited number of workers per second and answer the rest",
   TIMEOUT,
