--- a/tests/overload.ts
+++ b/tests/overload.ts
@@ -1,13 +1,13 @@
-/** The program behind `npm run overload`: plays the overload, prints what was measured, and checks it. */
+/** The program of `npm run overload`: runs the overload workload, prints the measurements, and checks them. */
 import { Command } from "commander";
 import { playOverload } from "./support/overload/overload-run.js";
 import { assertFair } from "./support/overload/report.js";
 
 const { seconds } = new Command("overload")
   .description(
-    "three controllers under five times their capacity, with troubles; figures of stand-ins on loopback",
+    "run three controllers under a load of five times the capacity, with faults; stand-ins on loopback",
   )
-  .option("--seconds <n>", "how long", Number, 600)
+  .option("--seconds <n>", "duration of the run", Number, 600)
   .parse()
   .opts<{ seconds: number }>();
 const report = await playOverload(seconds);
--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -1,6 +1,6 @@
 /**
- * The program behind `npm run profile`: three controllers as processes of their own, stand-in workers, and users who
- * submit and query; prints where each controller's processor time goes. Figures of stand-ins on loopback.
+ * The program of `npm run profile`: runs three controller processes with stand-in workers and with users who submit
+ * and query jobs, and prints the CPU time of each controller. The measurements are made with stand-ins on loopback.
  */
 import { existsSync, mkdtempSync, readFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -14,7 +14,7 @@
 import { ProfileLoad, type ProfileLoadOptions } from "./support/profile-load.js";
 import { waitForProcesses } from "./support/waiting.js";
 
-/** The program in many files, so that each sample names its module. */
+/** The unbundled program: one file per module, so that each sample contains the name of its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
 const HOOK = new URL("./support/profile-hook.js", import.meta.url).href;
 const NODES = [0, 1, 2];
@@ -30,7 +30,7 @@
   readonly fromStart: boolean;
 }
 
-/** Controllers that each write their profile to a file of their own. */
+/** Opens a cluster in which each controller writes its profile to its own file. */
 function openCluster(options: Options, files: readonly string[]): Promise<MultiProcessCluster> {
   const flags = options.flags.split(" ").filter((flag) => flag !== "");
   return MultiProcessCluster.open({
@@ -52,19 +52,19 @@
   await waitForProcesses("leadership is acquired", () => cluster.leaderIndex() >= 0);
 }
 
-/** Begins the measurement of each controller, or ends it. */
+/** Starts the measurement in each controller, or ends it if it has started. */
 function signalAll(cluster: MultiProcessCluster): void {
   for (const node of NODES) cluster.signalNode(node, "SIGUSR2");
 }
 
-/** Heartbeats that the stand-in workers have sent. */
+/** Number of heartbeats that the stand-in workers have sent so far. */
 function heartbeatCount(cluster: MultiProcessCluster): number {
   let count = 0;
   for (const { sentHeartbeats } of cluster.cloud.workers.values()) count += sentHeartbeats.length;
   return count;
 }
 
-/** A profile; null while it is not written, or not whole. */
+/** Reads a profile; null if the file is missing or incomplete. */
 function readProfile(file: string): ProcessProfile | null {
   if (!existsSync(file)) return null;
   try {
@@ -101,11 +101,11 @@
     const profiles = await readProfiles(files);
     load.stop();
     const isSameLeader = cluster.leaderIndex() === leader;
-    const leaders = isSameLeader ? "one leader" : "the leader changed: figures not comparable";
+    const leaders = isSameLeader ? "one leader" : "the leader changed: results not comparable";
     const descriptions = profiles.map((profile, node) =>
       describeProfile(`n${node}${node === leader ? " (leader)" : ""}`, profile),
     );
-    const summary = `${heartbeatsPerS.toFixed(0)} heartbeats a second, ${leaders}`;
+    const summary = `${heartbeatsPerS.toFixed(0)} heartbeats per second, ${leaders}`;
     return [summary, ...descriptions].join("\n\n");
   } finally {
     cluster.close();
@@ -113,16 +113,16 @@
 }
 
 const chosen = new Command("profile")
-  .description("where the processor time of three controllers goes; figures of stand-ins")
-  .option("--machines <n>", "stand-in workers", Number, 720)
-  .option("--seconds <n>", "how long is measured", Number, 20)
-  .option("--warm-up <n>", "seconds before that", Number, 25)
-  .option("--task-seconds <n>", "run time of a task", Number, 40)
-  .option("--program <file>", "main.js of another build, to compare with", PROGRAM)
-  .option("--flags <flags>", "of Node.js, separated by spaces", "")
-  .option("--from-start", "measure from the start of the processes, with no warm-up", false)
-  .option("--total", "without samples, which cost processor time themselves", false)
-  .option("--questions <n>", "users' questions a second", Number, 20)
+  .description("measure the CPU time of three controllers with stand-ins")
+  .option("--machines <n>", "number of stand-in workers", Number, 720)
+  .option("--seconds <n>", "duration of the measurement", Number, 20)
+  .option("--warm-up <n>", "seconds before the measurement", Number, 25)
+  .option("--task-seconds <n>", "run time of a task, in seconds", Number, 40)
+  .option("--program <file>", "main.js of another build, for a comparison", PROGRAM)
+  .option("--flags <flags>", "flags of Node.js, separated by spaces", "")
+  .option("--from-start", "measure from the start of the processes, without a warm-up", false)
+  .option("--total", "measure the total CPU time only: sampling costs CPU time itself", false)
+  .option("--questions <n>", "queries of users per second", Number, 20)
   .parse()
   .opts<Options>();
 process.stdout.write(`${await measure(chosen)}\n`);
--- a/tests/support/cloud-stand-in.ts
+++ b/tests/support/cloud-stand-in.ts
@@ -1,4 +1,4 @@
-/** A cloud whose machines are workers in this process. */
+/** A stand-in for the cloud provider, whose machines are worker stand-ins in this process. */
 import type { ListedMachine, MachineType } from "../../src/core/model/machines.js";
 import { decodeRelease, encodeCatalog, encodeMachineList } from "../../src/wire/counterpart.js";
 import { PATH } from "../../src/wire/names.js";
@@ -18,10 +18,12 @@
   zones: ["a", "b"],
 };
 
-/** Lists and releases the workers that a test gave it; it provisions none. */
+/**
+ * Lists and releases the workers that a test adds. It provisions none: each such request is answered "no capacity".
+ */
 export class CloudStandIn {
   readonly workers = new Map<string, WorkerStandIn>();
-  /** Requests for the machine types are refused. */
+  /** Whether requests for the machine type catalog are answered with 503. */
   isCatalogUnavailable = false;
   private readonly server = new StandInServer((...request) => this.handle(...request));
 
@@ -33,7 +35,7 @@
     return this.server.start();
   }
 
-  /** Ends the workers with it. */
+  /** Also stops the workers. */
   stop(): void {
     for (const worker of this.workers.values()) worker.stop();
     this.server.stop();
--- a/tests/support/controller-process.ts
+++ b/tests/support/controller-process.ts
@@ -1,17 +1,20 @@
-/** A controller as a process of its own. */
+/** Starts a controller in a separate process. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { createInterface } from "node:readline";
 
-/** What is started, and with what. */
+/** Command line, environment and log handler of a controller process. */
 export interface ControllerProcessOptions {
-  /** Of Node.js: the program and its arguments among them. */
+  /** Arguments of Node.js, which include the program and the program's own arguments. */
   readonly arguments: readonly string[];
   readonly environment: Readonly<Record<string, string>>;
-  /** Told of each line that the process logs; none are logged otherwise. */
+  /** Called for each line that the process logs. Without it, the process logs errors only. */
   readonly onLogLine?: (line: Record<string, unknown>) => void;
 }
 
-/** With `SITE_LOG` set to a level, what no test reads of the log goes to the test's own output. */
+/**
+ * Starts the process. The environment variable `SITE_LOG` sets its log level; if it is set and no handler is given,
+ * the log is written to the standard error of the test.
+ */
 export function startControllerProcess({
   arguments: args,
   environment,
@@ -25,7 +28,7 @@
   });
   if (onLogLine !== undefined && child.stderr !== null) {
     createInterface({ input: child.stderr }).on("line", (text) => {
-      // What a process was writing when it was killed is no whole line.
+      // The last line is incomplete if the process was killed while it was writing.
       if (text.startsWith("{") && text.endsWith("}")) onLogLine(JSON.parse(text));
     });
   }
--- a/tests/support/controllers.ts
+++ b/tests/support/controllers.ts
@@ -1,4 +1,4 @@
-/** Controllers of a test: their settings, and how they are made ready to start. */
+/** Builds the settings of controllers, and creates and starts controllers in the test process. */
 import { type Logger, pino } from "pino";
 import { decodeOperatorSettings } from "../../src/config/operator.js";
 import { Controller } from "../../src/node/controller.js";
@@ -14,26 +14,26 @@
 export interface ControllerNode {
   readonly member: string;
   readonly zone: string;
-  /** Where users and workers reach it. */
+  /** Address on which the controller serves users and workers. */
   readonly address: string;
-  /** Where the other controllers reach it. */
+  /** Address on which the controller accepts connections of the other controllers. */
   readonly peerAddress: string;
 }
 
-/** What the settings of one controller are made of. */
+/** The input for the settings of one controller. */
 export interface ControllerSettings {
   readonly node: ControllerNode;
   readonly peers: readonly ControllerNode[];
-  /** Addresses of the services. */
+  /** Addresses of the cloud provider and of the state service. */
   readonly services: { readonly cloud: string; readonly state: string };
-  /** Replaces whole fields of the settings that all controllers share. */
+  /** Top-level fields that replace those of the settings that all controllers share. */
   readonly shared: Readonly<Record<string, unknown>>;
 }
 
-/** The state service's limits for tests that don't wait for its rates. */
+/** Limits of the state service that are high enough not to slow a test down. */
 export const FAST_STATE_SERVICE = { rps: 1000, write_rps: 500, value_kb: 8, txn_ops: 32 };
 
-/** The text of a controller's settings. */
+/** Returns the text of a controller's settings file. */
 export const controllerSettingsText = ({
   node,
   peers,
@@ -55,8 +55,8 @@
   });
 
 /**
- * A controller that is not started yet.
- * @throws InvalidTestSettingsError if it would refuse its settings or the operators' (INI).
+ * Returns a controller that is not started yet.
+ * @throws InvalidTestSettingsError if the settings or the operators' settings (INI) are invalid.
  */
 export function createController(
   settings: string,
@@ -68,7 +68,7 @@
   return new Controller(readSettings(settings), operator, logger);
 }
 
-/** Starts it, and returns once it serves users. */
+/** Starts the controller and returns once it is healthy, which means that it serves users. */
 export async function startController(controller: Controller): Promise<void> {
   await controller.start();
   await waitUntil("the controller is healthy", () => controller.isHealthy());
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -1,6 +1,6 @@
 /**
- * What this code sends and answers, as bytes on real connections: to the state service, the cloud, workers and users. For
- * `golden-forms.test.ts`.
+ * Records the requests and responses of this code, as bytes on TCP connections, in exchanges with the state service,
+ * the cloud, workers and users. `golden-forms.test.ts` compares them with the kept examples.
  */
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -17,7 +17,7 @@
 import { WorkerClient } from "../../src/workers/client.js";
 import { catalog, checkin, machineList, reportForm, submissions } from "./golden-messages.js";
 
-/** Bytes beside a form that people read. */
+/** Returns the bytes of a message in hexadecimal, with the decoded message for human readers. */
 export const message = (bytes: Buffer): unknown => ({
   message: bytes.length === 0 ? null : decode(bytes),
   bytes: bytes.toString("hex"),
@@ -25,7 +25,10 @@
 
 type Answer = readonly [status: number, body: unknown];
 
-/** What a client asks of another program that answers so, in this order, and what it makes of the answers. */
+/**
+ * Records the requests that a client sends to a server, and the results that the client returns. The server sends the
+ * given answers in order.
+ */
 async function asked(
   answers: readonly Answer[],
   ask: (address: string) => Promise<readonly unknown[]>,
@@ -67,7 +70,7 @@
   ];
   await store.revokeLease(7);
   store.close();
-  if (all.kind !== "ok") throw new Error("the full read failed");
+  if (all.kind !== "ok") throw new Error("the full read of the state service failed");
   return [
     transactions.map(txnForm),
     [all.items.map((i) => [i.key, i.value, i.modRevision]), all.revision],
@@ -99,7 +102,7 @@
   [200, {}],
 ];
 
-/** Results as the kept examples name them. */
+/** Results of scale-out requests under their names in the kept examples. */
 const KEPT_RESULTS = { "no capacity": "no capacity", failed: "trouble" } as const;
 
 async function askCloud(address: string): Promise<unknown[]> {
@@ -169,7 +172,7 @@
   share: { kind: "rejected", retryAfterS: 9 },
   running: { kind: "known" },
 };
-/** A controller that says of each id what its name tells, and to each report what its token tells. */
+/** An API backend whose answer depends on the job id, and for heartbeats on the fencing token. */
 const backend: ApiBackend = {
   isHealthy: () => true,
   shedsUsers: () => false,
@@ -215,7 +218,7 @@
   ["POST /checkin", { ...checkin, mount: "" }],
 ];
 
-/** Each request to the server for users and workers, with its answer. */
+/** Sends each request to the API server for users and workers, and records its response. */
 async function answered(): Promise<unknown[]> {
   const limit = () => new AdaptiveConcurrencyLimit(8, 8, 1);
   const app = buildServer(backend, {
@@ -248,7 +251,7 @@
 }
 const form = (bytes: Buffer): object => message(bytes) as object;
 
-/** Peer messages and reports as this code writes them. */
+/** Encodes peer heartbeats and a worker heartbeat. */
 function written(): unknown {
   const beat = {
     reachesStateService: false,
@@ -263,6 +266,7 @@
   };
 }
 
+/** Records all exchanges, by the names that they have in the kept examples. */
 export async function exchanges(): Promise<Record<string, unknown>> {
   return {
     "state service": await asked(stateAnswers, askState),
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -1,6 +1,7 @@
 /**
- * Messages and settings of other programs, with what this code reads in them, for `golden-forms.test.ts`. Bodies are
- * those of the protocols: nothing in them is renamed with the source. What is read is copied to keys of its own.
+ * Example messages and settings of other programs, and functions that decode them, for `golden-forms.test.ts`. The
+ * bodies use the field names of the protocols, which stay when the source is renamed. Decoded values are copied to
+ * objects whose keys are those of the kept examples, so that these keys do not follow a renaming either.
  */
 import { decodeOperatorSettings, type OperatorSettings } from "../../src/config/operator.js";
 import type { JobSpec } from "../../src/core/model/jobs.js";
@@ -27,25 +28,25 @@
 
 type Bodies = Readonly<Record<string, unknown>>;
 
-/** Bodies of one kind, by names for people, and what is read in one; null: it is malformed. */
+/** Bodies of one kind, by descriptive names. `read` decodes a body, and returns null for a malformed one. */
 export interface ReadForm {
   readonly bodies: Bodies;
   readonly read: (body: unknown) => unknown;
 }
 
-/** What is read of something, or null where there is nothing. */
+/** Applies a function to a value, and returns null for null. */
 const orNull =
   <T>(form: (value: T) => unknown) =>
   (value: T | null): unknown =>
     value === null ? null : form(value);
 
-/** The body and copies of it, each with some fields changed. */
+/** Returns the body (`whole`) and named copies of it, each with some fields changed. */
 const variants = (whole: Record<string, unknown>, changes: Record<string, object>): Bodies => ({
   whole: whole,
   ...Object.fromEntries(Object.entries(changes).map(([name, c]) => [name, { ...whole, ...c }])),
 });
 
-/** The kept examples name two states as the source did when they were made. */
+/** Names of task states in the kept examples, which keep two names that the source has since changed. */
 const KEPT_STATE: Record<TaskState, string> = {
   "pulling image": "fetching",
   waiting: "waiting",
@@ -54,6 +55,7 @@
   exited: "exited",
 };
 
+/** A decoded heartbeat under the keys of the kept examples. */
 export const reportForm = (r: WorkerHeartbeat): unknown => ({
   machine: r.machine,
   address: r.address,
@@ -81,6 +83,7 @@
   ...change,
 });
 const causes = "done halted mates_gone alone error no_room in_use no_such unheard".split(" ");
+/** The body of a heartbeat with a task in each state, with each exit cause, and with an unknown exit cause. */
 export const checkin: Record<string, unknown> = {
   mount: "m-1",
   address: "10.0.0.1:9000",
@@ -147,6 +150,7 @@
   after: j.after ?? null,
 });
 const full = { cards: 1, breeds: ["small", "big"], paddock: "a", dueS: 90, follows: ["a", "a"] };
+/** Bodies of submissions, valid and malformed. */
 export const submissions = variants(jobBody(), {
   full: { ...full, gait: "ensemble", rank: "production", together: true, restS: 5, unsaddleS: 2 },
   "replicas, high": { gait: "service", rank: "high", apart: true, loaners: false },
@@ -173,6 +177,7 @@
 });
 const breed = { sku: "s", cpus: 4, memoryGb: 32, hourly: 0.2, readyS: 15, paddocks: ["a", "b"] };
 const bigBreed = { sku: "b", cards: 4, localGb: 40, fetchGbPerS: 0.5, spotPrice: 0.1 };
+/** The body of a catalog of machine types. */
 export const catalog = { breeds: [breed, { ...breed, ...bigBreed }] };
 
 const listedForm = (m: ListedMachine): unknown => ({
@@ -187,6 +192,7 @@
 const listed = { nameId: "m-1", address: "h:1", breed: "s", paddock: "a", loaners: true, ageS: 9 };
 const machine = (stance: string, change = {}): unknown => ({ ...listed, stance, ...change });
 const states = [machine("booting", { address: null }), machine("running"), machine("failed")];
+/** The body of a machine list. */
 export const machineList = { mounts: states, more: true };
 
 const items = [{ k: "p/run-1", data: { v: 1 }, mark: 9 }];
@@ -225,7 +231,7 @@
   const r = decodeSettings(String(text));
   return "settings" in r ? { settings: settingsForm(r.settings) } : { faults: r.faults };
 };
-/** The settings with some of the inner ones changed, section by section. */
+/** Returns the settings with some fields of the shared part changed, merged section by section. */
 const innerChange = (changes: Record<string, unknown>): string => {
   const { settings } = JSON.parse(settingsText()) as { settings: Record<string, unknown> };
   const changed = Object.entries(changes).map(([name, c]) =>
@@ -309,6 +315,7 @@
 };
 const beat = "5001000a03000000000000010201";
 
+/** Examples of all kinds, by the names that the kinds have in the kept examples. */
 export const READ: Readonly<Record<string, ReadForm>> = {
   reports: { bodies: reports, read: (b) => orNull(reportForm)(decodeWorkerHeartbeat(b)) },
   commands: {
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that is stored, as the code itself writes it: transactions in their order, and the values that stand
- * in the middle of the scenario and at its end. For `golden-forms.test.ts`.
+ * Records every kind of value that this code stores: the transactions in order, and all stored values in the middle
+ * and at the end of a scenario. `golden-forms.test.ts` compares them with the kept examples.
  */
 import { mock } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
@@ -54,7 +54,7 @@
 const transaction = (conditions: readonly Precondition[], changes: readonly Change[]): unknown =>
   message(encode(encodeTransaction(conditions, changes)));
 
-/** A leader that keeps what it wrote. */
+/** A leader that records its transactions. */
 class RecordingLeader extends TestLeader {
   readonly transactions: unknown[] = [];
   override commitWrite(w: LeaderTransaction): void {
@@ -63,7 +63,7 @@
   }
 }
 
-/** Every value that stands in the state service. */
+/** Returns all values of a replica as the state service holds them. */
 function stored(records: StateReplica): unknown[] {
   const out: KeyValueItem[] = [];
   const add = (key: string, value: unknown, mark: number) =>
@@ -86,7 +86,7 @@
   }));
 }
 
-/** Jobs of each kind, small and in parts; ends, cancellations and jobs that follow others. */
+/** Runs jobs of each kind, small and sharded, with completions, failures, cancellations and dependent jobs. */
 function scenario(): Record<string, unknown> {
   const h = new RecordingLeader({ state: { value_kb: 2 } });
   const names = ["m1a", "m2b", "m3a", "m4b", "m5a", "m6b"];
@@ -113,7 +113,9 @@
   return { transactions: h.transactions, middle: middle, end: stored(h.replica) };
 }
 
-/** The state service as one node sees it that is always there. */
+/**
+ * A client of a state service that accepts every request; it records the transactions and applies them to a replica.
+ */
 class RecordingStore extends KeyValueClient {
   readonly transactions: unknown[] = [];
   private revision = 10;
@@ -151,7 +153,10 @@
   }
 }
 
-/** A term that is taken and raised, the machine types, a submission and a cancellation. */
+/**
+ * Records the transactions of a node that acquires leadership and raises its fencing token, stores the machine types,
+ * and handles two submissions and a cancellation.
+ */
 async function nodes(): Promise<unknown[]> {
   const records = new StateReplica();
   records.reset([], 0);
@@ -205,7 +210,7 @@
   records: StateReplica,
 ): Promise<void> {
   const decoded = decodeSettings(settingsText());
-  if (!("settings" in decoded)) throw new Error("test settings");
+  if (!("settings" in decoded)) throw new Error("the settings of the test are invalid");
   const cloud = new KnownCloud("127.0.0.1:1", 1);
   const { cluster } = decoded.settings;
   const types = new MachineTypeCatalog({
@@ -235,7 +240,7 @@
   periods: ["night"],
 };
 
-/** A window, the ledger that a batch of submissions charges, and a record of rejections. */
+/** Encodes an admission window, the ledger that a batch of submissions charges, and a record of rejections. */
 function admission(): unknown {
   const replica = new AdmissionReplica();
   const window = encodeWindow(WINDOW);
@@ -262,7 +267,7 @@
   };
 }
 
-/** What is read of admission's values. */
+/** Decodes a stored window, ledger and record of rejections. */
 export function readAdmission(window: unknown, ledger: unknown, rejections: unknown): unknown {
   const w = decodeWindow(window);
   const l = decodeLedger(ledger);
@@ -277,7 +282,7 @@
   };
 }
 
-/** What users are told of stored values, and what the next leader makes of them. */
+/** Returns the job views for users, and the state that a new leader restores, from stored values. */
 export function readStored(items: KeyValueItem[]): unknown {
   const records = new StateReplica();
   records.reset(items, 1000);
@@ -317,6 +322,7 @@
   return { views: views, jobs: jobs, machines: machines };
 }
 
+/** Records all stored forms, by the names that they have in the kept examples. */
 export async function storedForms(): Promise<Record<string, unknown>> {
   return { scenario: scenario(), nodes: await nodes(), admission: admission() };
 }
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -1,4 +1,4 @@
-/** Whole controllers in this process, against the stand-ins: what a scenario needs, and what it saw. */
+/** Runs complete controllers in the test process against stand-ins, and records the tasks and admission decisions. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Logger, pino } from "pino";
@@ -25,18 +25,21 @@
 const MAX_CONNECTIONS = 16;
 const REQUEST_TIMEOUT_MS = 5000;
 const TEST_TIMEOUT_MS = 120_000;
-/** Stand-ins' heartbeats come a little more often than the settings say. */
+/**
+ * The workers send heartbeats more often than the settings require: at this ratio of the interval in the settings.
+ */
 const HEARTBEAT_INTERVAL_RATIO = 0.6;
 
+/** Size, intervals (in seconds) and settings of the cluster. */
 export interface InProcessClusterOptions {
   readonly nodes: number;
   readonly workers: number;
   readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly cancelS: number;
-  /** How long every task runs. */
+  /** Run time of every task, in seconds. */
   readonly taskS: number;
-  /** The cloud refuses to tell the machine types. */
+  /** Whether the cloud answers requests for the machine type catalog with 503. */
   readonly isCatalogUnavailable: boolean;
   /** The operators' settings (INI). */
   readonly operatorIni: string;
@@ -58,30 +61,30 @@
   readonly address: string;
   readonly stateProxy: StateServiceProxy;
   readonly connection: HttpConnectionPool;
-  /** Text of its settings. */
+  /** Text of the node's settings file. */
   readonly settings: string;
-  /** Null while it is stopped. */
+  /** Null while the node is stopped. */
   controller: Controller | null;
 }
 
-/** A node's answer to a request about a job. */
+/** A node's answer to a request for a job. */
 export interface JobAnswer {
   readonly status: number;
   readonly state: string | undefined;
   readonly retryAfter: string | undefined;
 }
 
-/** Controllers, their services and workers, from `open` to `close`. */
+/** Controllers, their services and workers, which run from `open` to `close`. */
 export class InProcessCluster {
   readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
   readonly nodes: ClusterNode[] = [];
-  /** Machines on which each task is. */
+  /** Machines on which each task (`job/index`) is running. */
   readonly machinesByTask = new Map<string, Set<string>>();
   readonly startedTasks: string[] = [];
-  /** Tasks that started while they were on another machine. */
+  /** Tasks that started on a machine while they were running on another one. */
   readonly duplicateStarts: string[] = [];
-  /** What each node logged of admission, in order. */
+  /** Admission decisions that each node logged, in order. */
   readonly admissionDecisions: Record<string, unknown>[][] = [];
 
   private constructor(readonly options: InProcessClusterOptions) {}
@@ -91,14 +94,14 @@
     try {
       await cluster.startAll();
     } catch (error) {
-      // What has started would keep the test process alive for good.
+      // Servers and timers that have started would keep the test process from exiting.
       await cluster.close();
       throw error;
     }
     return cluster;
   }
 
-  /** `operatorIni`: the operators' settings, if they changed since the cluster was opened. */
+  /** Starts the controller of a node. `operatorIni` replaces the operators' settings of the cluster. */
   async startNode(i: number, operatorIni: string = this.options.operatorIni): Promise<void> {
     const node = this.nodes[i]!;
     const controller = createController(node.settings, operatorIni, this.loggerFor(i));
@@ -106,20 +109,23 @@
     await startController(controller);
   }
 
-  /** It ends without a word, as a killed process does: what it sent before may still be under way. */
+  /**
+   * Stops the controller of a node without notice to the others, as if its process were killed. Requests that it sent
+   * before may still arrive.
+   */
   async stopNode(i: number): Promise<void> {
     await this.nodes[i]!.controller?.stop();
     this.nodes[i]!.controller = null;
   }
 
-  /** By the state service; -1: nobody. */
+  /** Index of the leader according to the state service; -1 if there is none. */
   leaderIndex(): number {
     const leader = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
     if (leader === undefined) return -1;
     return this.nodes.findIndex(({ name }) => name === leader.member);
   }
 
-  /** Machines on which any task of the job is, by what the machines themselves say. */
+  /** Machines on which any task of the job is running, as the machines themselves report it. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
     for (const [task, where] of this.machinesByTask) {
@@ -143,7 +149,7 @@
     return this.submitBody(i, encodeJob(clusterJob(id, change)));
   }
 
-  /** A submission as it is on the wire, which may be none. */
+  /** Submits a job with the given body, which may be malformed. */
   submitBody(i: number, body: Record<string, unknown>): Promise<JobAnswer> {
     return this.request(i, "POST", "/api/jobs", body);
   }
@@ -156,7 +162,7 @@
     return this.request(i, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
-  /** Returns once the job runs with all its tasks. */
+  /** Submits the job and returns once all its tasks are running. */
   async submitAndAwaitRunning(id: string, change: Partial<JobSpec> = {}): Promise<void> {
     const isAccepted = async () => (await this.submitJob(0, id, change)).status <= 201;
     await waitUntil(`${id} is accepted`, isAccepted);
@@ -188,7 +194,7 @@
     this.cloud.isCatalogUnavailable = isCatalogUnavailable;
     for (let i = 0; i < nodes; i++) await this.startNode(i);
     if (isCatalogUnavailable) return;
-    await waitUntil("somebody leads", () => this.leaderIndex() >= 0);
+    await waitUntil("a leader is elected", () => this.leaderIndex() >= 0);
   }
 
   private async addNode(node: ControllerNode, members: readonly ControllerNode[]): Promise<void> {
@@ -267,7 +273,7 @@
 
 const zoneOf = (i: number): string => (i % 2 === 0 ? "a" : "b");
 
-/** A test of whole controllers: whatever happens in it, no task may be on two machines. */
+/** Defines a test of a complete cluster, which also fails if a task ever runs on two machines at once. */
 export function clusterTest(
   name: string,
   options: Partial<InProcessClusterOptions>,
--- a/tests/support/job-answers.ts
+++ b/tests/support/job-answers.ts
@@ -1,12 +1,13 @@
-/** What users may be answered about a job while faults last, and what the state service holds meanwhile. */
+/** Checks the answers about a job that users receive during faults, and reads keys of the state service. */
 import assert from "node:assert/strict";
 import { KEY } from "../../src/core/state/stored-values.js";
 import type { InProcessCluster, JobAnswer } from "./in-process-cluster.js";
 
+/** Whether the state service holds the key. */
 export const isStored = (cluster: InProcessCluster, key: string): boolean =>
   cluster.stateService.entries.has(key);
 
-/** Keys at the state service that match the pattern. */
+/** Keys of the state service that match the pattern. */
 export const storedKeys = (cluster: InProcessCluster, pattern: RegExp): string[] =>
   [...cluster.stateService.entries.keys()].filter((key) => pattern.test(key));
 
@@ -14,14 +15,15 @@
 export const storedEpoch = (cluster: InProcessCluster): number =>
   (cluster.stateService.entries.get(KEY.epoch)!.value as { n: number }).n;
 
-/** Whether this node answers that the job is done. */
+/** Whether the node answers that the job is done. */
 export async function isDone(cluster: InProcessCluster, node: number, id: string) {
   return (await cluster.queryJob(node, id)).state === "done";
 }
 
 /**
- * Cancels, queries and submits a cancelled job at each of the nodes. Once any of them answers that it is
- * cancelled, all later ones must, and no task of it may be on any machine. Returns whether any did.
+ * Sends a cancellation, a query and a submission of a cancelled job to each of the nodes. Once one answer says that
+ * the job is cancelled, all later answers must say so, and no task of the job may run on any machine. Returns whether
+ * any answer said so.
  */
 export async function isCancellationConfirmed(
   cluster: InProcessCluster,
@@ -47,17 +49,18 @@
 /** The order in which users may see a job's states: 0 while it is active, 1 once it is terminal. */
 const STATE_RANK: Record<string, number> = { queued: 0, running: 0, done: 1, cancelled: 1 };
 
+/** Whether the state is one that a job never leaves. */
 export const isTerminal = (state: string | undefined): boolean =>
   STATE_RANK[state ?? "queued"] === 1;
 
 /**
- * Requests a job's state from all nodes at once, again and again. A request that was sent after another was
- * answered must not be answered with something older, and a terminal state never changes.
+ * Repeatedly requests a job's state from all nodes at once. The answer to a request that was sent after an earlier
+ * answer arrived must not be older than that answer, and a terminal state must not change.
  */
 export class AnswerHistory {
-  /** Answers other than refusals. */
+  /** Number of answers with a status other than 429 and 503. */
   answered = 0;
-  /** The latest state's rank in any answer so far; -1: none. */
+  /** The highest rank of a state in the answers so far; -1 if there was none. */
   private latestRank = -1;
   private terminalState: string | undefined;
 
@@ -66,6 +69,7 @@
     private readonly id: string,
   ) {}
 
+  /** Sends a request and compares its answer with those that had arrived before. */
   async check(request: () => Promise<JobAnswer>): Promise<void> {
     const rankBefore = this.latestRank;
     const { status, state } = await request();
@@ -82,7 +86,7 @@
     this.latestRank = Math.max(this.latestRank, rank);
   }
 
-  /** Queries and submits the job at every node at once, with the other requests, so many times. */
+  /** In each round, sends a query and a submission to every node and the other requests, all at once. */
   async checkAll(
     rounds: number,
     others: readonly (() => Promise<JobAnswer>)[] = [],
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -1,4 +1,4 @@
-/** Controllers as processes of their own, each of some version of the program, against the stand-ins. */
+/** Runs controllers in separate processes against stand-ins. Each process may run another version of the program. */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -21,7 +21,7 @@
 import { waitForProcesses } from "./waiting.js";
 import { WorkerStandIn } from "./worker-stand-in.js";
 
-/** The program as this version's build leaves it. */
+/** The program that the build of this version produces. */
 export const PROGRAM = fileURLToPath(new URL("../../../peatsaddle.cjs", import.meta.url));
 
 const NODE_COUNT = 3;
@@ -33,40 +33,44 @@
 const REQUEST_TIMEOUT_MS = 2000;
 const HEALTH_TIMEOUT_MS = 1000;
 const FIRST_RETRIED_STATUS = 429;
-/** A request without an answer is repeated so often, and so far apart, as users do. */
+/** A request without a final answer is retried as users do: at most this many attempts, RETRY_INTERVAL_S apart. */
 const MAX_ATTEMPTS = 200;
 const RETRY_INTERVAL_S = 0.1;
 
+/** Settings of the cluster, and callbacks for what its processes and workers do. */
 export interface MultiProcessClusterOptions {
-  /** How long a task of a job runs, in milliseconds. */
+  /** Returns the run time of each task of a job, in milliseconds. */
   readonly taskMs: (job: string) => number;
-  /** Fields of `state` in the settings, beside those of the tests. */
+  /** Fields of `state` in the settings that replace or extend the defaults of the tests. */
   readonly state?: Record<string, unknown>;
-  /** Teams in the settings, in place of those of the tests. */
+  /** Teams in the settings that replace the default teams of the tests. */
   readonly teams?: readonly Record<string, unknown>[];
-  /** The operators' settings (INI) of this version's processes. */
+  /** The operators' settings (INI); only processes of this version get them. */
   readonly operatorIni?: string;
-  /** Machines; four if not given. */
+  /** Number of machines, 4 by default. */
   readonly workers?: number;
-  /** Told of each end of a task. */
+  /** Called when a task exits. */
   readonly onTaskExit?: (task: string, cause: TaskStatus["cause"]) => void;
-  /** Seconds between a worker's reports, and of its lease, on both sides. */
+  /** Heartbeat interval and lease duration of workers, in seconds, for the controllers and the workers. */
   readonly heartbeat?: { readonly everyS: number; readonly leaseS: number };
-  /** Arguments of Node.js before the program. */
+  /** Arguments of Node.js that precede the program. */
   readonly nodeArguments?: readonly string[];
-  /** Variables of one node's process. */
+  /** Returns environment variables for the process of a node. */
   readonly environment?: (node: number) => Record<string, string>;
-  /** Told of each line that a process logs; none are logged otherwise. */
+  /** Called for each line that a process logs. Without it, the processes log errors only. */
   readonly onLogLine?: (node: number, line: Record<string, unknown>) => void;
 }
 
-/** A node's answer to a request about a job. */
+/** A node's answer to a request for a job. */
 export interface JobAnswer {
   readonly status: number;
   readonly state: string | undefined;
 }
 
-/** Three controllers, their services and workers, from `open` to `close`; nodes are started one by one. */
+/**
+ * Three controllers, their services and workers. `open` starts the services and the workers, `startNode` starts each
+ * controller, and `close` stops them all.
+ */
 export class MultiProcessCluster {
   readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
@@ -109,7 +113,7 @@
     this.processes[i]?.kill(signal);
   }
 
-  /** The process ends without a word, and one of that version comes in its place. */
+  /** Kills the process of a node and starts one that runs the given program. */
   replaceNode(i: number, program: string = PROGRAM): void {
     this.signalNode(i, "SIGKILL");
     this.startNode(i, program);
@@ -127,14 +131,14 @@
     });
   }
 
-  /** Index of the leader by the state service; -1: nobody leads. */
+  /** Index of the leader according to the state service; -1 if there is none. */
   leaderIndex(): number {
     const leader = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
     if (leader === undefined) return -1;
     return this.members.findIndex(({ member }) => member === leader.member);
   }
 
-  /** The epoch by the state service. */
+  /** The epoch of the newest leadership term according to the state service; 0 if there was none. */
   epoch(): number {
     return (this.stateService.entries.get("epoch")?.value as { n: number } | undefined)?.n ?? 0;
   }
@@ -145,12 +149,12 @@
     return this.leaderIndex();
   }
 
-  /** Asks one node until it answers for good, as users do. */
+  /** Submits the job to one node, and retries as users do until the answer is final. */
   submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
     return this.request(i, id, "POST", "/api/jobs", this.recordSubmission(id, change));
   }
 
-  /** One try, whatever the answer; no answer at all counts as 503. */
+  /** Submits the job without a retry. A missing answer counts as 503. */
   async submitJobOnce(i: number, id: string, change: Partial<JobSpec>): Promise<JobAnswer> {
     const body = encode(this.recordSubmission(id, change));
     const response = await this.connections[i]!.request(
@@ -172,7 +176,7 @@
     return this.request(i, id, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
-  /** Neither commands nor answers reach the machines of a job for so long. */
+  /** Drops commands and answers to the machines of a job for some seconds. */
   async dropInboundTraffic(id: string, forS: number): Promise<void> {
     const names = [...this.ruleChecker.machinesOf(id)];
     const workers = names.map((name) => this.cloud.workers.get(name)!);
@@ -181,7 +185,7 @@
     for (const worker of workers) worker.dropsInbound = false;
   }
 
-  /** Every node comes to answer that the job is in this state. */
+  /** Waits until every node has answered that the job is in the given state. */
   async awaitJobState(id: string, state: string): Promise<void> {
     for (let i = 0; i < NODE_COUNT; i++) {
       await waitForProcesses(`${id} is ${state} at n${i}`, async () => {
@@ -248,7 +252,7 @@
     }
   }
 
-  /** Only this version is given the operators' settings. */
+  /** Arguments of Node.js for a node. Other versions of the program are not given the operators' settings. */
   private argumentsOf(i: number, program: string): string[] {
     const operator =
       program === PROGRAM && this.operatorFile !== null ? ["--operator", this.operatorFile] : [];
@@ -276,7 +280,7 @@
       }
       await sleepSeconds(RETRY_INTERVAL_S);
     }
-    assert.fail(`n${i} gives no answer to ${method} ${path}`);
+    assert.fail(`n${i} gave no final answer to ${method} ${path} in ${MAX_ATTEMPTS} attempts`);
   }
 
   private recordSubmission(id: string, change: Partial<JobSpec>): Record<string, unknown> {
--- a/tests/support/node-settings.ts
+++ b/tests/support/node-settings.ts
@@ -1,7 +1,7 @@
-/** Settings of a controller, as the deployment gives them to it. */
+/** Builds settings of a controller in the format of the settings file. */
 import { decodeSettings, type NodeSettings } from "../../src/wire/settings.js";
 
-/** The text of a node's settings; `change` replaces whole fields of its top level. */
+/** Returns the text of a node's settings file; `change` replaces top-level fields. */
 export const settingsText = (change: Record<string, unknown> = {}): string =>
   JSON.stringify({
     member: "n0",
@@ -34,21 +34,21 @@
   readonly resources: Readonly<Record<string, unknown>>;
 }
 
-/** The shared part of `settingsText()`. */
+/** Returns the part of `settingsText()` that all nodes share. */
 export const sharedSettings = (): SharedSettingsText =>
   (JSON.parse(settingsText()) as { settings: SharedSettingsText }).settings;
 
-/** Thrown for settings of a test that a node would refuse. */
+/** Thrown if a test supplies invalid settings. */
 export class InvalidTestSettingsError extends Error {
   constructor(faults: readonly string[]) {
-    super(`test settings: ${faults.join("; ")}`);
+    super(`invalid test settings: ${faults.join("; ")}`);
     this.name = "InvalidTestSettingsError";
   }
 }
 
 /**
- * Settings as a node reads them.
- * @throws InvalidTestSettingsError if the node would refuse them.
+ * Decodes the text of a settings file as a node does.
+ * @throws InvalidTestSettingsError if the settings are invalid.
  */
 export function readSettings(text: string): NodeSettings {
   const decoded = decodeSettings(text);
--- a/tests/support/overload/admission-audit.ts
+++ b/tests/support/overload/admission-audit.ts
@@ -1,4 +1,4 @@
-/** Audits the stored windows and ledgers, and the decision logs, of an overload run. */
+/** Checks the stored admission windows, the ledgers and the decision logs of an overload run. */
 import {
   type AdmissionWindow,
   decodeLedger,
@@ -11,14 +11,14 @@
 
 const LEDGER_PREFIX = "a/t/";
 
-/** Counts of the decision logs, which must agree. */
+/** Counts from the decision logs of all controllers. */
 export interface LogComparison {
   readonly compared: number;
   readonly admitted: number;
   readonly rejected: number;
 }
 
-/** Compares the decision logs of all controllers. */
+/** Compares the decision logs of all controllers, which must be identical. */
 export function auditLogs(logs: readonly (readonly DecisionLine[])[]): LogComparison {
   const compared = compareDecisionLogs(logs);
   const admissions = logs.flat().filter(({ kind }) => kind === "admit");
@@ -28,7 +28,7 @@
   return { compared, admitted: new Set(admissions.map(({ job }) => job)).size, rejected };
 }
 
-/** Checks that no ledger exceeds the grants of its window by more than one job, and counts the windows. */
+/** Checks that no ledger exceeds the grants of its window by more than one job. Returns the number of windows. */
 export function auditWindows(
   history: Iterable<{ readonly key: string; readonly value: unknown }>,
   onFault: (fault: string) => void,
@@ -54,7 +54,7 @@
   onFault: (fault: string) => void,
 ): void {
   if (ledger.window !== window.version) {
-    onFault(`a claim on window ${ledger.window} in window ${window.version}`);
+    onFault(`a claim on window ${ledger.window} was written in window ${window.version}`);
     return;
   }
   const load = LOADS.find((candidate) => candidate.team === team)!;
@@ -64,7 +64,9 @@
       (candidate) => candidate.team === team && (candidate.class ?? "") === name,
     );
     if (grant === undefined || used.new >= grant.lanes.new + largestClaim) {
-      onFault(`${team} ${name}: ${used.new} in window ${window.version}`);
+      onFault(
+        `${team} ${name}: claims of ${used.new} exceed the grant in window ${window.version}`,
+      );
     }
   }
 }
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -1,7 +1,8 @@
 /**
- * Three controllers as processes, under five times the work that the machines can do, while the leader is killed, a
- * controller is suspended and the state service is unavailable. Users submit through any controller and retry as they are
- * told. Decisions, service and answers are measured from what workers, users and the state service observe.
+ * Runs three controller processes under a load of five times the capacity of the machines, while the leader is
+ * killed, a controller is suspended and the state service is unavailable. Users submit through any controller and
+ * retry after the time in the Retry-After header. Admission decisions, CPU usage and response times are measured at
+ * the workers, the users and the state service, and from the logs of the controllers.
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { JobSpec } from "../../../src/core/model/jobs.js";
@@ -16,7 +17,7 @@
 import { CONTROLLERS, CPUS, LOADS, type Load, PATIENCE_S, TASK_S, WORKERS } from "./workload.js";
 
 const OPERATOR_INI = "[admission]\nenabled = true\n";
-/** For this time after a disturbance the intervals do not count for the worst one. */
+/** Intervals within this time after a disturbance are excluded from the minimum CPU usage. */
 const RECOVERY_S = 10;
 const REQUEST_TIMEOUT_MS = 5000;
 
@@ -89,7 +90,7 @@
     const { cluster } = this;
     for (let index = 0; index < CONTROLLERS; index++) cluster.startNode(index);
     for (let index = 0; index < CONTROLLERS; index++) await cluster.awaitHealthy(index);
-    await waitForProcesses("somebody leads", () => cluster.leaderIndex() >= 0);
+    await waitForProcesses("a leader is elected", () => cluster.leaderIndex() >= 0);
     this.startedAt = performance.now() / 1000;
     const changesBefore = this.changeCount();
     const users = LOADS.map((load) => this.submitAll(load));
@@ -101,7 +102,9 @@
     return this.report();
   }
 
-  /** Accepted jobs complete, and their repeated submission is answered as known by every controller. */
+  /**
+   * Checks of every twentieth accepted job that it completes, and that a repeated submission is answered with 200.
+   */
   private async checkAccepted(): Promise<void> {
     for (const [number, id] of [...this.accepted.keys()].entries()) {
       if (number % 20 !== 0) continue;
@@ -110,7 +113,8 @@
         return (await this.cluster.queryJob(node, id)).state === "done";
       });
       const { status } = await this.cluster.submitJob(node, id, {});
-      if (status !== 200) this.faults.push(`${id} is accepted and answered ${status}`);
+      if (status !== 200)
+        this.faults.push(`${id} was accepted, but its repeated submission was answered ${status}`);
     }
   }
 
@@ -119,7 +123,10 @@
     return [...counts].reduce((sum, count) => sum + count, 0);
   }
 
-  /** Disturbs the run for a tenth of its time each: the leader is killed, a controller suspended, the state service down. */
+  /**
+   * Causes three disturbances: kills the leader, suspends a controller, and makes the state service unavailable. The
+   * latter two last a tenth of the run each, 20 s at most.
+   */
   private async disturb(): Promise<void> {
     const { cluster } = this;
     await this.disturbance(() => {
@@ -140,7 +147,7 @@
     await sleepSeconds(Math.max(0, this.seconds - this.now()));
   }
 
-  /** Waits, and then begins a disturbance; `begin` returns what ends it. */
+  /** Waits for a sixth of the run, then causes a disturbance; `begin` returns the function that ends it. */
   private async disturbance(begin: () => () => void): Promise<void> {
     await sleepSeconds(this.seconds / 6);
     const from = this.now();
@@ -162,7 +169,7 @@
     await Promise.all(users);
   }
 
-  /** A user: submits until the job is accepted, the user's patience ends, or the run does. */
+  /** Submits a job as a user does: until it is accepted, the user gives up, or the run ends. */
   private async submitUntilAccepted(load: Load, number: number): Promise<void> {
     const id = `${load.class}-${number}`;
     const figures = this.classes.get(load.class)!;
@@ -189,7 +196,7 @@
     figures.givenUp++;
   }
 
-  /** Null: the job is accepted; otherwise, seconds until the next attempt. */
+  /** Returns null if the job is accepted, and otherwise the number of seconds until the next attempt. */
   private async attempt(node: number, id: string, body: unknown): Promise<number | null> {
     const sentAt = performance.now();
     const reply = await this.cluster.connections[node]!.request(
@@ -259,5 +266,5 @@
   });
 }
 
-/** Plays the overload for a number of seconds, and returns what was measured. */
+/** Runs the overload workload for a number of seconds and returns the measurements. */
 export const playOverload = (seconds: number): Promise<OverloadReport> => OverloadRun.run(seconds);
--- a/tests/support/overload/report.ts
+++ b/tests/support/overload/report.ts
@@ -1,23 +1,23 @@
-/** What an overload run measured, and what must hold of it. */
+/** The report of an overload run, and the checks that it must pass. */
 import assert from "node:assert/strict";
 import { START_BOUND_S } from "../../../src/core/model/constants.js";
 import { CPUS, type Load, PATIENCE_S, TASK_S } from "./workload.js";
 
-/** Counts of one class. */
+/** Counters of one job class. */
 export interface ClassFigures {
   submitted: number;
   accepted: number;
   givenUp: number;
   longestAdmissionS: number;
-  /** Tasks completed, by interval of `INTERVAL_S`. */
+  /** Number of completed tasks in each interval of `INTERVAL_S`. */
   readonly tasksDone: number[];
 }
 
-/** Counts of one class, and what it used. */
+/** Counters and CPU usage of one job class. */
 export interface ClassReport extends ClassFigures {
-  /** CPUs used on average. */
+  /** Average number of CPUs in use. */
   readonly cpus: number;
-  /** CPUs used in the worst interval without a disturbance; null: there was no such interval. */
+  /** CPUs in use in the worst undisturbed interval; null if there was none. */
   readonly leastCpus: number | null;
   readonly guaranteed: number;
 }
@@ -25,7 +25,7 @@
 /** The measurements, as `npm run overload` prints them. */
 export interface OverloadReport {
   readonly seconds: number;
-  /** Revisions with decisions for which all controllers that read them logged the same lines. */
+  /** Number of revisions for which all controllers that read them logged identical admission decisions. */
   readonly identicalDecisions: number;
   readonly decisions: { admitted: number; rejected: number };
   readonly windows: number;
@@ -35,10 +35,10 @@
   readonly faults: readonly string[];
 }
 
-/** Completed tasks are counted by intervals of this length, in seconds. */
+/** Length in seconds of the intervals by which completed tasks are counted. */
 export const INTERVAL_S = 10;
 
-/** The report of one class; `isDisturbed` tells the intervals that count only for the average. */
+/** Returns the report of one class. Intervals for which `isDisturbed` is true count for the average only. */
 export function reportClass(
   load: Load,
   figures: ClassFigures,
@@ -56,20 +56,29 @@
   };
 }
 
-/** What must hold on any machine: shares are compared with the CPUs that were used in total. */
+/**
+ * Checks the results that must hold on hardware of any speed: the CPU usage of a class is compared with the total CPU
+ * usage, and not with the capacity.
+ */
 export function assertFair(report: OverloadReport): void {
   assert.deepEqual(report.faults, []);
-  assert.ok(report.identicalDecisions > report.seconds, "decisions were compared");
-  assert.ok(report.decisions.rejected > 0 && report.windows > 3, "it was overloaded");
+  assert.ok(
+    report.identicalDecisions > report.seconds,
+    "too few admission decisions were compared",
+  );
+  assert.ok(report.decisions.rejected > 0 && report.windows > 3, "the cluster was not overloaded");
   const used = Object.values(report.classes).reduce((sum, { cpus }) => sum + cpus, 0);
   for (const [name, figures] of Object.entries(report.classes)) {
     const guaranteed = (figures.guaranteed / CPUS) * used;
     assert.ok(figures.cpus >= 0.8 * guaranteed, `${name}: ${figures.cpus} of ${guaranteed} CPUs`);
-    assert.ok(figures.accepted > 0, `${name} is shut out`);
-    // Any job begins within the users' bound; in a shorter run a gang of half the cluster need not have begun.
+    assert.ok(figures.accepted > 0, `no job of ${name} was accepted`);
+    // Every job must start within START_BOUND_S. In a shorter run a gang of half the cluster need not have started.
     const hasRun = report.seconds < START_BOUND_S || figures.cpus > 0.01 * used;
-    assert.ok(hasRun, `${name} starves: ${figures.cpus} CPUs`);
+    assert.ok(hasRun, `${name} was starved: ${figures.cpus} CPUs`);
     const { longestAdmissionS } = figures;
-    assert.ok(longestAdmissionS <= PATIENCE_S, `${name}: ${longestAdmissionS} s`);
+    assert.ok(
+      longestAdmissionS <= PATIENCE_S,
+      `${name}: ${longestAdmissionS} s until a job was accepted`,
+    );
   }
 }
--- a/tests/support/overload/workload.ts
+++ b/tests/support/overload/workload.ts
@@ -1,28 +1,30 @@
-/** The workload of the overload run, and the dimensions of the cluster that it meets. */
+/** The workload of the overload run, and the size of the cluster. */
 
-/** Controllers, as processes. */
+/** Number of controller processes. */
 export const CONTROLLERS = 3;
+/** Number of worker stand-ins. */
 export const WORKERS = 8;
 const CPUS_PER_WORKER = 4;
+/** Capacity of the cluster. */
 export const CPUS = WORKERS * CPUS_PER_WORKER;
-/** Duration of each task, in seconds. */
+/** Run time of each task, in seconds. */
 export const TASK_S = 2;
-/** Users give up after this time, as the protocol says. */
+/** Users give up this many seconds after their first attempt, as the protocol specifies. */
 export const PATIENCE_S = 60;
 
-/** A class whose arrivals are a multiple of the capacity. */
+/** A job class, and the rate at which its jobs arrive. */
 export interface Load {
   readonly team: string;
   readonly class: string;
   readonly tasks: number;
   readonly kind: "array" | "gang";
-  /** Its arrivals, as a ratio to the capacity. */
+  /** CPU time that the arriving jobs need, as a ratio to the capacity. */
   readonly demand: number;
-  /** CPUs that its team is guaranteed; no other class of this workload belongs to the team. */
+  /** Guaranteed CPUs of the team; no other class of this workload belongs to the team. */
   readonly guaranteed: number;
 }
 
-/** Five times the capacity. */
+/** The classes of the workload, whose demand adds up to five times the capacity. */
 export const LOADS: readonly Load[] = [
   { team: "bookings", class: "booking", tasks: 1, kind: "array", demand: 0.75, guaranteed: 10 },
   { team: "settlement", class: "night", tasks: 8, kind: "array", demand: 1, guaranteed: 8 },
--- a/tests/support/ports.ts
+++ b/tests/support/ports.ts
@@ -1,10 +1,10 @@
-/** Ports of loopback for servers that are started later. */
+/** Finds free loopback ports for servers that are started later. */
 import { createServer } from "node:net";
 
-/** Below the range from which the system takes ports for outgoing connections. */
+/** The ports are below the range from which the operating system allocates ports for outgoing connections. */
 const FIRST_PORT = 10_000;
 const LAST_PORT = 32_000;
-/** Test processes that run at the same time begin in different blocks. */
+/** Test processes that run at the same time start at different offsets, which are multiples of this number. */
 const PORTS_PER_PROCESS = 200;
 let nextPort = FIRST_PORT + ((process.pid * PORTS_PER_PROCESS) % (LAST_PORT - FIRST_PORT));
 
@@ -19,8 +19,8 @@
 }
 
 /**
- * Addresses, host and port, that nobody listens on. (Ports that the system had chosen were taken by other tests'
- * outgoing connections before the server listened.)
+ * Returns addresses (host and port) on which nothing listens. Ports that the operating system chooses are unsuitable:
+ * outgoing connections of other tests took them before the server listened.
  */
 export async function freeAddresses(count: number): Promise<string[]> {
   const addresses: string[] = [];
@@ -32,7 +32,7 @@
   return addresses;
 }
 
-/** One such address. */
+/** Returns an address (host and port) on which nothing listens. */
 export async function freeAddress(): Promise<string> {
   const [address] = await freeAddresses(1);
   return address!;
--- a/tests/support/processor-profile.ts
+++ b/tests/support/processor-profile.ts
@@ -1,4 +1,4 @@
-/** What a controller's profile says: where its processor time went, by module and by function. */
+/** Formats the CPU profile of a controller: CPU time by module and by function. */
 import type { ProcessProfile } from "./profile-hook.js";
 
 const ROWS_SHOWN = 40;
@@ -6,13 +6,13 @@
 type Profile = NonNullable<ProcessProfile["profile"]>;
 type ProfileNode = Profile["nodes"][number];
 
-/** Milliseconds by name: `self` without what was called, `inclusive` with it. */
+/** Milliseconds of CPU time by name: `self` excludes called functions, `inclusive` includes them. */
 interface ProcessorTimes {
   readonly self: Map<string, number>;
   readonly inclusive: Map<string, number>;
 }
 
-/** The module of a frame: a file of ours, a package, or a part of Node.js. */
+/** Returns the module of a frame: a file of this project, a package, or a module of Node.js. */
 function moduleOf({ url, functionName }: ProfileNode["callFrame"]): string {
   if (url.startsWith("node:")) return url;
   const packaged = /node_modules\/((?:@[^/]+\/)?[^/]+)/.exec(url);
@@ -51,21 +51,21 @@
     .sort(([, msA], [, msB]) => msB - msA)
     .slice(0, ROWS_SHOWN)
     .map(([name, ms]) => `  ${(ms / seconds).toFixed(2).padStart(8)} ${name}`);
-  return [`${title} (ms a second)`, ...rows].join("\n");
+  return [`${title} (ms per second)`, ...rows].join("\n");
 }
 
-/** One controller's figures, with tables unless it took no samples. */
+/** Returns the summary of one controller's profile, with tables of CPU time if samples were taken. */
 export function describeProfile(member: string, measured: ProcessProfile): string {
   const { seconds, cpuMs, gcMs, gcRuns, residentMb, heapMb, profile } = measured;
   const summary =
-    `${member}: ${(cpuMs / seconds).toFixed(1)} ms of processor time a second, ` +
+    `${member}: ${(cpuMs / seconds).toFixed(1)} ms of CPU time per second, ` +
     `garbage collection ${(gcMs / seconds).toFixed(2)} ms in ${(gcRuns / seconds).toFixed(2)} runs, ` +
     `resident ${residentMb.toFixed(0)} MB, heap ${heapMb.toFixed(0)} MB`;
   if (profile === null) return summary;
   const { self, inclusive } = processorTimesOf(profile);
   return [
     summary,
-    table("  by module, without what it calls", self, seconds),
-    table("  by function, with what it calls", inclusive, seconds),
+    table("  by module, without called functions", self, seconds),
+    table("  by function, with called functions", inclusive, seconds),
   ].join("\n");
 }
--- a/tests/support/production-build.ts
+++ b/tests/support/production-build.ts
@@ -1,11 +1,11 @@
-/** Builds the version in production from the repository's own history, with its own lock file. */
+/** Builds the version that runs in production from its commit in this repository, with its own lock file. */
 import { execFileSync } from "node:child_process";
 import { existsSync, mkdtempSync, readFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 
-/** Thrown when the version in production cannot be named or built. */
+/** Thrown when the production commit is not configured or its build produces no program. */
 export class ProductionBuildError extends Error {
   override readonly name = "ProductionBuildError";
 }
@@ -21,11 +21,11 @@
   const text = readFileSync(join(REPOSITORY, "deploy/service.toml"), "utf8");
   const match = /^production = "([0-9a-f]{40})"$/m.exec(text);
   if (match === null)
-    throw new ProductionBuildError("deploy/service.toml names no version in production");
+    throw new ProductionBuildError("deploy/service.toml names no production commit");
   return match[1]!;
 }
 
-/** Whether the history at hand holds that commit. A copy of the files alone, or a shallow clone, does not. */
+/** Whether the repository contains the production commit. A copy without history or a shallow clone may lack it. */
 export function isProductionCommitAvailable(): boolean {
   try {
     runCommand("git", ["cat-file", "-e", `${productionCommit()}^{commit}`], REPOSITORY);
@@ -35,7 +35,7 @@
   }
 }
 
-/** Builds it into a temporary folder; returns its program. */
+/** Builds the production version in a temporary folder and returns the path of its program. */
 export function buildProductionVersion(): string {
   const folder = mkdtempSync(join(tmpdir(), "peatsaddle-production-"));
   const archive = join(folder, "sources.tar");
@@ -45,6 +45,6 @@
   runCommand("npm", ["run", "--silent", "build"], folder);
   const program = join(folder, "target/peatsaddle.js");
   if (!existsSync(program))
-    throw new ProductionBuildError("the version in production left no program");
+    throw new ProductionBuildError("the build of the production version produced no program");
   return program;
 }
--- a/tests/support/profile-hook.ts
+++ b/tests/support/profile-hook.ts
@@ -1,12 +1,14 @@
 /**
- * Loaded into a controller with `--import` by `npm run profile`: between two signals SIGUSR2 it records where processor
- * time goes, and writes what it found to the file that PROFILE_FILE names. The program itself knows nothing of it.
+ * Measures the CPU time of a controller. `npm run profile` loads it into the process with `--import`, so that the
+ * program itself contains no profiling code. The first signal SIGUSR2 starts the measurement, the second ends it and
+ * writes the result to the file that PROFILE_FILE names. If PROFILE_FROM_START is "yes", the measurement starts with
+ * the process. If PROFILE_SAMPLED is "yes", the result contains a sampled CPU profile.
  */
 import { writeFileSync } from "node:fs";
 import { type Profiler, Session } from "node:inspector/promises";
 import { PerformanceObserver, performance } from "node:perf_hooks";
 
-/** What one controller measured of itself. */
+/** The measurements of one controller process. */
 export interface ProcessProfile {
   readonly seconds: number;
   readonly cpuMs: number;
@@ -14,7 +16,7 @@
   readonly gcRuns: number;
   readonly residentMb: number;
   readonly heapMb: number;
-  /** Null: without samples, which cost processor time themselves. */
+  /** Null if no samples were taken: sampling costs CPU time itself. */
   readonly profile: Profiler.Profile | null;
 }
 
@@ -30,7 +32,7 @@
   readonly cpu: NodeJS.CpuUsage;
 }
 
-/** Null: nothing is measured yet. */
+/** Null until the measurement starts. */
 let started: MeasurementStart | null = null;
 const gc = { ms: 0, runs: 0 };
 const observer = new PerformanceObserver((list) => {
--- a/tests/support/profile-load.ts
+++ b/tests/support/profile-load.ts
@@ -1,22 +1,23 @@
-/** The load under which controllers are profiled: users who keep the machines full, and query what they submitted. */
+/** Generates the load for `npm run profile`: submissions that keep all machines in use, and queries of those jobs. */
 import { sleepSeconds } from "../../src/time/sleep.js";
 import type { MultiProcessCluster } from "./multi-process-cluster.js";
 
 const NODE_COUNT = 3;
 const CPUS_PER_MACHINE = 4;
 const TASKS_PER_JOB = 40;
-/** Queries step through the submitted jobs by this many. */
+/** Each query is for the job that was submitted this many after the previously queried one. */
 const QUERY_STRIDE = 7;
 
+/** Size of the cluster and rate of the load. */
 export interface ProfileLoadOptions {
   readonly machines: number;
-  /** Run time of a task. */
+  /** Run time of a task, in seconds. */
   readonly taskSeconds: number;
-  /** Queries a second. */
+  /** Number of queries per second. */
   readonly questions: number;
 }
 
-/** Users from `start` to `stop`; what becomes of a request is not waited for. */
+/** Submits and queries jobs from `start` to `stop` at a fixed rate, without waiting for the answers. */
 export class ProfileLoad {
   private nextNumber = 0;
   private readonly submitted: string[] = [];
--- a/tests/support/stand-in-server.ts
+++ b/tests/support/stand-in-server.ts
@@ -1,30 +1,30 @@
-/** HTTP servers on loopback that speak MessagePack, as the deployment's services do. */
+/** HTTP servers on loopback that exchange MessagePack, as the services of a deployment do. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { decode, encode } from "../../src/wire/msgpack.js";
 
-/** What a stand-in answers; `body` is sent as MessagePack. */
+/** The response of a stand-in; `body` is sent as MessagePack. */
 export interface StandInResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Answers a request; `body` is undefined if it had none. */
+/** Returns the response to a request; `body` is undefined if the request had none. */
 export type RequestHandler = (
   method: string,
   url: URL,
   body: unknown,
 ) => StandInResponse | Promise<StandInResponse>;
 
-/** The answer of a service that has an outage. */
+/** The response of a service during an outage. */
 export const UNAVAILABLE: StandInResponse = { status: 503, body: { error: "trouble" } };
 
-/** An answer that never comes: the request was lost, or its answer. */
+/** Returns a promise that never settles, as if the request or its response were lost. */
 export const noResponse = (): Promise<never> => new Promise(() => {});
 
-/** A server that listens from `start` to `stop`. */
+/** An HTTP server that listens from `start` to `stop`. */
 export class StandInServer {
-  /** Host and port; empty before `start`. */
+  /** Host and port on which the server listens; empty before `start`. */
   address = "";
   private server: Server | null = null;
 
@@ -37,7 +37,7 @@
     this.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   }
 
-  /** Ends it at once, with the connections that are open. */
+  /** Stops the server at once and closes all open connections. */
   stop(): void {
     this.server?.closeAllConnections();
     this.server?.close();
--- a/tests/support/state-service-proxy.ts
+++ b/tests/support/state-service-proxy.ts
@@ -1,4 +1,4 @@
-/** One node's way to the state service, on which a test can cause faults. */
+/** A proxy between one node and the state service, in which a test can inject faults. */
 import { decodeTransaction, type Transaction } from "../../src/wire/counterpart.js";
 import { PATH } from "../../src/wire/names.js";
 import {
@@ -9,21 +9,24 @@
   UNAVAILABLE,
 } from "./stand-in-server.js";
 
-/** What becomes of a transaction: its answer may be lost, or it is carried out when the test says so. */
+/**
+ * How the proxy handles a transaction: it forwards the transaction and its response ("answered"), drops the response
+ * ("answer lost"), or holds the transaction back until the test forwards it, also without a response ("late").
+ */
 export type TransactionFate = "answered" | "answer lost" | "late";
 
 /** Forwards a node's requests to the state service. */
 export class StateServiceProxy {
-  /** The service refuses this node alone; its open watches wait, as in an outage. */
+  /** Whether requests of this node are answered with 503. Responses to open watches are held back until `reopen`. */
   isRefusing = false;
-  /** Decides for each transaction. */
+  /** Chooses how each transaction is handled. */
   fateOf: (transaction: Transaction) => TransactionFate = () => "answered";
-  /** Transactions that are carried out only when the test says so. */
+  /** Transactions that were held back. The test calls each function to forward its transaction. */
   readonly delayedTransactions: (() => void)[] = [];
   private readonly reopenWaiters = new Set<() => void>();
   private readonly server = new StandInServer((...request) => this.forward(...request));
 
-  /** `handler`: the state service. */
+  /** `handler` answers the requests on behalf of the state service. */
   constructor(private readonly handler: RequestHandler) {}
 
   get address(): string {
@@ -38,7 +41,7 @@
     this.server.stop();
   }
 
-  /** The service refuses this node no more. */
+  /** Ends the outage and sends the responses that were held back. */
   reopen(): void {
     this.isRefusing = false;
     for (const resolve of this.reopenWaiters) resolve();
--- a/tests/support/state-service-stand-in.ts
+++ b/tests/support/state-service-stand-in.ts
@@ -1,4 +1,4 @@
-/** The state service of the tests: a key-value store with transactions, leases and watches, in one process. */
+/** An in-memory stand-in for the state service: a key-value store with transactions, leases and watches. */
 
 import type { Change, ChangeEvent } from "../../src/core/state/key-value.js";
 import {
@@ -13,7 +13,7 @@
 import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
 import { StateServiceProxy } from "./state-service-proxy.js";
 
-/** A stored value, with the lease that it is bound to. */
+/** A stored value and the lease that it is attached to, if any. */
 interface StoredEntry {
   readonly value: unknown;
   readonly modRevision: number;
@@ -29,16 +29,16 @@
 const ok = (body: unknown): StandInResponse => ({ status: 200, body });
 const badRequest = (error: string): StandInResponse => ({ status: 400, body: { error } });
 
-/** Strongly consistent by being one map in one process. */
+/** Linearizable, because all requests operate on one map in one process. */
 export class StateServiceStandIn {
   readonly entries = new Map<string, StoredEntry>();
-  /** How many changes of each key were carried out. */
+  /** Number of changes applied to each key. */
   readonly changeCounts = new Map<string, number>();
-  /** Larger values and transactions are refused. */
+  /** Transactions that exceed these limits are rejected. */
   limits = { valueBytes: Number.POSITIVE_INFINITY, txnOps: Number.POSITIVE_INFINITY };
-  /** Transactions that were refused for exceeding the limits. */
+  /** Number of transactions that were rejected because they exceeded the limits. */
   rejectedTransactions = 0;
-  /** It refuses everybody; open watches wait. */
+  /** Whether all requests are answered with 503. Open watches stay open. */
   isUnavailable = false;
   private readonly changeLog: ChangeEvent[] = [];
   private readonly leases = new Map<number, Lease>();
@@ -52,7 +52,7 @@
     return this.server.address;
   }
 
-  /** All changes so far, in their order. */
+  /** All changes so far, in order. */
   get history(): readonly ChangeEvent[] {
     return this.changeLog;
   }
@@ -61,7 +61,7 @@
     return this.server.start();
   }
 
-  /** A way of its own for one node, with faults of its own. */
+  /** Starts a proxy for one node, in which a test can inject faults for this node only. */
   async openProxy(): Promise<StateServiceProxy> {
     const proxy = new StateServiceProxy((...request) => this.handle(...request));
     await proxy.start();
@@ -88,13 +88,13 @@
 
   private grantLease(body: unknown): StandInResponse {
     const { ttlMs } = body as { ttlMs: number };
-    if (!Number.isInteger(ttlMs)) return badRequest("not whole milliseconds");
+    if (!Number.isInteger(ttlMs)) return badRequest("ttlMs is not an integer");
     const id = this.nextLease++;
     this.armLease(id, ttlMs);
     return ok(encodeLease(id));
   }
 
-  /** Extends or revokes it. */
+  /** Extends the lease, or revokes it if the method is DELETE. */
   private changeLease(method: string, path: string): StandInResponse {
     const id = Number(path.split("/")[2]);
     const lease = this.leases.get(id);
@@ -168,7 +168,7 @@
     if (changes.some((change) => this.hasUnknownLease(change))) return badRequest("no such lease");
     if (this.exceedsLimits(changes)) {
       this.rejectedTransactions++;
-      return badRequest("too large");
+      return badRequest("transaction exceeds the limits");
     }
     const failedKeys = preconditions
       .filter(({ key, modRevision }) => (this.entries.get(key)?.modRevision ?? 0) !== modRevision)
--- a/tests/support/waiting.ts
+++ b/tests/support/waiting.ts
@@ -1,14 +1,16 @@
-/** Waiting for what a test expects to come about. */
+/** Waits for conditions that a test expects to become true. */
 import assert from "node:assert/strict";
 import { sleepSeconds } from "../../src/time/sleep.js";
 
-/** How often a condition is looked at, and for how long, beside the time that looking takes. */
+/**
+ * Interval between two evaluations of the condition, and the time-out; neither includes the evaluations themselves.
+ */
 export interface WaitOptions {
   readonly timeoutS?: number;
   readonly intervalS?: number;
 }
 
-/** Returns once the condition holds; fails the test, with what it waited for, if it never does. */
+/** Returns once the condition is true. Fails the test with the description of the condition after the time-out. */
 export async function waitUntil(
   what: string,
   isTrue: () => Promise<boolean> | boolean,
@@ -18,10 +20,10 @@
     if (await isTrue()) return;
     await sleepSeconds(intervalS);
   }
-  assert.fail(`never: ${what}`);
+  assert.fail(`condition not met within ${timeoutS} s: ${what}`);
 }
 
-/** The same for clusters of processes: they take longer, and each look may be a request. */
+/** As `waitUntil`, for clusters of processes: they take longer, and each evaluation may send a request. */
 export const waitForProcesses = (
   what: string,
   isTrue: () => Promise<boolean> | boolean,
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -1,4 +1,4 @@
-/** A worker in this process that speaks with controllers over real connections. */
+/** A stand-in for a worker, which runs in the test process and exchanges messages with controllers over TCP. */
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { sleepSeconds } from "../../src/time/sleep.js";
@@ -17,7 +17,7 @@
   timer: NodeJS.Timeout;
 }
 
-/** Told of a task's start, and of its end with the cause. */
+/** Called when a task starts, and when it exits, with the cause. */
 export type TaskListener = (
   task: string,
   machine: string,
@@ -25,28 +25,28 @@
   cause: TaskStatus["cause"],
 ) => void;
 
-/** What a worker is, whom it knows, and how long things take. */
+/** Identity, controllers and timing of a worker. */
 export interface WorkerStandInOptions {
   readonly name: string;
   readonly zone: string;
   readonly controllers: readonly { readonly member: string; readonly address: string }[];
-  /** Milliseconds that each task of the job runs. */
+  /** Returns the run time of each task of a job, in milliseconds. */
   readonly taskMs: (job: string) => number;
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
-  /** Told of starts and ends, to see that nothing is on two machines. */
+  /** Called when a task starts or exits; tests use it to detect a task that runs on two machines. */
   readonly onTaskChange: TaskListener;
 }
 
-/** Runs every task for the time that its job sets; tasks end with the lease. */
+/** Runs each task for the run time of its job, and stops all tasks when its lease expires. */
 export class WorkerStandIn {
   readonly name: string;
   readonly zone: string;
-  /** Its heartbeats reach no controller, while direct commands reach it. */
+  /** Whether the worker's heartbeats are lost. Commands that a controller sends to it still arrive. */
   dropsOutbound = false;
-  /** Its heartbeats arrive; answers and direct commands are lost. */
+  /** Whether answers to heartbeats and commands to the worker are lost. Its heartbeats still arrive. */
   dropsInbound = false;
-  /** The bytes of each heartbeat that it sent, for copies that arrive later. */
+  /** The bytes of each heartbeat that the worker sent, so that a test can deliver delayed copies. */
   readonly sentHeartbeats: Buffer[] = [];
   private readonly connections: readonly HttpConnectionPool[];
   private readonly server = new StandInServer((...request) => this.handle(...request));
@@ -150,7 +150,7 @@
     }
   }
 
-  /** Once its lease is over, its tasks have ended and a new incarnation begins. */
+  /** If the lease has expired, stops all tasks and begins a new incarnation. */
   private expireLease(): void {
     if (performance.now() <= this.leaseExpiresAtMs) return;
     this.stopAllTasks();
