--- a/tests/profile.ts
+++ b/tests/profile.ts
@@ -16,7 +16,7 @@
 
 /** The unbundled program: one file per module, so that each sample contains the name of its module. */
 const PROGRAM = fileURLToPath(new URL("../../main.js", import.meta.url));
-const HOOK = new URL("./support/profile-hook.js", import.meta.url).href;
+const PROFILE_HOOK = new URL("./support/profile-hook.js", import.meta.url).href;
 const NODES = [0, 1, 2];
 const HEARTBEAT_INTERVAL_S = 3;
 const LEASE_S = 21;
@@ -36,8 +36,8 @@
   return MultiProcessCluster.open({
     taskMs: () => options.taskSeconds * 1000,
     workers: options.machines,
-    heartbeat: { everyS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
-    nodeArguments: [...flags, "--import", HOOK],
+    heartbeat: { intervalS: HEARTBEAT_INTERVAL_S, leaseS: LEASE_S },
+    nodeArguments: [...flags, "--import", PROFILE_HOOK],
     environment: (node) => ({
       PROFILE_FILE: files[node]!,
       PROFILE_SAMPLED: options.total ? "no" : "yes",
@@ -112,7 +112,7 @@
   }
 }
 
-const chosen = new Command("profile")
+const commandLineOptions = new Command("profile")
   .description("measure the CPU time of three controllers with stand-ins")
   .option("--machines <n>", "number of stand-in workers", Number, 720)
   .option("--seconds <n>", "duration of the measurement", Number, 20)
@@ -125,5 +125,5 @@
   .option("--questions <n>", "queries of users per second", Number, 20)
   .parse()
   .opts<Options>();
-process.stdout.write(`${await measure(chosen)}\n`);
+process.stdout.write(`${await measure(commandLineOptions)}\n`);
 process.exit(0);
--- a/tests/support/controller-process.ts
+++ b/tests/support/controller-process.ts
@@ -20,16 +20,16 @@
   environment,
   onLogLine,
 }: ControllerProcessOptions): ChildProcess {
-  const level = process.env.SITE_LOG ?? (onLogLine === undefined ? "error" : "info");
-  const unread = process.env.SITE_LOG === undefined ? "ignore" : "inherit";
+  const logLevel = process.env.SITE_LOG ?? (onLogLine === undefined ? "error" : "info");
+  const stderrWithoutHandler = process.env.SITE_LOG === undefined ? "ignore" : "inherit";
   const child = spawn(process.execPath, args, {
-    env: { ...process.env, LOG_LEVEL: level, ...environment },
-    stdio: ["ignore", "ignore", onLogLine === undefined ? unread : "pipe"],
+    env: { ...process.env, LOG_LEVEL: logLevel, ...environment },
+    stdio: ["ignore", "ignore", onLogLine === undefined ? stderrWithoutHandler : "pipe"],
   });
   if (onLogLine !== undefined && child.stderr !== null) {
-    createInterface({ input: child.stderr }).on("line", (text) => {
+    createInterface({ input: child.stderr }).on("line", (lineText) => {
       // The last line is incomplete if the process was killed while it was writing.
-      if (text.startsWith("{") && text.endsWith("}")) onLogLine(JSON.parse(text));
+      if (lineText.startsWith("{") && lineText.endsWith("}")) onLogLine(JSON.parse(lineText));
     });
   }
   return child;
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -29,25 +29,27 @@
 type Bodies = Readonly<Record<string, unknown>>;
 
 /** Bodies of one kind, by descriptive names. `read` decodes a body, and returns null for a malformed one. */
-export interface ReadForm {
+export interface DecodeCase {
   readonly bodies: Bodies;
   readonly read: (body: unknown) => unknown;
 }
 
 /** Applies a function to a value, and returns null for null. */
 const orNull =
-  <T>(form: (value: T) => unknown) =>
+  <T>(describe: (value: T) => unknown) =>
   (value: T | null): unknown =>
-    value === null ? null : form(value);
+    value === null ? null : describe(value);
 
 /** Returns the body (`whole`) and named copies of it, each with some fields changed. */
 const variants = (whole: Record<string, unknown>, changes: Record<string, object>): Bodies => ({
   whole: whole,
-  ...Object.fromEntries(Object.entries(changes).map(([name, c]) => [name, { ...whole, ...c }])),
+  ...Object.fromEntries(
+    Object.entries(changes).map(([name, change]) => [name, { ...whole, ...change }]),
+  ),
 });
 
 /** Names of task states in the kept examples, which keep two names that the source has since changed. */
-const KEPT_STATE: Record<TaskState, string> = {
+const TRACE_STATE_NAMES: Record<TaskState, string> = {
   "pulling image": "fetching",
   waiting: "waiting",
   running: "running",
@@ -56,35 +58,35 @@
 };
 
 /** A decoded heartbeat under the keys of the kept examples. */
-export const reportForm = (r: WorkerHeartbeat): unknown => ({
-  machine: r.machine,
-  address: r.address,
-  type: r.type,
-  zone: r.zone,
-  spot: r.spot,
-  session: r.incarnation,
-  sequence: r.sequence,
-  token: r.fencingToken,
-  notice: r.interruptionNoticeS,
-  tasks: r.tasks.map((t) => [
-    t.job,
-    t.task,
-    t.attempt,
-    KEPT_STATE[t.state],
-    t.cause,
-    t.checkpointed,
+export const describeHeartbeat = (heartbeat: WorkerHeartbeat): unknown => ({
+  machine: heartbeat.machine,
+  address: heartbeat.address,
+  type: heartbeat.type,
+  zone: heartbeat.zone,
+  spot: heartbeat.spot,
+  session: heartbeat.incarnation,
+  sequence: heartbeat.sequence,
+  token: heartbeat.fencingToken,
+  notice: heartbeat.interruptionNoticeS,
+  tasks: heartbeat.tasks.map((status) => [
+    status.job,
+    status.task,
+    status.attempt,
+    TRACE_STATE_NAMES[status.state],
+    status.cause,
+    status.checkpointed,
   ]),
 });
 
-const stride = (change: object): unknown => ({
+const taskBody = (overrides: object): unknown => ({
   stride: "run-1/3",
   mounting: 2,
   stance: "running",
-  ...change,
+  ...overrides,
 });
-const causes = "done halted mates_gone alone error no_room in_use no_such unheard".split(" ");
+const exitCauses = "done halted mates_gone alone error no_room in_use no_such unheard".split(" ");
 /** The body of a heartbeat with a task in each state, with each exit cause, and with an unknown exit cause. */
-export const checkin: Record<string, unknown> = {
+export const heartbeatBody: Record<string, unknown> = {
   mount: "m-1",
   address: "10.0.0.1:9000",
   breed: "small",
@@ -95,63 +97,67 @@
   rein: 6,
   recallS: 30.5,
   strides: [
-    ...["pulling", "waiting", "running", "saving"].map((stance) => stride({ stance: stance })),
-    ...causes.map((cause) => stride({ stance: "ended", cause: cause })),
-    stride({ stance: "ended", saved: true }),
+    ...["pulling", "waiting", "running", "saving"].map((stance) => taskBody({ stance: stance })),
+    ...exitCauses.map((cause) => taskBody({ stance: "ended", cause: cause })),
+    taskBody({ stance: "ended", saved: true }),
   ],
 };
-const reports = variants(checkin, {
+const heartbeatBodies = variants(heartbeatBody, {
   "no notice, no tasks": { recallS: null, strides: [] },
   "no name": { mount: "" },
   "session not whole": { stint: 1.5 },
-  "unknown state": { strides: [stride({ stance: "asleep" })] },
-  "task without number": { strides: [stride({ stride: "run-1" })] },
+  "unknown state": { strides: [taskBody({ stance: "asleep" })] },
+  "task without number": { strides: [taskBody({ stride: "run-1" })] },
 });
 
-const commandForm = (c: WorkerCommand): unknown => ({
-  call: c.op,
-  job: c.job,
-  task: c.task,
-  attempt: c.attempt,
-  grace: c.op === "stop" ? c.graceS : null,
+const describeCommand = (command: WorkerCommand): unknown => ({
+  call: command.op,
+  job: command.job,
+  task: command.task,
+  attempt: command.attempt,
+  grace: command.op === "stop" ? command.graceS : null,
 });
-const call = (name: string, change: object = {}): unknown => ({
+const commandBody = (name: string, overrides: object = {}): unknown => ({
   call: name,
   stride: "run-1/3",
   mounting: 2,
-  ...change,
+  ...overrides,
 });
-const commands = variants(
-  { rein: 6, stint: 4, calls: [call("run"), call("halt", { easeS: 2.5 }), call("forget")] },
-  { "no session": { stint: null }, "unknown call": { calls: [call("jump")] } },
+const commandBodies = variants(
+  {
+    rein: 6,
+    stint: 4,
+    calls: [commandBody("run"), commandBody("halt", { easeS: 2.5 }), commandBody("forget")],
+  },
+  { "no session": { stint: null }, "unknown call": { calls: [commandBody("jump")] } },
 );
 
-const jobForm = (j: JobSpec): unknown => ({
-  id: j.id,
-  class: j.class,
-  team: j.team,
-  kind: j.kind,
-  priority: j.priority,
-  tasks: j.tasks,
-  cpus: j.cpus,
-  gpus: j.gpus,
-  memory: j.memoryGb,
-  types: j.types,
-  zone: j.zone,
-  oneZone: j.oneZone,
-  spread: j.spread,
-  spot: j.spot,
-  image: j.image,
-  imageGb: j.imageGb,
-  estimate: j.estimateS,
-  checkpoint: j.checkpointS,
-  save: j.saveS,
-  deadline: j.deadlineS,
-  after: j.after ?? null,
+const describeJob = (job: JobSpec): unknown => ({
+  id: job.id,
+  class: job.class,
+  team: job.team,
+  kind: job.kind,
+  priority: job.priority,
+  tasks: job.tasks,
+  cpus: job.cpus,
+  gpus: job.gpus,
+  memory: job.memoryGb,
+  types: job.types,
+  zone: job.zone,
+  oneZone: job.oneZone,
+  spread: job.spread,
+  spot: job.spot,
+  image: job.image,
+  imageGb: job.imageGb,
+  estimate: job.estimateS,
+  checkpoint: job.checkpointS,
+  save: job.saveS,
+  deadline: job.deadlineS,
+  after: job.after ?? null,
 });
 const full = { cards: 1, breeds: ["small", "big"], paddock: "a", dueS: 90, follows: ["a", "a"] };
 /** Bodies of submissions, valid and malformed. */
-export const submissions = variants(jobBody(), {
+export const submissionBodies = variants(jobBody(), {
   full: { ...full, gait: "ensemble", rank: "production", together: true, restS: 5, unsaddleS: 2 },
   "replicas, high": { gait: "service", rank: "high", apart: true, loaners: false },
   "left out": { rank: "idle", breeds: undefined, paddock: undefined, dueS: undefined },
@@ -163,49 +169,60 @@
   "together and apart": { together: true, apart: true },
 });
 
-const typeForm = (t: MachineType): unknown => ({
-  name: t.name,
-  cpus: t.cpus,
-  gpus: t.gpus,
-  memory: t.memoryGb,
-  cache: t.cacheGb,
-  fetch: t.fetchGbPerS,
-  price: t.price,
-  spotPrice: t.spotPrice,
-  boot: t.bootS,
-  zones: t.zones,
+const describeMachineType = (type: MachineType): unknown => ({
+  name: type.name,
+  cpus: type.cpus,
+  gpus: type.gpus,
+  memory: type.memoryGb,
+  cache: type.cacheGb,
+  fetch: type.fetchGbPerS,
+  price: type.price,
+  spotPrice: type.spotPrice,
+  boot: type.bootS,
+  zones: type.zones,
 });
-const breed = { sku: "s", cpus: 4, memoryGb: 32, hourly: 0.2, readyS: 15, paddocks: ["a", "b"] };
-const bigBreed = { sku: "b", cards: 4, localGb: 40, fetchGbPerS: 0.5, spotPrice: 0.1 };
+const typeBody = { sku: "s", cpus: 4, memoryGb: 32, hourly: 0.2, readyS: 15, paddocks: ["a", "b"] };
+const bigTypeFields = { sku: "b", cards: 4, localGb: 40, fetchGbPerS: 0.5, spotPrice: 0.1 };
 /** The body of a catalog of machine types. */
-export const catalog = { breeds: [breed, { ...breed, ...bigBreed }] };
+export const catalogBody = { breeds: [typeBody, { ...typeBody, ...bigTypeFields }] };
 
-const listedForm = (m: ListedMachine): unknown => ({
-  name: m.name,
-  address: m.address,
-  type: m.type,
-  zone: m.zone,
-  spot: m.spot,
-  state: m.state,
-  age: m.ageS,
+const describeListedMachine = (machine: ListedMachine): unknown => ({
+  name: machine.name,
+  address: machine.address,
+  type: machine.type,
+  zone: machine.zone,
+  spot: machine.spot,
+  state: machine.state,
+  age: machine.ageS,
 });
 const listed = { nameId: "m-1", address: "h:1", breed: "s", paddock: "a", loaners: true, ageS: 9 };
-const machine = (stance: string, change = {}): unknown => ({ ...listed, stance, ...change });
-const states = [machine("booting", { address: null }), machine("running"), machine("failed")];
+const machineBody = (stance: string, change = {}): unknown => ({ ...listed, stance, ...change });
+const machineBodies = [
+  machineBody("booting", { address: null }),
+  machineBody("running"),
+  machineBody("failed"),
+];
 /** The body of a machine list. */
-export const machineList = { mounts: states, more: true };
+export const machineListBody = { mounts: machineBodies, more: true };
 
-const items = [{ k: "p/run-1", data: { v: 1 }, mark: 9 }];
-const log = [
+const rangeItems = [{ k: "p/run-1", data: { v: 1 }, mark: 9 }];
+const changeLogBody = [
   { write: "epoch", data: { n: 3 }, mark: 11 },
   { remove: "p/run-1", mark: 12 },
 ];
 
-const settingsForm = (s: NodeSettings): unknown => {
-  const { cluster } = s;
+const describeSettings = (settings: NodeSettings): unknown => {
+  const { cluster } = settings;
   return {
-    node: [s.member, s.zone, s.listenAddress, s.peerAddress, s.cloudAddress, s.stateServiceAddress],
-    siblings: s.peers.map((x) => [x.member, x.zone, x.address]),
+    node: [
+      settings.member,
+      settings.zone,
+      settings.listenAddress,
+      settings.peerAddress,
+      settings.cloudAddress,
+      settings.stateServiceAddress,
+    ],
+    siblings: settings.peers.map((peer) => [peer.member, peer.zone, peer.address]),
     nodes: cluster.nodes,
     zones: cluster.zones,
     teams: cluster.teams.map((t) => [t.name, t.cpus, t.cpusMax, t.gpus, t.gpusMax]),
@@ -228,11 +245,13 @@
   };
 };
 const readSettings = (text: unknown): unknown => {
-  const r = decodeSettings(String(text));
-  return "settings" in r ? { settings: settingsForm(r.settings) } : { faults: r.faults };
+  const decoded = decodeSettings(String(text));
+  return "settings" in decoded
+    ? { settings: describeSettings(decoded.settings) }
+    : { faults: decoded.faults };
 };
 /** Returns the settings with some fields of the shared part changed, merged section by section. */
-const innerChange = (changes: Record<string, unknown>): string => {
+const withChanges = (changes: Record<string, unknown>): string => {
   const { settings } = JSON.parse(settingsText()) as { settings: Record<string, unknown> };
   const changed = Object.entries(changes).map(([name, c]) =>
     typeof c !== "object" || c === null || Array.isArray(c)
@@ -242,53 +261,53 @@
   return settingsText({ settings: { ...settings, ...Object.fromEntries(changed) } });
 };
 const sibling = { member: "n1", location: "b", addr: "10.0.0.2:70" };
-const next = { rps: 90, write_rps: 30, value_kb: 4, txn_ops: 16 };
-const zero = { report_s: 0, lease_s: 0, gang_wait_s: 0, gang_peer_s: 0, cancel_s: 0 };
-const settings: Bodies = {
+const nextLimits = { rps: 90, write_rps: 30, value_kb: 4, txn_ops: 16 };
+const zeroIntervals = { report_s: 0, lease_s: 0, gang_wait_s: 0, gang_peer_s: 0, cancel_s: 0 };
+const settingsTexts: Bodies = {
   whole: settingsText({ siblings: [sibling] }),
-  "limits to come": innerChange({ state: { next: next } }),
-  "no objectives, a bare team": innerChange({ objectives: undefined, teams: [{ name: "maps" }] }),
+  "limits to come": withChanges({ state: { next: nextLimits } }),
+  "no objectives, a bare team": withChanges({ objectives: undefined, teams: [{ name: "maps" }] }),
   "no JSON": "",
   empty: "{}",
   "bad addresses": settingsText({ serve_on: "x", mesh_addr: "a b:1", services: { cloud: "x:y" } }),
   "bad siblings": settingsText({ member: "", location: "", siblings: [{}] }),
-  "bad workers": innerChange({ workers: zero, nodes: 0.5, zones: [], teams: [{}] }),
-  "bad limits": innerChange({ state: { rps: 0, txn_ops: 1.5, next: { value_kb: 0 } } }),
-  "bad rest": innerChange({ cloud: { rps: "5" }, resources: { sockets: -1 }, clock_off_ms: null }),
+  "bad workers": withChanges({ workers: zeroIntervals, nodes: 0.5, zones: [], teams: [{}] }),
+  "bad limits": withChanges({ state: { rps: 0, txn_ops: 1.5, next: { value_kb: 0 } } }),
+  "bad rest": withChanges({ cloud: { rps: "5" }, resources: { sockets: -1 }, clock_off_ms: null }),
 };
 
-const operatorForm = (o: OperatorSettings): unknown => ({
-  termLease: o.termLeaseRatio,
-  grace: o.graceRatio,
-  keep: o.extensionRatio,
-  spare: o.spareCapacityRatio,
-  mostMachines: o.maxMachines,
-  idleLeases: o.maxIdleLeases,
-  inProgress: o.maxConcurrentRequests,
-  tracing: o.tracingEnabled,
-  admission: o.admission.enabled,
-  window: o.admission.windowRatio,
-  queue: o.admission.queueRatio,
-  timeZone: o.admission.calendar.timeZone,
-  periods: o.admission.calendar.periods.map((p) => [
-    [p.name, p.days, p.from, p.to],
-    [p.team, p.class, p.weight],
+const describeOperatorSettings = (settings: OperatorSettings): unknown => ({
+  termLease: settings.termLeaseRatio,
+  grace: settings.graceRatio,
+  keep: settings.extensionRatio,
+  spare: settings.spareCapacityRatio,
+  mostMachines: settings.maxMachines,
+  idleLeases: settings.maxIdleLeases,
+  inProgress: settings.maxConcurrentRequests,
+  tracing: settings.tracingEnabled,
+  admission: settings.admission.enabled,
+  window: settings.admission.windowRatio,
+  queue: settings.admission.queueRatio,
+  timeZone: settings.admission.calendar.timeZone,
+  periods: settings.admission.calendar.periods.map((period) => [
+    [period.name, period.days, period.from, period.to],
+    [period.team, period.class, period.weight],
   ]),
 });
 const readOperator = (text: unknown): unknown => {
-  const r = decodeOperatorSettings(String(text));
-  const operator = orNull(operatorForm)(r.operator);
-  return { operator: operator, faults: r.faults, unknown: r.unknown };
+  const decoded = decodeOperatorSettings(String(text));
+  const operator = orNull(describeOperatorSettings)(decoded.operator);
+  return { operator: operator, faults: decoded.faults, unknown: decoded.unknown };
 };
-const calendar = "[admission.calendar.night]";
-const span = "from = 22:00\nto = 06:00\nteam = maps\nweight = 4";
+const calendarSection = "[admission.calendar.night]";
+const periodFields = "from = 22:00\nto = 06:00\nteam = maps\nweight = 4";
 const wholeFile = [
   "[term]\nlease_ratio = 0.6\ngrace_ratio = 2\nkeep_ratio = 7",
   "[renting]\nspare_ratio = 2\nmax_machines = 50\nidle_leases = 30",
   "[api]\nmax_in_progress = 90\n[tracing]\nenabled = true",
   "[admission]\nenabled = true\nwindow_ratio = 2\nqueue_ratio = 3\ntime_zone = Europe/Lisbon",
-  `${calendar}\ndays = mon, Tue,sun\nclass = web\n${span}`,
-  `[admission.calendar.day]\n${span}`,
+  `${calendarSection}\ndays = mon, Tue,sun\nclass = web\n${periodFields}`,
+  `[admission.calendar.day]\n${periodFields}`,
 ].join("\n");
 const operatorFiles: Bodies = {
   empty: "",
@@ -301,14 +320,14 @@
   "not numbers": "[term]\nlease_ratio=x\n[renting]\nmax_machines=1.5\n[tracing]\nenabled=perhaps",
   "admission, bad values":
     "[admission]\nenabled=1\nwindow_ratio=0.1\nqueue_ratio=\ntime_zone=Atlantis/Centre\ncalendar=3",
-  "calendar, left out": calendar,
-  "calendar, bad values": `${calendar}\ndays=mon,x\nfrom=25:00\nto=24:01\nteam=\nclass=\nweight=0`,
+  "calendar, left out": calendarSection,
+  "calendar, bad values": `${calendarSection}\ndays=mon,x\nfrom=25:00\nto=24:01\nteam=\nclass=\nweight=0`,
 };
 
-const readHeartbeats = (hex: unknown): unknown => {
+const readPeerHeartbeats = (hex: unknown): unknown => {
   try {
-    const beats = new PeerHeartbeatReader().feed(Buffer.from(String(hex), "hex"));
-    return beats.map((b) => [b.reachesStateService, b.holdsLeadership, b.epoch, b.zoneIndex]);
+    const heartbeats = new PeerHeartbeatReader().feed(Buffer.from(String(hex), "hex"));
+    return heartbeats.map((b) => [b.reachesStateService, b.holdsLeadership, b.epoch, b.zoneIndex]);
   } catch (e) {
     return (e as Error).message;
   }
@@ -316,27 +335,38 @@
 const beat = "5001000a03000000000000010201";
 
 /** Examples of all kinds, by the names that the kinds have in the kept examples. */
-export const READ: Readonly<Record<string, ReadForm>> = {
-  reports: { bodies: reports, read: (b) => orNull(reportForm)(decodeWorkerHeartbeat(b)) },
+export const READ: Readonly<Record<string, DecodeCase>> = {
+  reports: {
+    bodies: heartbeatBodies,
+    read: (b) => orNull(describeHeartbeat)(decodeWorkerHeartbeat(b)),
+  },
   commands: {
-    bodies: commands,
+    bodies: commandBodies,
     read: (b) =>
       orNull((c: NonNullable<ReturnType<typeof decodeCommands>>) => ({
         token: c.fencingToken,
         session: c.incarnation,
-        commands: c.commands.map(commandForm),
+        commands: c.commands.map(describeCommand),
       }))(decodeCommands(b)),
   },
-  submissions: { bodies: submissions, read: (b) => orNull(jobForm)(decodeJob(b)) },
+  submissions: { bodies: submissionBodies, read: (b) => orNull(describeJob)(decodeJob(b)) },
   "machine types": {
-    bodies: { whole: catalog, "no zones": { breeds: [{ ...breed, paddocks: null }] } },
-    read: (b) => decodeCatalog(b)?.map(typeForm) ?? null,
+    bodies: {
+      whole: catalogBody,
+      "no zones": { breeds: [{ ...typeBody, paddocks: null }] },
+    },
+    read: (b) => decodeCatalog(b)?.map(describeMachineType) ?? null,
   },
   "machine list": {
-    bodies: variants(machineList, { last: { more: null }, "bad state": { mounts: [machine("")] } }),
+    bodies: variants(machineListBody, {
+      last: { more: null },
+      "bad state": { mounts: [machineBody("")] },
+    }),
     read: (b) => {
       const list = decodeMachineList(b);
-      return list === null ? null : { machines: list.machines.map(listedForm), more: list.more };
+      return list === null
+        ? null
+        : { machines: list.machines.map(describeListedMachine), more: list.more };
     },
   },
   "machines hired": {
@@ -345,7 +375,7 @@
   },
   ranges: {
     bodies: variants(
-      { items: items, more: true, ledger: 10 },
+      { items: rangeItems, more: true, ledger: 10 },
       { last: { more: null }, bad: { items: [{}] } },
     ),
     read: (b) => {
@@ -359,7 +389,7 @@
     },
   },
   "changes followed": {
-    bodies: variants({ log: log, ledger: 12 }, { bad: { log: [{ mark: 1 }] } }),
+    bodies: variants({ log: changeLogBody, ledger: 12 }, { bad: { log: [{ mark: 1 }] } }),
     read: (b) => {
       const f = decodeWatchResponse(b);
       if (f === null) return null;
@@ -377,7 +407,7 @@
     },
   },
   leases: { bodies: { whole: { tether: 7 }, bad: {} }, read: decodeLease },
-  settings: { bodies: settings, read: readSettings },
+  settings: { bodies: settingsTexts, read: readSettings },
   "operator's file": { bodies: operatorFiles, read: readOperator },
   "peer messages": {
     bodies: {
@@ -385,6 +415,6 @@
       "other kind, longer one": `5002000101${beat.replace("000a", "000b")}ff`,
       foreign: "00000000",
     },
-    read: readHeartbeats,
+    read: readPeerHeartbeats,
   },
 };
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -42,8 +42,8 @@
 import { encodeTransaction } from "../../src/wire/key-value.js";
 import { encode } from "../../src/wire/msgpack.js";
 import { decodeSettings } from "../../src/wire/settings.js";
-import { message } from "./golden-exchanges.js";
-import { catalog, submissions } from "./golden-messages.js";
+import { describeMessage } from "./golden-exchanges.js";
+import { catalogBody, submissionBodies } from "./golden-messages.js";
 import { jobSpec } from "./job-builders.js";
 import { settingsText } from "./node-settings.js";
 import { SimulatedWorkers } from "./simulated-workers.js";
@@ -51,105 +51,117 @@
 
 const NOW_MS = 1_700_000_000_000;
 
-const transaction = (conditions: readonly Precondition[], changes: readonly Change[]): unknown =>
-  message(encode(encodeTransaction(conditions, changes)));
+const describeTransaction = (
+  preconditions: readonly Precondition[],
+  changes: readonly Change[],
+): unknown => describeMessage(encode(encodeTransaction(preconditions, changes)));
 
 /** A leader that records its transactions. */
 class RecordingLeader extends TestLeader {
   readonly transactions: unknown[] = [];
-  override commitWrite(w: LeaderTransaction): void {
-    this.transactions.push(transaction(w.preconditions, w.changes));
-    super.commitWrite(w);
+  override commitWrite(write: LeaderTransaction): void {
+    this.transactions.push(describeTransaction(write.preconditions, write.changes));
+    super.commitWrite(write);
   }
 }
 
 /** Returns all values of a replica as the state service holds them. */
-function stored(records: StateReplica): unknown[] {
-  const out: KeyValueItem[] = [];
-  const add = (key: string, value: unknown, mark: number) =>
-    out.push({ key: key, value: value, modRevision: mark });
-  for (const [id, live] of records.activeJobs) {
-    add(`p/${id}`, encodeJobRecord(live.value), live.modRevision);
-    for (const [n, shard] of records.shardsOf(id)) {
+function describeStoredValues(replica: StateReplica): unknown[] {
+  const items: KeyValueItem[] = [];
+  const add = (key: string, value: unknown, revision: number) =>
+    items.push({ key: key, value: value, modRevision: revision });
+  for (const [id, record] of replica.activeJobs) {
+    add(`p/${id}`, encodeJobRecord(record.value), record.modRevision);
+    for (const [n, shard] of replica.shardsOf(id)) {
       add(`q/${id}/${n}`, encodeJobShardRecord(shard.value), shard.modRevision);
     }
   }
-  for (const [id, final] of records.finalRecords) add(`d/${id}`, encodeFinalRecord(final), 1);
-  for (const [id, cancel] of records.cancellations)
-    add(`x/${id}`, { at: 0, told: cancel.confirmedAtOnce }, 1);
-  for (const [n, group] of records.machineShards) add(`g/${n}`, group.value, group.modRevision);
-  add("epoch", encodeEpoch(records.epoch.value), records.epoch.modRevision);
-  return out.map((i) => ({
-    key: i.key,
-    mark: i.modRevision,
-    ...(message(encode(i.value)) as object),
+  for (const [id, final] of replica.finalRecords) add(`d/${id}`, encodeFinalRecord(final), 1);
+  for (const [id, cancellation] of replica.cancellations)
+    add(`x/${id}`, { at: 0, told: cancellation.confirmedAtOnce }, 1);
+  for (const [n, shard] of replica.machineShards) add(`g/${n}`, shard.value, shard.modRevision);
+  add("epoch", encodeEpoch(replica.epoch.value), replica.epoch.modRevision);
+  return items.map((item) => ({
+    key: item.key,
+    mark: item.modRevision,
+    ...(describeMessage(encode(item.value)) as object),
   }));
 }
 
 /** Runs jobs of each kind, small and sharded, with completions, failures, cancellations and dependent jobs. */
-function scenario(): Record<string, unknown> {
-  const h = new RecordingLeader({ state: { value_kb: 2 } });
-  const names = ["m1a", "m2b", "m3a", "m4b", "m5a", "m6b"];
-  const seconds: Record<string, number> = { web: 1000, large: 1 };
-  const fate = (job: string) => (job === "flaky" ? "error" : (seconds[job] ?? 5));
-  const w = new SimulatedWorkers(h, new Map(names.map((n) => [n, "small"])), fate);
-  w.runFor(4);
-  h.submit(jobSpec("web", { kind: "service", tasks: 2, spread: true, priority: "production" }));
-  h.submit(jobSpec("list", { tasks: 3, types: ["small"], deadlineS: 900 }));
-  h.submit(jobSpec("gang", { kind: "gang", tasks: 2, oneZone: true, team: "maps" }));
-  h.submit(jobSpec("after+list", { after: ["list"] }));
-  h.submit(jobSpec("after-gang", { after: ["gang"] }));
-  h.submit(jobSpec("flaky", { team: "maps" }));
-  h.submit(jobSpec("large", { team: "maps", tasks: 170, priority: "low", memoryGb: 0.5 }));
-  w.runFor(2);
-  h.cancel("gang");
-  w.crashMachine("m6b");
-  const middle = stored(h.replica);
-  w.runFor(8);
-  for (const id of ["list", "gang"]) h.notifyJobChanged(id);
-  w.runFor(3);
-  h.cancel("large");
-  w.runFor(4);
-  return { transactions: h.transactions, middle: middle, end: stored(h.replica) };
+function runScenario(): Record<string, unknown> {
+  const leader = new RecordingLeader({ state: { value_kb: 2 } });
+  const machineNames = ["m1a", "m2b", "m3a", "m4b", "m5a", "m6b"];
+  const taskSeconds: Record<string, number> = { web: 1000, large: 1 };
+  const taskOutcome = (job: string) => (job === "flaky" ? "error" : (taskSeconds[job] ?? 5));
+  const workers = new SimulatedWorkers(
+    leader,
+    new Map(machineNames.map((n) => [n, "small"])),
+    taskOutcome,
+  );
+  workers.runFor(4);
+  leader.submit(
+    jobSpec("web", { kind: "service", tasks: 2, spread: true, priority: "production" }),
+  );
+  leader.submit(jobSpec("list", { tasks: 3, types: ["small"], deadlineS: 900 }));
+  leader.submit(jobSpec("gang", { kind: "gang", tasks: 2, oneZone: true, team: "maps" }));
+  leader.submit(jobSpec("after+list", { after: ["list"] }));
+  leader.submit(jobSpec("after-gang", { after: ["gang"] }));
+  leader.submit(jobSpec("flaky", { team: "maps" }));
+  leader.submit(jobSpec("large", { team: "maps", tasks: 170, priority: "low", memoryGb: 0.5 }));
+  workers.runFor(2);
+  leader.cancel("gang");
+  workers.crashMachine("m6b");
+  const middle = describeStoredValues(leader.replica);
+  workers.runFor(8);
+  for (const id of ["list", "gang"]) leader.notifyJobChanged(id);
+  workers.runFor(3);
+  leader.cancel("large");
+  workers.runFor(4);
+  return {
+    transactions: leader.transactions,
+    middle: middle,
+    end: describeStoredValues(leader.replica),
+  };
 }
 
 /**
  * A client of a state service that accepts every request; it records the transactions and applies them to a replica.
  */
-class RecordingStore extends KeyValueClient {
+class RecordingKeyValueClient extends KeyValueClient {
   readonly transactions: unknown[] = [];
   private revision = 10;
-  constructor(private readonly records: StateReplica) {
+  constructor(private readonly replica: StateReplica) {
     super("127.0.0.1:1", () => 0, 1);
   }
   override async transact(
-    conditions: readonly Precondition[],
+    preconditions: readonly Precondition[],
     changes: readonly Change[],
   ): Promise<TransactionResult> {
-    this.transactions.push(transaction(conditions, changes));
-    const mark = ++this.revision;
-    const events = changes.map((c) => ({
-      key: c.key,
-      value: c.op === "put" ? c.value : null,
-      removed: c.op === "delete",
-      modRevision: mark,
+    this.transactions.push(describeTransaction(preconditions, changes));
+    const revision = ++this.revision;
+    const events = changes.map((change) => ({
+      key: change.key,
+      value: change.op === "put" ? change.value : null,
+      removed: change.op === "delete",
+      modRevision: revision,
     }));
-    this.records.apply(events, mark);
-    return { kind: "ok", revision: mark };
+    this.replica.apply(events, revision);
+    return { kind: "ok", revision };
   }
   override async grantLease(): Promise<LeaseGrant> {
     return { kind: "ok", leaseId: 7 };
   }
   override async revokeLease(): Promise<void> {}
 }
-class CaughtUp extends StateWatcher {
+class UpToDateWatcher extends StateWatcher {
   override async readLatest(): Promise<boolean> {
     return true;
   }
 }
-class KnownCloud extends CloudClient {
+class FixedCatalogCloudClient extends CloudClient {
   override async fetchCatalog(): Promise<MachineType[] | null> {
-    return decodeCatalog(catalog);
+    return decodeCatalog(catalogBody);
   }
 }
 
@@ -157,22 +169,22 @@
  * Records the transactions of a node that acquires leadership and raises its fencing token, stores the machine types,
  * and handles two submissions and a cancellation.
  */
-async function nodes(): Promise<unknown[]> {
-  const records = new StateReplica();
-  records.reset([], 0);
-  const store = new RecordingStore(records);
-  const follower = new CaughtUp({
-    keyValueClient: store,
-    replica: records,
+async function recordNodeTransactions(): Promise<unknown[]> {
+  const replica = new StateReplica();
+  replica.reset([], 0);
+  const keyValueClient = new RecordingKeyValueClient(replica);
+  const watcher = new UpToDateWatcher({
+    keyValueClient,
+    replica,
     now: () => 0,
     minimumIntervalS: 0,
     blockMs: 0,
     onChange: () => {},
     observer: null,
   });
-  follower.isLoaded = true;
+  watcher.isLoaded = true;
   const { scheduler } = new TestLeader();
-  const leadership = new Leadership(store, follower, records, {
+  const leadership = new Leadership(keyValueClient, watcher, replica, {
     member: "n0",
     leaseS: 4,
     leaseExtensionS: 60,
@@ -188,9 +200,9 @@
   mock.timers.reset();
   await leadership.advanceFencingToken(leadership.current);
   leadership.stop();
-  await typesKept(store, follower, records);
-  const intake = new SubmissionWriter({
-    keyValueClient: store,
+  await storeMachineTypes(keyValueClient, watcher, replica);
+  const submissionWriter = new SubmissionWriter({
+    keyValueClient,
     writeBudget: new TokenBucket(100, 100),
     now: () => 0,
     maxChanges: 32,
@@ -198,36 +210,39 @@
     maxValueBytes: 8192,
     maxWaitS: 5,
   });
-  await intake.submit(decodeJob(submissions.whole)!, NOW_MS);
-  await intake.submit(decodeJob({ ...(submissions.full as object), nameId: "run.2" })!, NOW_MS);
-  await intake.cancel("run-1", NOW_MS + 1);
-  return store.transactions;
+  await submissionWriter.submit(decodeJob(submissionBodies.whole)!, NOW_MS);
+  await submissionWriter.submit(
+    decodeJob({ ...(submissionBodies.full as object), nameId: "run.2" })!,
+    NOW_MS,
+  );
+  await submissionWriter.cancel("run-1", NOW_MS + 1);
+  return keyValueClient.transactions;
 }
 
-async function typesKept(
-  store: KeyValueClient,
-  follower: StateWatcher,
-  records: StateReplica,
+async function storeMachineTypes(
+  keyValueClient: KeyValueClient,
+  watcher: StateWatcher,
+  replica: StateReplica,
 ): Promise<void> {
   const decoded = decodeSettings(settingsText());
   if (!("settings" in decoded)) throw new Error("the settings of the test are invalid");
-  const cloud = new KnownCloud("127.0.0.1:1", 1);
+  const cloud = new FixedCatalogCloudClient("127.0.0.1:1", 1);
   const { cluster } = decoded.settings;
-  const types = new MachineTypeCatalog({
+  const machineTypeCatalog = new MachineTypeCatalog({
     cluster,
     cloud,
-    keyValueClient: store,
-    watcher: follower,
-    replica: records,
+    keyValueClient,
+    watcher,
+    replica,
     onChange: () => {},
   });
-  void types.run();
-  while (records.machineTypes === null) await nextTurn();
-  types.stop();
+  void machineTypeCatalog.run();
+  while (replica.machineTypes === null) await nextTurn();
+  machineTypeCatalog.stop();
 }
 
 const TEAM = "café/maps";
-const amounts = { cpus: 8, gpus: 1.5, memoryGb: 64 };
+const RESOURCES = { cpus: 8, gpus: 1.5, memoryGb: 64 };
 const WINDOW: AdmissionWindow = {
   version: 5,
   epoch: 2,
@@ -241,7 +256,7 @@
 };
 
 /** Encodes an admission window, the ledger that a batch of submissions charges, and a record of rejections. */
-function admission(): unknown {
+function encodeAdmissionValues(): unknown {
   const replica = new AdmissionReplica();
   const window = encodeWindow(WINDOW);
   const key = ADMISSION_KEY.window;
@@ -255,44 +270,74 @@
   const batch = new ClaimBatch(replica);
   for (const name of ["batch", "web"]) batch.tryAdmit(jobSpec(name, { team: TEAM, class: name }));
   batch.tryAdmit(jobSpec("follower", { team: TEAM, after: ["x"], cpus: 0.000_001, memoryGb: 0 }));
-  const refused = { team: TEAM, class: "web", lane: "new", jobs: 3, ids: ["a"] } as const;
-  const classes = [{ ...refused, resources: amounts }];
+  const rejectedClass = { team: TEAM, class: "web", lane: "new", jobs: 3, ids: ["a"] } as const;
+  const classes = [{ ...rejectedClass, resources: RESOURCES }];
   const rejections = { member: "n/0", window: 5, sequence: 9, classes: classes };
   return {
-    window: message(encode(window)),
-    charged: transaction(batch.preconditions, batch.changes),
-    ledger: message(encode(batch.changes[0]!.op === "put" ? batch.changes[0]!.value : null)),
-    rejections: message(encode(encodeRejections(rejections))),
+    window: describeMessage(encode(window)),
+    charged: describeTransaction(batch.preconditions, batch.changes),
+    ledger: describeMessage(
+      encode(batch.changes[0]!.op === "put" ? batch.changes[0]!.value : null),
+    ),
+    rejections: describeMessage(encode(encodeRejections(rejections))),
     rejectionsKey: ADMISSION_KEY.rejections("n/0"),
   };
 }
 
 /** Decodes a stored window, ledger and record of rejections. */
 export function readAdmission(window: unknown, ledger: unknown, rejections: unknown): unknown {
-  const w = decodeWindow(window);
-  const l = decodeLedger(ledger);
-  const r = decodeRejections("n/0", rejections);
+  const decodedWindow = decodeWindow(window);
+  const decodedLedger = decodeLedger(ledger);
+  const decodedRejections = decodeRejections("n/0", rejections);
   return {
-    window: w && [w.version, w.epoch, w.mode, w.periods],
-    capacity: w && [w.capacity.cpus, w.capacity.gpus, w.capacity.memoryGb],
-    grants: w?.grants.map((g) => [g.team, g.class, g.lanes.new, g.lanes.follower]),
-    ledger: l && [l.window, [...l.used].map(([name, used]) => [name, used.new, used.follower])],
-    rejections: r && [r.member, r.window, r.sequence],
-    refused: r?.classes.map((c) => [c.team, c.class, c.lane, c.jobs, c.ids, c.resources.cpus]),
+    window: decodedWindow && [
+      decodedWindow.version,
+      decodedWindow.epoch,
+      decodedWindow.mode,
+      decodedWindow.periods,
+    ],
+    capacity: decodedWindow && [
+      decodedWindow.capacity.cpus,
+      decodedWindow.capacity.gpus,
+      decodedWindow.capacity.memoryGb,
+    ],
+    grants: decodedWindow?.grants.map((grant) => [
+      grant.team,
+      grant.class,
+      grant.lanes.new,
+      grant.lanes.follower,
+    ]),
+    ledger: decodedLedger && [
+      decodedLedger.window,
+      [...decodedLedger.used].map(([name, used]) => [name, used.new, used.follower]),
+    ],
+    rejections: decodedRejections && [
+      decodedRejections.member,
+      decodedRejections.window,
+      decodedRejections.sequence,
+    ],
+    refused: decodedRejections?.classes.map((rejected) => [
+      rejected.team,
+      rejected.class,
+      rejected.lane,
+      rejected.jobs,
+      rejected.ids,
+      rejected.resources.cpus,
+    ]),
   };
 }
 
 /** Returns the job views for users, and the state that a new leader restores, from stored values. */
 export function readStored(items: KeyValueItem[]): unknown {
-  const records = new StateReplica();
-  records.reset(items, 1000);
-  const ids = [...records.activeJobs.keys(), ...records.finalRecords.keys()];
+  const replica = new StateReplica();
+  replica.reset(items, 1000);
+  const ids = [...replica.activeJobs.keys(), ...replica.finalRecords.keys()];
   const views = ids.map((id) => {
-    const view = records.view(id)!;
+    const view = replica.view(id)!;
     return [id, view.state, view.done, view.running];
   });
-  const next = new TestLeader({ replica: records, epoch: 2, state: { value_kb: 2 } });
-  const jobs = [...next.scheduler.cluster.jobs.values()].map((job) => ({
+  const newLeader = new TestLeader({ replica, epoch: 2, state: { value_kb: 2 } });
+  const jobs = [...newLeader.scheduler.cluster.jobs.values()].map((job) => ({
     id: job.spec.id,
     owner: job.ownerEpoch,
     version: job.version,
@@ -300,29 +345,33 @@
     done: job.doneTasks.toString(),
     residuals: job.residualsText,
     partSize: job.shardSize,
-    parts: [...job.shards.values()].map((p) => [
-      p.index,
-      p.firstTask,
-      p.endTask,
-      p.attempt,
-      p.persistedVersion,
+    parts: [...job.shards.values()].map((shard) => [
+      shard.index,
+      shard.firstTask,
+      shard.endTask,
+      shard.attempt,
+      shard.persistedVersion,
     ]),
-    placements: [...job.placements.values()].map((p) => [
-      [p.task, p.attempt],
-      [p.machine.name, p.incarnation],
+    placements: [...job.placements.values()].map((placement) => [
+      [placement.task, placement.attempt],
+      [placement.machine.name, placement.incarnation],
     ]),
   }));
-  const machines = [...next.scheduler.cluster.machines.values()].map((m) => ({
-    name: m.name,
-    address: m.address,
-    type: m.type.name,
-    zone: m.zone,
-    spot: m.spot,
+  const machines = [...newLeader.scheduler.cluster.machines.values()].map((machine) => ({
+    name: machine.name,
+    address: machine.address,
+    type: machine.type.name,
+    zone: machine.zone,
+    spot: machine.spot,
   }));
   return { views: views, jobs: jobs, machines: machines };
 }
 
 /** Records all stored forms, by the names that they have in the kept examples. */
 export async function storedForms(): Promise<Record<string, unknown>> {
-  return { scenario: scenario(), nodes: await nodes(), admission: admission() };
+  return {
+    scenario: runScenario(),
+    nodes: await recordNodeTransactions(),
+    admission: encodeAdmissionValues(),
+  };
 }
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -89,8 +89,8 @@
 
   private constructor(readonly options: InProcessClusterOptions) {}
 
-  static async open(change: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
-    const cluster = new InProcessCluster({ ...DEFAULT_OPTIONS, ...change });
+  static async open(overrides: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
+    const cluster = new InProcessCluster({ ...DEFAULT_OPTIONS, ...overrides });
     try {
       await cluster.startAll();
     } catch (error) {
@@ -102,9 +102,12 @@
   }
 
   /** Starts the controller of a node. `operatorIni` replaces the operators' settings of the cluster. */
-  async startNode(i: number, operatorIni: string = this.options.operatorIni): Promise<void> {
-    const node = this.nodes[i]!;
-    const controller = createController(node.settings, operatorIni, this.loggerFor(i));
+  async startNode(
+    nodeIndex: number,
+    operatorIni: string = this.options.operatorIni,
+  ): Promise<void> {
+    const node = this.nodes[nodeIndex]!;
+    const controller = createController(node.settings, operatorIni, this.loggerFor(nodeIndex));
     node.controller = controller;
     await startController(controller);
   }
@@ -113,9 +116,9 @@
    * Stops the controller of a node without notice to the others, as if its process were killed. Requests that it sent
    * before may still arrive.
    */
-  async stopNode(i: number): Promise<void> {
-    await this.nodes[i]!.controller?.stop();
-    this.nodes[i]!.controller = null;
+  async stopNode(nodeIndex: number): Promise<void> {
+    await this.nodes[nodeIndex]!.controller?.stop();
+    this.nodes[nodeIndex]!.controller = null;
   }
 
   /** Index of the leader according to the state service; -1 if there is none. */
@@ -128,15 +131,20 @@
   /** Machines on which any task of the job is running, as the machines themselves report it. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
-    for (const [task, where] of this.machinesByTask) {
-      if (task.startsWith(`${job}/`)) for (const machine of where) machines.add(machine);
+    for (const [task, taskMachines] of this.machinesByTask) {
+      if (task.startsWith(`${job}/`)) for (const machine of taskMachines) machines.add(machine);
     }
     return machines;
   }
 
-  async request(i: number, method: string, path: string, body?: unknown): Promise<JobAnswer> {
+  async request(
+    nodeIndex: number,
+    method: string,
+    path: string,
+    body?: unknown,
+  ): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
-    const { connection } = this.nodes[i]!;
+    const { connection } = this.nodes[nodeIndex]!;
     const response = await connection.request(method, path, bytes, REQUEST_TIMEOUT_MS);
     return {
       status: response.status,
@@ -145,28 +153,28 @@
     };
   }
 
-  submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
-    return this.submitBody(i, encodeJob(clusterJob(id, change)));
+  submitJob(nodeIndex: number, id: string, overrides: Partial<JobSpec> = {}): Promise<JobAnswer> {
+    return this.submitBody(nodeIndex, encodeJob(clusterJob(id, overrides)));
   }
 
   /** Submits a job with the given body, which may be malformed. */
-  submitBody(i: number, body: Record<string, unknown>): Promise<JobAnswer> {
-    return this.request(i, "POST", "/api/jobs", body);
+  submitBody(nodeIndex: number, body: Record<string, unknown>): Promise<JobAnswer> {
+    return this.request(nodeIndex, "POST", "/api/jobs", body);
   }
 
-  queryJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, "GET", `/api/jobs/${id}`);
+  queryJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, "GET", `/api/jobs/${id}`);
   }
 
-  cancelJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, "POST", `/api/jobs/${id}/withdraw`, {});
+  cancelJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
   /** Submits the job and returns once all its tasks are running. */
-  async submitAndAwaitRunning(id: string, change: Partial<JobSpec> = {}): Promise<void> {
-    const isAccepted = async () => (await this.submitJob(0, id, change)).status <= 201;
+  async submitAndAwaitRunning(id: string, overrides: Partial<JobSpec> = {}): Promise<void> {
+    const isAccepted = async () => (await this.submitJob(0, id, overrides)).status <= 201;
     await waitUntil(`${id} is accepted`, isAccepted);
-    const { tasks } = clusterJob(id, change);
+    const { tasks } = clusterJob(id, overrides);
     await waitUntil(`${id} runs`, () => this.runningTaskCount(id) === tasks);
   }
 
@@ -258,11 +266,11 @@
     return count;
   }
 
-  private loggerFor(i: number): Logger {
+  private loggerFor(nodeIndex: number): Logger {
     const level = process.env.SITE_LOG;
-    if (level !== undefined) return pino({ level }).child({ node: i });
+    if (level !== undefined) return pino({ level }).child({ node: nodeIndex });
     const decisions: Record<string, unknown>[] = [];
-    this.admissionDecisions[i] = decisions;
+    this.admissionDecisions[nodeIndex] = decisions;
     const write = (text: string): void => {
       const { level: _, time: __, msg, ...line } = JSON.parse(text) as Record<string, unknown>;
       if (msg === "admission decision") decisions.push(line);
@@ -271,18 +279,18 @@
   }
 }
 
-const zoneOf = (i: number): string => (i % 2 === 0 ? "a" : "b");
+const zoneOf = (index: number): string => (index % 2 === 0 ? "a" : "b");
 
 /** Defines a test of a complete cluster, which also fails if a task ever runs on two machines at once. */
 export function clusterTest(
   name: string,
   options: Partial<InProcessClusterOptions>,
-  body: (cluster: InProcessCluster) => Promise<void>,
+  run: (cluster: InProcessCluster) => Promise<void>,
 ): void {
   test(name, { timeout: TEST_TIMEOUT_MS }, async (t) => {
     const cluster = await InProcessCluster.open(options);
     t.after(() => cluster.close());
-    await body(cluster);
+    await run(cluster);
     assert.deepEqual(cluster.duplicateStarts, [], "ran_twice");
   });
 }
--- a/tests/support/job-answers.ts
+++ b/tests/support/job-answers.ts
@@ -61,7 +61,7 @@
   /** Number of answers with a status other than 429 and 503. */
   answered = 0;
   /** The highest rank of a state in the answers so far; -1 if there was none. */
-  private latestRank = -1;
+  private highestRank = -1;
   private terminalState: string | undefined;
 
   constructor(
@@ -71,7 +71,7 @@
 
   /** Sends a request and compares its answer with those that had arrived before. */
   async check(request: () => Promise<JobAnswer>): Promise<void> {
-    const rankBefore = this.latestRank;
+    const rankBefore = this.highestRank;
     const { status, state } = await request();
     if (status === 503 || status === 429) return;
     this.answered++;
@@ -83,13 +83,13 @@
       assert.equal(this.terminalState ?? state, state);
       this.terminalState = state;
     }
-    this.latestRank = Math.max(this.latestRank, rank);
+    this.highestRank = Math.max(this.highestRank, rank);
   }
 
   /** In each round, sends a query and a submission to every node and the other requests, all at once. */
   async checkAll(
     rounds: number,
-    others: readonly (() => Promise<JobAnswer>)[] = [],
+    otherRequests: readonly (() => Promise<JobAnswer>)[] = [],
   ): Promise<void> {
     const { cluster, id } = this;
     for (let round = 0; round < rounds; round++) {
@@ -97,7 +97,7 @@
         this.check(() => cluster.queryJob(node, id)),
         this.check(() => cluster.submitJob(node, id)),
       ]);
-      await Promise.all([...checks, ...others.map((request) => this.check(request))]);
+      await Promise.all([...checks, ...otherRequests.map((request) => this.check(request))]);
     }
   }
 }
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -28,7 +28,7 @@
 const ZONE = "a";
 const DEFAULT_WORKER_COUNT = 4;
 const HEARTBEAT_INTERVAL_MS = 300;
-const DEFAULT_HEARTBEAT = { everyS: 1, leaseS: 6 };
+const DEFAULT_HEARTBEAT = { intervalS: 1, leaseS: 6 };
 const MAX_CONNECTIONS = 4;
 const REQUEST_TIMEOUT_MS = 2000;
 const HEALTH_TIMEOUT_MS = 1000;
@@ -52,7 +52,7 @@
   /** Called when a task exits. */
   readonly onTaskExit?: (task: string, cause: TaskStatus["cause"]) => void;
   /** Heartbeat interval and lease duration of workers, in seconds, for the controllers and the workers. */
-  readonly heartbeat?: { readonly everyS: number; readonly leaseS: number };
+  readonly heartbeat?: { readonly intervalS: number; readonly leaseS: number };
   /** Arguments of Node.js that precede the program. */
   readonly nodeArguments?: readonly string[];
   /** Returns environment variables for the process of a node. */
@@ -100,28 +100,28 @@
     return cluster;
   }
 
-  startNode(i: number, program: string = PROGRAM): void {
+  startNode(nodeIndex: number, program: string = PROGRAM): void {
     const { onLogLine, environment } = this.options;
-    this.processes[i] = startControllerProcess({
-      arguments: this.argumentsOf(i, program),
-      environment: environment?.(i) ?? {},
-      ...(onLogLine === undefined ? {} : { onLogLine: (line) => onLogLine(i, line) }),
+    this.processes[nodeIndex] = startControllerProcess({
+      arguments: this.argumentsOf(nodeIndex, program),
+      environment: environment?.(nodeIndex) ?? {},
+      ...(onLogLine === undefined ? {} : { onLogLine: (line) => onLogLine(nodeIndex, line) }),
     });
   }
 
-  signalNode(i: number, signal: "SIGKILL" | "SIGSTOP" | "SIGCONT" | "SIGUSR2"): void {
-    this.processes[i]?.kill(signal);
+  signalNode(nodeIndex: number, signal: "SIGKILL" | "SIGSTOP" | "SIGCONT" | "SIGUSR2"): void {
+    this.processes[nodeIndex]?.kill(signal);
   }
 
   /** Kills the process of a node and starts one that runs the given program. */
-  replaceNode(i: number, program: string = PROGRAM): void {
-    this.signalNode(i, "SIGKILL");
-    this.startNode(i, program);
+  replaceNode(nodeIndex: number, program: string = PROGRAM): void {
+    this.signalNode(nodeIndex, "SIGKILL");
+    this.startNode(nodeIndex, program);
   }
 
-  async awaitHealthy(i: number): Promise<void> {
-    await waitForProcesses(`n${i} is healthy`, async () => {
-      const response = await this.connections[i]!.request(
+  async awaitHealthy(nodeIndex: number): Promise<void> {
+    await waitForProcesses(`n${nodeIndex} is healthy`, async () => {
+      const response = await this.connections[nodeIndex]!.request(
         "GET",
         "/healthz",
         null,
@@ -143,21 +143,25 @@
     return (this.stateService.entries.get("epoch")?.value as { n: number } | undefined)?.n ?? 0;
   }
 
-  async awaitOtherLeader(than: number): Promise<number> {
-    const isOther = () => ![-1, than].includes(this.leaderIndex());
-    await waitForProcesses(`another leader than n${than}`, isOther);
+  async awaitOtherLeader(previousLeader: number): Promise<number> {
+    const isOther = () => ![-1, previousLeader].includes(this.leaderIndex());
+    await waitForProcesses(`another leader than n${previousLeader}`, isOther);
     return this.leaderIndex();
   }
 
   /** Submits the job to one node, and retries as users do until the answer is final. */
-  submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
-    return this.request(i, id, "POST", "/api/jobs", this.recordSubmission(id, change));
+  submitJob(nodeIndex: number, id: string, overrides: Partial<JobSpec> = {}): Promise<JobAnswer> {
+    return this.request(nodeIndex, id, "POST", "/api/jobs", this.recordSubmission(id, overrides));
   }
 
   /** Submits the job without a retry. A missing answer counts as 503. */
-  async submitJobOnce(i: number, id: string, change: Partial<JobSpec>): Promise<JobAnswer> {
-    const body = encode(this.recordSubmission(id, change));
-    const response = await this.connections[i]!.request(
+  async submitJobOnce(
+    nodeIndex: number,
+    id: string,
+    overrides: Partial<JobSpec>,
+  ): Promise<JobAnswer> {
+    const body = encode(this.recordSubmission(id, overrides));
+    const response = await this.connections[nodeIndex]!.request(
       "POST",
       "/api/jobs",
       body,
@@ -167,21 +171,21 @@
     return this.recordAnswer(id, response.status, response.body);
   }
 
-  queryJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, id, "GET", `/api/jobs/${id}`);
+  queryJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, id, "GET", `/api/jobs/${id}`);
   }
 
-  cancelJob(i: number, id: string): Promise<JobAnswer> {
+  cancelJob(nodeIndex: number, id: string): Promise<JobAnswer> {
     this.ruleChecker.cancelRequested(id);
-    return this.request(i, id, "POST", `/api/jobs/${id}/withdraw`, {});
+    return this.request(nodeIndex, id, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
   /** Drops commands and answers to the machines of a job for some seconds. */
-  async dropInboundTraffic(id: string, forS: number): Promise<void> {
+  async dropInboundTraffic(id: string, durationS: number): Promise<void> {
     const names = [...this.ruleChecker.machinesOf(id)];
     const workers = names.map((name) => this.cloud.workers.get(name)!);
     for (const worker of workers) worker.dropsInbound = true;
-    await sleepSeconds(forS);
+    await sleepSeconds(durationS);
     for (const worker of workers) worker.dropsInbound = false;
   }
 
@@ -210,7 +214,7 @@
     }
     const shared = {
       workers: {
-        report_s: heartbeat.everyS,
+        report_s: heartbeat.intervalS,
         lease_s: heartbeat.leaseS,
         gang_wait_s: 10,
         gang_peer_s: 3,
@@ -238,7 +242,7 @@
         controllers: this.members,
         taskMs,
         heartbeatIntervalMs:
-          heartbeat === undefined ? HEARTBEAT_INTERVAL_MS : heartbeat.everyS * 1000,
+          heartbeat === undefined ? HEARTBEAT_INTERVAL_MS : heartbeat.intervalS * 1000,
         leaseMs: leaseS * 1000,
         onTaskChange: (task, machine, isRunning, cause) => {
           this.ruleChecker.taskChanged(task, machine, isRunning, cause);
@@ -253,15 +257,15 @@
   }
 
   /** Arguments of Node.js for a node. Other versions of the program are not given the operators' settings. */
-  private argumentsOf(i: number, program: string): string[] {
+  private argumentsOf(nodeIndex: number, program: string): string[] {
     const operator =
       program === PROGRAM && this.operatorFile !== null ? ["--operator", this.operatorFile] : [];
     const { nodeArguments = [] } = this.options;
-    return [...nodeArguments, program, "--config", this.settingsFiles[i]!, ...operator];
+    return [...nodeArguments, program, "--config", this.settingsFiles[nodeIndex]!, ...operator];
   }
 
   private async request(
-    i: number,
+    nodeIndex: number,
     id: string,
     method: string,
     path: string,
@@ -269,7 +273,7 @@
   ): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const response = await this.connections[i]!.request(
+      const response = await this.connections[nodeIndex]!.request(
         method,
         path,
         bytes,
@@ -280,11 +284,11 @@
       }
       await sleepSeconds(RETRY_INTERVAL_S);
     }
-    assert.fail(`n${i} gave no final answer to ${method} ${path} in ${MAX_ATTEMPTS} attempts`);
+    assert.fail(`n${nodeIndex} gave no final answer to ${method} ${path}`);
   }
 
-  private recordSubmission(id: string, change: Partial<JobSpec>): Record<string, unknown> {
-    const spec = clusterJob(id, change);
+  private recordSubmission(id: string, overrides: Partial<JobSpec>): Record<string, unknown> {
+    const spec = clusterJob(id, overrides);
     this.ruleChecker.jobSubmitted(spec);
     return encodeJob(spec);
   }
--- a/tests/support/node-settings.ts
+++ b/tests/support/node-settings.ts
@@ -1,8 +1,8 @@
 /** Builds settings of a controller in the format of the settings file. */
 import { decodeSettings, type NodeSettings } from "../../src/wire/settings.js";
 
-/** Returns the text of a node's settings file; `change` replaces top-level fields. */
-export const settingsText = (change: Record<string, unknown> = {}): string =>
+/** Returns the text of a node's settings file; `overrides` replaces top-level fields. */
+export const settingsText = (overrides: Record<string, unknown> = {}): string =>
   JSON.stringify({
     member: "n0",
     location: "a",
@@ -25,7 +25,7 @@
       resources: { cpu_share: 0.25, mem_mb: 242, sockets: 1500 },
       clock_off_ms: 25,
     },
-    ...change,
+    ...overrides,
   });
 
 /** The part of the settings that all nodes share. */
--- a/tests/support/overload/admission-audit.ts
+++ b/tests/support/overload/admission-audit.ts
@@ -7,7 +7,7 @@
   WHOLE_SHARE,
 } from "../../../src/admission/index.js";
 import { compareDecisionLogs, type DecisionLine } from "../decision-logs.js";
-import { LOADS } from "./workload.js";
+import { CLASS_LOADS } from "./workload.js";
 
 const LEDGER_PREFIX = "a/t/";
 
@@ -57,7 +57,7 @@
     onFault(`a claim on window ${ledger.window} was written in window ${window.version}`);
     return;
   }
-  const load = LOADS.find((candidate) => candidate.team === team)!;
+  const load = CLASS_LOADS.find((candidate) => candidate.team === team)!;
   const largestClaim = Math.ceil((load.tasks / window.capacity.cpus) * WHOLE_SHARE) + 1;
   for (const [name, used] of ledger.used) {
     const grant = window.grants.find(
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -13,8 +13,16 @@
 import { MultiProcessCluster } from "../multi-process-cluster.js";
 import { waitForProcesses } from "../waiting.js";
 import { auditLogs, auditWindows } from "./admission-audit.js";
-import { type ClassFigures, INTERVAL_S, type OverloadReport, reportClass } from "./report.js";
-import { CONTROLLERS, CPUS, LOADS, type Load, PATIENCE_S, TASK_S, WORKERS } from "./workload.js";
+import { type ClassCounters, INTERVAL_S, type OverloadReport, reportClass } from "./report.js";
+import {
+  CLASS_LOADS,
+  type ClassLoad,
+  CONTROLLER_COUNT,
+  TASK_S,
+  TOTAL_CPUS,
+  USER_TIMEOUT_S,
+  WORKER_COUNT,
+} from "./workload.js";
 
 const OPERATOR_INI = "[admission]\nenabled = true\n";
 /** Intervals within this time after a disturbance are excluded from the minimum CPU usage. */
@@ -22,21 +30,21 @@
 const REQUEST_TIMEOUT_MS = 5000;
 
 class OverloadRun {
-  private readonly classes = new Map<string, ClassFigures>();
-  private readonly logs: Record<string, unknown>[][] = [[], [], []];
-  private readonly answers: Histogram = build({ numberOfSignificantValueDigits: 3 });
+  private readonly countersByClass = new Map<string, ClassCounters>();
+  private readonly decisionLogs: Record<string, unknown>[][] = [[], [], []];
+  private readonly responseTimes: Histogram = build({ numberOfSignificantValueDigits: 3 });
   private readonly disturbances: { from: number; to: number }[] = [];
-  private readonly accepted = new Map<string, Load>();
+  private readonly acceptedJobs = new Map<string, ClassLoad>();
   private readonly faults: string[] = [];
-  private startedAt = 0;
-  private writes = 0;
+  private startedAtS = 0;
+  private stateChanges = 0;
 
   private constructor(
     private readonly cluster: MultiProcessCluster,
     private readonly seconds: number,
   ) {
-    for (const load of LOADS) {
-      this.classes.set(load.class, {
+    for (const load of CLASS_LOADS) {
+      this.countersByClass.set(load.class, {
         submitted: 0,
         accepted: 0,
         givenUp: 0,
@@ -51,8 +59,8 @@
     const cluster = await MultiProcessCluster.open({
       taskMs: () => TASK_S * 1000,
       operatorIni: OPERATOR_INI,
-      workers: WORKERS,
-      teams: LOADS.map(({ team, guaranteed }) => ({ name: team, cpus: guaranteed })),
+      workers: WORKER_COUNT,
+      teams: CLASS_LOADS.map(({ team, guaranteedCpus }) => ({ name: team, cpus: guaranteedCpus })),
       onLogLine: (node, line) => overload?.recordLogLine(node, line),
       onTaskExit: (task, cause) => {
         if (cause === "done") overload?.recordTaskDone(task);
@@ -60,7 +68,7 @@
     });
     try {
       overload = new OverloadRun(cluster, seconds);
-      return await overload.play();
+      return await overload.execute();
     } finally {
       cluster.close();
     }
@@ -68,35 +76,35 @@
 
   /** Seconds since the run began. */
   private now(): number {
-    return performance.now() / 1000 - this.startedAt;
+    return performance.now() / 1000 - this.startedAtS;
   }
 
   private recordLogLine(node: number, line: Record<string, unknown>): void {
     if (line.msg !== "admission decision") return;
     const { level, time, msg, member, ...decision } = line;
-    this.logs[node]!.push(decision);
+    this.decisionLogs[node]!.push(decision);
   }
 
   private recordTaskDone(task: string): void {
-    const load = this.accepted.get(task.slice(0, task.lastIndexOf("/")));
-    const figures = load === undefined ? undefined : this.classes.get(load.class);
+    const load = this.acceptedJobs.get(task.slice(0, task.lastIndexOf("/")));
+    const counters = load === undefined ? undefined : this.countersByClass.get(load.class);
     const interval = Math.floor(this.now() / INTERVAL_S);
-    if (figures !== undefined && interval < figures.tasksDone.length) {
-      figures.tasksDone[interval]!++;
+    if (counters !== undefined && interval < counters.tasksDone.length) {
+      counters.tasksDone[interval]!++;
     }
   }
 
-  private async play(): Promise<OverloadReport> {
+  private async execute(): Promise<OverloadReport> {
     const { cluster } = this;
-    for (let index = 0; index < CONTROLLERS; index++) cluster.startNode(index);
-    for (let index = 0; index < CONTROLLERS; index++) await cluster.awaitHealthy(index);
+    for (let index = 0; index < CONTROLLER_COUNT; index++) cluster.startNode(index);
+    for (let index = 0; index < CONTROLLER_COUNT; index++) await cluster.awaitHealthy(index);
     await waitForProcesses("a leader is elected", () => cluster.leaderIndex() >= 0);
-    this.startedAt = performance.now() / 1000;
+    this.startedAtS = performance.now() / 1000;
     const changesBefore = this.changeCount();
-    const users = LOADS.map((load) => this.submitAll(load));
-    await this.disturb();
+    const users = CLASS_LOADS.map((load) => this.submitJobs(load));
+    await this.causeDisturbances();
     await Promise.all(users);
-    this.writes = this.changeCount() - changesBefore;
+    this.stateChanges = this.changeCount() - changesBefore;
     await this.checkAccepted();
     await sleepSeconds(2);
     return this.report();
@@ -106,9 +114,9 @@
    * Checks of every twentieth accepted job that it completes, and that a repeated submission is answered with 200.
    */
   private async checkAccepted(): Promise<void> {
-    for (const [number, id] of [...this.accepted.keys()].entries()) {
+    for (const [number, id] of [...this.acceptedJobs.keys()].entries()) {
       if (number % 20 !== 0) continue;
-      const node = number % CONTROLLERS;
+      const node = number % CONTROLLER_COUNT;
       await waitForProcesses(`${id} is done`, async () => {
         return (await this.cluster.queryJob(node, id)).state === "done";
       });
@@ -127,18 +135,18 @@
    * Causes three disturbances: kills the leader, suspends a controller, and makes the state service unavailable. The
    * latter two last a tenth of the run each, 20 s at most.
    */
-  private async disturb(): Promise<void> {
+  private async causeDisturbances(): Promise<void> {
     const { cluster } = this;
-    await this.disturbance(() => {
+    await this.causeDisturbance(() => {
       cluster.replaceNode(cluster.leaderIndex());
       return () => {};
     });
-    await this.disturbance(() => {
-      const suspended = (cluster.leaderIndex() + 1) % CONTROLLERS;
+    await this.causeDisturbance(() => {
+      const suspended = (cluster.leaderIndex() + 1) % CONTROLLER_COUNT;
       cluster.signalNode(suspended, "SIGSTOP");
       return () => cluster.signalNode(suspended, "SIGCONT");
     });
-    await this.disturbance(() => {
+    await this.causeDisturbance(() => {
       cluster.stateService.isUnavailable = true;
       return () => {
         cluster.stateService.isUnavailable = false;
@@ -148,7 +156,7 @@
   }
 
   /** Waits for a sixth of the run, then causes a disturbance; `begin` returns the function that ends it. */
-  private async disturbance(begin: () => () => void): Promise<void> {
+  private async causeDisturbance(begin: () => () => void): Promise<void> {
     await sleepSeconds(this.seconds / 6);
     const from = this.now();
     const end = begin();
@@ -157,63 +165,64 @@
     this.disturbances.push({ from, to: this.now() + RECOVERY_S });
   }
 
-  private async submitAll(load: Load): Promise<void> {
-    const perSecond = (load.demand * CPUS) / (load.tasks * TASK_S);
+  private async submitJobs(load: ClassLoad): Promise<void> {
+    const perSecond = (load.demand * TOTAL_CPUS) / (load.tasks * TASK_S);
     const users: Promise<void>[] = [];
     for (let number = 0; ; number++) {
-      const submitAt = number / perSecond;
-      if (submitAt >= this.seconds) break;
-      await sleepSeconds(Math.max(0, submitAt - this.now()));
+      const submitAtS = number / perSecond;
+      if (submitAtS >= this.seconds) break;
+      await sleepSeconds(Math.max(0, submitAtS - this.now()));
       users.push(this.submitUntilAccepted(load, number));
     }
     await Promise.all(users);
   }
 
   /** Submits a job as a user does: until it is accepted, the user gives up, or the run ends. */
-  private async submitUntilAccepted(load: Load, number: number): Promise<void> {
+  private async submitUntilAccepted(load: ClassLoad, number: number): Promise<void> {
     const id = `${load.class}-${number}`;
-    const figures = this.classes.get(load.class)!;
-    figures.submitted++;
-    const spec = jobOf(load, id);
+    const counters = this.countersByClass.get(load.class)!;
+    counters.submitted++;
+    const spec = buildJob(load, id);
     this.cluster.ruleChecker.jobSubmitted(spec);
     const body = encodeJob(spec);
-    const firstAttemptAt = this.now();
-    const isPatient = (): boolean =>
-      this.now() - firstAttemptAt < PATIENCE_S && this.now() < this.seconds;
-    for (let attempt = number; isPatient(); attempt++) {
-      const retryAfterS = await this.attempt(attempt % CONTROLLERS, id, body);
+    const firstAttemptAtS = this.now();
+    const shouldRetry = (): boolean =>
+      this.now() - firstAttemptAtS < USER_TIMEOUT_S && this.now() < this.seconds;
+    for (let attempt = number; shouldRetry(); attempt++) {
+      const retryAfterS = await this.submitOnce(attempt % CONTROLLER_COUNT, id, body);
       if (retryAfterS === null) {
-        figures.accepted++;
-        this.accepted.set(id, load);
-        figures.longestAdmissionS = Math.max(
-          figures.longestAdmissionS,
-          this.now() - firstAttemptAt,
+        counters.accepted++;
+        this.acceptedJobs.set(id, load);
+        counters.longestAdmissionS = Math.max(
+          counters.longestAdmissionS,
+          this.now() - firstAttemptAtS,
         );
         return;
       }
       await sleepSeconds(retryAfterS);
     }
-    figures.givenUp++;
+    counters.givenUp++;
   }
 
   /** Returns null if the job is accepted, and otherwise the number of seconds until the next attempt. */
-  private async attempt(node: number, id: string, body: unknown): Promise<number | null> {
-    const sentAt = performance.now();
-    const reply = await this.cluster.connections[node]!.request(
+  private async submitOnce(node: number, id: string, body: unknown): Promise<number | null> {
+    const sentAtMs = performance.now();
+    const response = await this.cluster.connections[node]!.request(
       "POST",
       "/api/jobs",
       encode(body),
       REQUEST_TIMEOUT_MS,
     ).catch(() => null);
-    if (reply === null) return 1;
-    this.answers.recordValue(Math.max(1, Math.round(performance.now() - sentAt)));
-    if (reply.status === 200 || reply.status === 201) {
-      const state = decodeJobState(decode(reply.body));
-      this.cluster.ruleChecker.answerReceived(id, reply.status, state);
+    if (response === null) return 1;
+    this.responseTimes.recordValue(Math.max(1, Math.round(performance.now() - sentAtMs)));
+    if (response.status === 200 || response.status === 201) {
+      const state = decodeJobState(decode(response.body));
+      this.cluster.ruleChecker.answerReceived(id, response.status, state);
       return null;
     }
-    if (reply.status !== 429 && reply.status !== 503) this.faults.push(`${id}: ${reply.status}`);
-    const retryAfterS = Number(reply.headers.get("retry-after"));
+    if (response.status !== 429 && response.status !== 503)
+      this.faults.push(`${id}: ${response.status}`);
+    const retryAfterS = Number(response.headers.get("retry-after"));
     if (!(retryAfterS >= 1 && retryAfterS <= 30)) {
       this.faults.push(`${id}: Retry-After ${retryAfterS}`);
     }
@@ -228,24 +237,24 @@
 
   private report(): OverloadReport {
     const classes: OverloadReport["classes"] = {};
-    for (const load of LOADS) {
-      const figures = this.classes.get(load.class)!;
-      classes[load.class] = reportClass(load, figures, this.seconds, (interval) =>
+    for (const load of CLASS_LOADS) {
+      const counters = this.countersByClass.get(load.class)!;
+      classes[load.class] = reportClass(load, counters, this.seconds, (interval) =>
         this.isDisturbed(interval),
       );
     }
-    const { compared, admitted, rejected } = auditLogs(this.logs);
+    const { compared, admitted, rejected } = auditLogs(this.decisionLogs);
     const { history } = this.cluster.stateService;
     return {
       seconds: this.seconds,
       identicalDecisions: compared,
       decisions: { admitted, rejected },
       windows: auditWindows(history, (fault) => this.faults.push(fault)),
-      writesPerSecond: this.writes / this.seconds,
+      writesPerSecond: this.stateChanges / this.seconds,
       answerMs: {
-        p50: this.answers.getValueAtPercentile(50),
-        p99: this.answers.getValueAtPercentile(99),
-        max: this.answers.maxValue,
+        p50: this.responseTimes.getValueAtPercentile(50),
+        p99: this.responseTimes.getValueAtPercentile(99),
+        max: this.responseTimes.maxValue,
       },
       classes,
       faults: [...this.faults, ...this.cluster.ruleChecker.violations],
@@ -253,7 +262,7 @@
   }
 }
 
-function jobOf(load: Load, id: string): JobSpec {
+function buildJob(load: ClassLoad, id: string): JobSpec {
   return submittedJob({
     id,
     class: load.class,
--- a/tests/support/overload/report.ts
+++ b/tests/support/overload/report.ts
@@ -1,10 +1,10 @@
 /** The report of an overload run, and the checks that it must pass. */
 import assert from "node:assert/strict";
 import { START_BOUND_S } from "../../../src/core/model/constants.js";
-import { CPUS, type Load, PATIENCE_S, TASK_S } from "./workload.js";
+import { type ClassLoad, TASK_S, TOTAL_CPUS, USER_TIMEOUT_S } from "./workload.js";
 
 /** Counters of one job class. */
-export interface ClassFigures {
+export interface ClassCounters {
   submitted: number;
   accepted: number;
   givenUp: number;
@@ -14,7 +14,7 @@
 }
 
 /** Counters and CPU usage of one job class. */
-export interface ClassReport extends ClassFigures {
+export interface ClassReport extends ClassCounters {
   /** Average number of CPUs in use. */
   readonly cpus: number;
   /** CPUs in use in the worst undisturbed interval; null if there was none. */
@@ -40,19 +40,19 @@
 
 /** Returns the report of one class. Intervals for which `isDisturbed` is true count for the average only. */
 export function reportClass(
-  load: Load,
-  figures: ClassFigures,
+  load: ClassLoad,
+  counters: ClassCounters,
   seconds: number,
   isDisturbed: (interval: number) => boolean,
 ): ClassReport {
-  const cpus = figures.tasksDone.map((tasks) => (tasks * TASK_S) / INTERVAL_S);
-  const completeIntervals = cpus.slice(1, Math.floor(seconds / INTERVAL_S));
-  const undisturbed = completeIntervals.filter((_, index) => !isDisturbed(index + 1));
+  const cpusByInterval = counters.tasksDone.map((tasks) => (tasks * TASK_S) / INTERVAL_S);
+  const completeIntervals = cpusByInterval.slice(1, Math.floor(seconds / INTERVAL_S));
+  const undisturbedIntervals = completeIntervals.filter((_, index) => !isDisturbed(index + 1));
   return {
-    ...figures,
-    cpus: cpus.reduce((sum, used) => sum + used, 0) / cpus.length,
-    leastCpus: undisturbed.length === 0 ? null : Math.min(...undisturbed),
-    guaranteed: load.guaranteed,
+    ...counters,
+    cpus: cpusByInterval.reduce((sum, used) => sum + used, 0) / cpusByInterval.length,
+    leastCpus: undisturbedIntervals.length === 0 ? null : Math.min(...undisturbedIntervals),
+    guaranteed: load.guaranteedCpus,
   };
 }
 
@@ -67,17 +67,20 @@
     "too few admission decisions were compared",
   );
   assert.ok(report.decisions.rejected > 0 && report.windows > 3, "the cluster was not overloaded");
-  const used = Object.values(report.classes).reduce((sum, { cpus }) => sum + cpus, 0);
-  for (const [name, figures] of Object.entries(report.classes)) {
-    const guaranteed = (figures.guaranteed / CPUS) * used;
-    assert.ok(figures.cpus >= 0.8 * guaranteed, `${name}: ${figures.cpus} of ${guaranteed} CPUs`);
-    assert.ok(figures.accepted > 0, `no job of ${name} was accepted`);
+  const totalCpus = Object.values(report.classes).reduce((sum, { cpus }) => sum + cpus, 0);
+  for (const [name, classReport] of Object.entries(report.classes)) {
+    const guaranteedCpus = (classReport.guaranteed / TOTAL_CPUS) * totalCpus;
+    assert.ok(
+      classReport.cpus >= 0.8 * guaranteedCpus,
+      `${name}: ${classReport.cpus} of ${guaranteedCpus} CPUs`,
+    );
+    assert.ok(classReport.accepted > 0, `no job of ${name} was accepted`);
     // Every job must start within START_BOUND_S. In a shorter run a gang of half the cluster need not have started.
-    const hasRun = report.seconds < START_BOUND_S || figures.cpus > 0.01 * used;
-    assert.ok(hasRun, `${name} was starved: ${figures.cpus} CPUs`);
-    const { longestAdmissionS } = figures;
+    const hasStarted = report.seconds < START_BOUND_S || classReport.cpus > 0.01 * totalCpus;
+    assert.ok(hasStarted, `${name} was starved: ${classReport.cpus} CPUs`);
+    const { longestAdmissionS } = classReport;
     assert.ok(
-      longestAdmissionS <= PATIENCE_S,
+      longestAdmissionS <= USER_TIMEOUT_S,
       `${name}: ${longestAdmissionS} s until a job was accepted`,
     );
   }
--- a/tests/support/profile-hook.ts
+++ b/tests/support/profile-hook.ts
@@ -20,10 +20,10 @@
   readonly profile: Profiler.Profile | null;
 }
 
-const SAMPLING_US = 500;
+const SAMPLING_INTERVAL_US = 500;
 const BYTES_PER_MB = 2 ** 20;
 
-const file = process.env.PROFILE_FILE;
+const profileFile = process.env.PROFILE_FILE;
 const isSampled = process.env.PROFILE_SAMPLED === "yes";
 const session = new Session();
 
@@ -33,7 +33,7 @@
 }
 
 /** Null until the measurement starts. */
-let started: MeasurementStart | null = null;
+let measurementStart: MeasurementStart | null = null;
 const gc = { ms: 0, runs: 0 };
 const observer = new PerformanceObserver((list) => {
   for (const entry of list.getEntries()) {
@@ -42,23 +42,23 @@
   }
 });
 
-async function start(): Promise<void> {
+async function startMeasurement(): Promise<void> {
   observer.observe({ entryTypes: ["gc"] });
   if (isSampled) {
     session.connect();
     await session.post("Profiler.enable");
-    await session.post("Profiler.setSamplingInterval", { interval: SAMPLING_US });
+    await session.post("Profiler.setSamplingInterval", { interval: SAMPLING_INTERVAL_US });
     await session.post("Profiler.start");
   }
-  started = { atMs: performance.now(), cpu: process.cpuUsage() };
+  measurementStart = { atMs: performance.now(), cpu: process.cpuUsage() };
 }
 
-async function stop(since: MeasurementStart): Promise<void> {
+async function stopMeasurement(since: MeasurementStart): Promise<void> {
   const cpu = process.cpuUsage(since.cpu);
   const seconds = (performance.now() - since.atMs) / 1000;
   const profile = isSampled ? (await session.post("Profiler.stop")).profile : null;
   const { rss, heapUsed } = process.memoryUsage();
-  const measured: ProcessProfile = {
+  const measurements: ProcessProfile = {
     seconds,
     cpuMs: (cpu.user + cpu.system) / 1000,
     gcMs: gc.ms,
@@ -67,8 +67,11 @@
     heapMb: heapUsed / BYTES_PER_MB,
     profile,
   };
-  if (file !== undefined) writeFileSync(file, JSON.stringify(measured));
+  if (profileFile !== undefined) writeFileSync(profileFile, JSON.stringify(measurements));
 }
 
-if (process.env.PROFILE_FROM_START === "yes") void start();
-process.on("SIGUSR2", () => void (started === null ? start() : stop(started)));
+if (process.env.PROFILE_FROM_START === "yes") void startMeasurement();
+process.on(
+  "SIGUSR2",
+  () => void (measurementStart === null ? startMeasurement() : stopMeasurement(measurementStart)),
+);
--- a/tests/support/profile-load.ts
+++ b/tests/support/profile-load.ts
@@ -19,8 +19,8 @@
 
 /** Submits and queries jobs from `start` to `stop` at a fixed rate, without waiting for the answers. */
 export class ProfileLoad {
-  private nextNumber = 0;
-  private readonly submitted: string[] = [];
+  private nextJobNumber = 0;
+  private readonly submittedJobs: string[] = [];
   private isStopped = false;
 
   constructor(
@@ -40,20 +40,22 @@
   private async submitJobs(): Promise<void> {
     const { machines, taskSeconds } = this.options;
     const jobsPerSecond = (machines * CPUS_PER_MACHINE) / TASKS_PER_JOB / taskSeconds;
-    const change = { tasks: TASKS_PER_JOB, estimateS: taskSeconds, memoryGb: 0.1 };
+    const jobOverrides = { tasks: TASKS_PER_JOB, estimateS: taskSeconds, memoryGb: 0.1 };
     while (!this.isStopped) {
-      const id = `run-${this.nextNumber++}`;
+      const id = `run-${this.nextJobNumber++}`;
       void this.cluster
-        .submitJobOnce(this.nextNumber % NODE_COUNT, id, change)
-        .then(({ status }) => status === 201 && this.submitted.push(id));
+        .submitJobOnce(this.nextJobNumber % NODE_COUNT, id, jobOverrides)
+        .then(({ status }) => status === 201 && this.submittedJobs.push(id));
       await sleepSeconds(1 / jobsPerSecond);
     }
   }
 
   private async queryJobs(): Promise<void> {
-    for (let n = 0; !this.isStopped; n++) {
-      const id = this.submitted[(n * QUERY_STRIDE) % Math.max(1, this.submitted.length)];
-      if (id !== undefined) void this.cluster.queryJob(n % NODE_COUNT, id).catch(() => null);
+    for (let queryNumber = 0; !this.isStopped; queryNumber++) {
+      const id =
+        this.submittedJobs[(queryNumber * QUERY_STRIDE) % Math.max(1, this.submittedJobs.length)];
+      if (id !== undefined)
+        void this.cluster.queryJob(queryNumber % NODE_COUNT, id).catch(() => null);
       await sleepSeconds(1 / this.options.questions);
     }
   }
--- a/tests/support/state-service-proxy.ts
+++ b/tests/support/state-service-proxy.ts
@@ -13,14 +13,14 @@
  * How the proxy handles a transaction: it forwards the transaction and its response ("answered"), drops the response
  * ("answer lost"), or holds the transaction back until the test forwards it, also without a response ("late").
  */
-export type TransactionFate = "answered" | "answer lost" | "late";
+export type TransactionHandling = "answered" | "answer lost" | "late";
 
 /** Forwards a node's requests to the state service. */
 export class StateServiceProxy {
   /** Whether requests of this node are answered with 503. Responses to open watches are held back until `reopen`. */
   isRefusing = false;
   /** Chooses how each transaction is handled. */
-  fateOf: (transaction: Transaction) => TransactionFate = () => "answered";
+  fateOf: (transaction: Transaction) => TransactionHandling = () => "answered";
   /** Transactions that were held back. The test calls each function to forward its transaction. */
   readonly delayedTransactions: (() => void)[] = [];
   private readonly reopenWaiters = new Set<() => void>();
@@ -51,13 +51,13 @@
   private async forward(method: string, url: URL, body: unknown): Promise<StandInResponse> {
     if (this.isRefusing) return UNAVAILABLE;
     const isTransaction = url.pathname === PATH.transactions;
-    const fate = isTransaction ? this.fateOf(decodeTransaction(body)) : "answered";
-    if (fate === "late") {
+    const handling = isTransaction ? this.fateOf(decodeTransaction(body)) : "answered";
+    if (handling === "late") {
       this.delayedTransactions.push(() => void this.handler(method, url, body));
       return await noResponse();
     }
     const response = await this.handler(method, url, body);
-    if (fate === "answer lost") return await noResponse();
+    if (handling === "answer lost") return await noResponse();
     while (this.isRefusing) await new Promise<void>((resolve) => this.reopenWaiters.add(resolve));
     return response;
   }
--- a/tests/support/state-service-stand-in.ts
+++ b/tests/support/state-service-stand-in.ts
@@ -37,7 +37,7 @@
   /** Transactions that exceed these limits are rejected. */
   limits = { valueBytes: Number.POSITIVE_INFINITY, txnOps: Number.POSITIVE_INFINITY };
   /** Number of transactions that were rejected because they exceeded the limits. */
-  rejectedTransactions = 0;
+  rejectedTransactionCount = 0;
   /** Whether all requests are answered with 503. Open watches stay open. */
   isUnavailable = false;
   private readonly changeLog: ChangeEvent[] = [];
@@ -45,7 +45,7 @@
   private readonly watchers = new Set<() => void>();
   private readonly proxies: StateServiceProxy[] = [];
   private readonly server = new StandInServer((...request) => this.handle(...request));
-  private nextLease = 1;
+  private nextLeaseId = 1;
   private revision = 1;
 
   get address(): string {
@@ -81,7 +81,7 @@
     if (pathname === PATH.leases && method === "POST") return this.grantLease(body);
     if (pathname.startsWith(`${PATH.leases}/`)) return this.changeLease(method, pathname);
     if (pathname === PATH.transactions) return this.transact(decodeTransaction(body));
-    if (pathname === PATH.keyValues) return this.range(searchParams);
+    if (pathname === PATH.keyValues) return this.readRange(searchParams);
     if (pathname === PATH.watch) return await this.watch(searchParams);
     return NOT_FOUND;
   }
@@ -89,8 +89,8 @@
   private grantLease(body: unknown): StandInResponse {
     const { ttlMs } = body as { ttlMs: number };
     if (!Number.isInteger(ttlMs)) return badRequest("ttlMs is not an integer");
-    const id = this.nextLease++;
-    this.armLease(id, ttlMs);
+    const id = this.nextLeaseId++;
+    this.startLeaseTimer(id, ttlMs);
     return ok(encodeLease(id));
   }
 
@@ -101,11 +101,11 @@
     if (lease === undefined) return NOT_FOUND;
     clearTimeout(lease.timer);
     if (method === "DELETE") this.expireLease(id);
-    else this.armLease(id, lease.ttlMs);
+    else this.startLeaseTimer(id, lease.ttlMs);
     return ok({});
   }
 
-  private armLease(id: number, ttlMs: number): void {
+  private startLeaseTimer(id: number, ttlMs: number): void {
     const timer = setTimeout(() => this.expireLease(id), ttlMs);
     timer.unref();
     this.leases.set(id, { ttlMs, timer });
@@ -120,26 +120,26 @@
     for (const [key, entry] of [...this.entries]) {
       if (entry.lease === id) this.applyChange({ op: "delete", key });
     }
-    this.wakeWatchers();
+    this.notifyWatchers();
   }
 
-  private range(query: URLSearchParams): StandInResponse {
+  private readRange(query: URLSearchParams): StandInResponse {
     const prefix = query.get("prefix") ?? "";
     const since = query.get("since") ?? "";
     const limit = Number(query.get("most") ?? "");
-    const found = [...this.entries]
+    const matches = [...this.entries]
       .filter(([key]) => key.startsWith(prefix) && key > since)
       .sort(([a], [b]) => (a < b ? -1 : 1));
-    const items = found
+    const items = matches
       .slice(0, limit)
       .map(([key, { value, modRevision }]) => ({ key, value, modRevision }));
-    return ok(encodeRange(items, found.length > limit, this.revision));
+    return ok(encodeRange(items, matches.length > limit, this.revision));
   }
 
   private async watch(query: URLSearchParams): Promise<StandInResponse> {
     const since = Number(query.get("since") ?? "");
     const blockMs = Number(query.get("blockMs") ?? "");
-    if (this.changesSince(since).length === 0 && blockMs > 0) await this.nextChange(blockMs);
+    if (this.changesSince(since).length === 0 && blockMs > 0) await this.waitForChange(blockMs);
     return ok(encodeWatchResponse(this.changesSince(since), this.revision));
   }
 
@@ -147,7 +147,7 @@
     return this.changeLog.filter(({ modRevision }) => modRevision > revision);
   }
 
-  private async nextChange(timeoutMs: number): Promise<void> {
+  private async waitForChange(timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
@@ -160,14 +160,14 @@
     });
   }
 
-  private wakeWatchers(): void {
+  private notifyWatchers(): void {
     for (const wake of [...this.watchers]) wake();
   }
 
   private transact({ preconditions, changes }: Transaction): StandInResponse {
     if (changes.some((change) => this.hasUnknownLease(change))) return badRequest("no such lease");
     if (this.exceedsLimits(changes)) {
-      this.rejectedTransactions++;
+      this.rejectedTransactionCount++;
       return badRequest("transaction exceeds the limits");
     }
     const failedKeys = preconditions
@@ -178,7 +178,7 @@
     }
     this.revision++;
     for (const change of changes) this.applyChange(change);
-    this.wakeWatchers();
+    this.notifyWatchers();
     return ok(encodeTransactionResult(this.revision, []));
   }
 
--- a/tests/support/waiting.ts
+++ b/tests/support/waiting.ts
@@ -12,19 +12,19 @@
 
 /** Returns once the condition is true. Fails the test with the description of the condition after the time-out. */
 export async function waitUntil(
-  what: string,
-  isTrue: () => Promise<boolean> | boolean,
+  description: string,
+  condition: () => Promise<boolean> | boolean,
   { timeoutS = 20, intervalS = 0.02 }: WaitOptions = {},
 ): Promise<void> {
   for (let waitedS = 0; waitedS < timeoutS; waitedS += intervalS) {
-    if (await isTrue()) return;
+    if (await condition()) return;
     await sleepSeconds(intervalS);
   }
-  assert.fail(`condition not met within ${timeoutS} s: ${what}`);
+  assert.fail(`condition was not met before the time-out: ${description}`);
 }
 
 /** As `waitUntil`, for clusters of processes: they take longer, and each evaluation may send a request. */
 export const waitForProcesses = (
-  what: string,
-  isTrue: () => Promise<boolean> | boolean,
-): Promise<void> => waitUntil(what, isTrue, { timeoutS: 40, intervalS: 0.1 });
+  description: string,
+  condition: () => Promise<boolean> | boolean,
+): Promise<void> => waitUntil(description, condition, { timeoutS: 40, intervalS: 0.1 });
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -73,7 +73,7 @@
 
   async start(): Promise<void> {
     await this.server.start();
-    void this.sendHeartbeats();
+    void this.runHeartbeatLoop();
   }
 
   stop(): void {
@@ -97,16 +97,16 @@
   }
 
   private startTask(key: string, { job, task, attempt }: WorkerCommand): void {
-    const started: StandInTask = {
+    const newTask: StandInTask = {
       status: { job, task, attempt, state: "running", cause: null, checkpointed: false },
-      timer: setTimeout(() => this.exitTask(started, "done"), this.options.taskMs(job)),
+      timer: setTimeout(() => this.exitTask(newTask, "done"), this.options.taskMs(job)),
     };
-    started.timer.unref();
-    this.tasks.set(key, started);
+    newTask.timer.unref();
+    this.tasks.set(key, newTask);
     this.options.onTaskChange(`${job}/${task}`, this.name, true, null);
   }
 
-  private heartbeat(): WorkerHeartbeat {
+  private buildHeartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
       address: this.address,
@@ -125,7 +125,7 @@
     if (this.dropsInbound) return await noResponse();
     this.expireLease();
     if (url.pathname === PATH.probe && method === "GET") {
-      return { status: 200, body: encodeWorkerHeartbeat(this.heartbeat()) };
+      return { status: 200, body: encodeWorkerHeartbeat(this.buildHeartbeat()) };
     }
     const request = decodeCommands(body);
     if (request === null || request.incarnation === null) return { status: 400, body: {} };
@@ -133,18 +133,18 @@
       request.fencingToken >= this.fencingToken && request.incarnation === this.incarnation;
     this.fencingToken = Math.max(this.fencingToken, request.fencingToken);
     if (isAccepted) this.execute(request.commands);
-    return { status: isAccepted ? 200 : 409, body: encodeWorkerHeartbeat(this.heartbeat()) };
+    return { status: isAccepted ? 200 : 409, body: encodeWorkerHeartbeat(this.buildHeartbeat()) };
   }
 
   private execute(commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.task}#${command.attempt}`;
-      const known = this.tasks.get(key);
+      const existing = this.tasks.get(key);
       if (command.op === "forget") {
-        if (known?.status.state === "exited") this.tasks.delete(key);
+        if (existing?.status.state === "exited") this.tasks.delete(key);
       } else if (command.op === "stop") {
-        if (known !== undefined) this.exitTask(known, "stopped");
-      } else if (known === undefined) {
+        if (existing !== undefined) this.exitTask(existing, "stopped");
+      } else if (existing === undefined) {
         this.startTask(key, command);
       }
     }
@@ -159,7 +159,7 @@
     this.leaseExpiresAtMs = performance.now() + this.options.leaseMs;
   }
 
-  private async sendHeartbeats(): Promise<void> {
+  private async runHeartbeatLoop(): Promise<void> {
     while (!this.isStopped) {
       await sleepSeconds(this.options.heartbeatIntervalMs / 1000);
       if (this.isStopped) return;
@@ -168,14 +168,14 @@
       try {
         await this.sendHeartbeat();
       } catch {
-        this.nextController();
+        this.selectNextController();
       }
     }
   }
 
   private async sendHeartbeat(): Promise<void> {
     const sentAtMs = performance.now();
-    const bytes = encode(encodeWorkerHeartbeat(this.heartbeat()));
+    const bytes = encode(encodeWorkerHeartbeat(this.buildHeartbeat()));
     this.sentHeartbeats.push(bytes);
     const connection = this.connections[this.controllerIndex]!;
     const response = await connection.request("POST", PATH.heartbeat, bytes, REQUEST_TIMEOUT_MS);
@@ -197,10 +197,10 @@
     const leader = decodeRedirect(body);
     const index = this.options.controllers.findIndex(({ member }) => member === leader);
     if (index >= 0) this.controllerIndex = index;
-    else this.nextController();
+    else this.selectNextController();
   }
 
-  private nextController(): void {
+  private selectNextController(): void {
     this.controllerIndex = (this.controllerIndex + 1) % this.options.controllers.length;
   }
 }
