--- a/tests/support/controller-process.ts
+++ b/tests/support/controller-process.ts
@@ -7,7 +7,7 @@
   /** Arguments of Node.js, which include the program and the program's own arguments. */
   readonly arguments: readonly string[];
   readonly environment: Readonly<Record<string, string>>;
-  /** Called for each line that the process logs. Without it, the process logs errors only. */
+  /** Called for each line that the process logs. Without it, the log is discarded unless `SITE_LOG` is set. */
   readonly onLogLine?: (line: Record<string, unknown>) => void;
 }
 
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -66,7 +66,7 @@
   const change = { op: "delete", key: "x/run-1" } as const;
   const transactions = [await client.transact(preconditions, [put, change])];
   for (let i = 0; i < 3; i++) transactions.push(await client.transact([], [change]));
-  const all = await client.readAll();
+  const fullRead = await client.readAll();
   const watches = [await client.watch(12, 0), await client.watch(12, 250)];
   const lease = await client.grantLease(2500.4);
   const extensions = [
@@ -76,10 +76,10 @@
   ];
   await client.revokeLease(7);
   client.close();
-  if (all.kind !== "ok") throw new Error("the full read of the state service failed");
+  if (fullRead.kind !== "ok") throw new Error("the full read of the state service failed");
   return [
     transactions.map(describeTransactionResult),
-    [all.items.map((item) => [item.key, item.value, item.modRevision]), all.revision],
+    [fullRead.items.map((item) => [item.key, item.value, item.modRevision]), fullRead.revision],
     watches.map((w) => (w.kind === "ok" ? [w.revision, w.events.length] : w.kind)),
     [
       lease.kind === "ok" ? lease.leaseId : null,
@@ -241,10 +241,10 @@
 
 /** Sends each request to the API server for users and workers, and records its response. */
 async function recordResponses(): Promise<unknown[]> {
-  const limit = () => new AdaptiveConcurrencyLimit(8, 8, 1);
+  const createLimit = () => new AdaptiveConcurrencyLimit(8, 8, 1);
   const app = buildServer(backend, {
-    queryLimit: limit(),
-    mutationLimit: limit(),
+    queryLimit: createLimit(),
+    mutationLimit: createLimit(),
     now: () => 0,
     retryAfterS: 2,
     cancellationWaitS: 1,
--- a/tests/support/golden-stored.ts
+++ b/tests/support/golden-stored.ts
@@ -367,7 +367,7 @@
   return { views: views, jobs: jobs, machines: machines };
 }
 
-/** Records all stored forms, by the names that they have in the kept examples. */
+/** Records all stored values and transactions, by the names that they have in the kept examples. */
 export async function storedForms(): Promise<Record<string, unknown>> {
   return {
     scenario: runScenario(),
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -67,7 +67,7 @@
   controller: Controller | null;
 }
 
-/** A node's answer to a request for a job. */
+/** A node's answer to a request about a job. */
 export interface JobAnswer {
   readonly status: number;
   readonly state: string | undefined;
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -57,11 +57,11 @@
   readonly nodeArguments?: readonly string[];
   /** Returns environment variables for the process of a node. */
   readonly environment?: (node: number) => Record<string, string>;
-  /** Called for each line that a process logs. Without it, the processes log errors only. */
+  /** Called for each line that a process logs. Without it, the logs are discarded unless `SITE_LOG` is set. */
   readonly onLogLine?: (node: number, line: Record<string, unknown>) => void;
 }
 
-/** A node's answer to a request for a job. */
+/** A node's answer to a request about a job. */
 export interface JobAnswer {
   readonly status: number;
   readonly state: string | undefined;
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -75,7 +75,7 @@
   }
 
   /** Seconds since the run began. */
-  private now(): number {
+  private elapsedS(): number {
     return performance.now() / 1000 - this.startedAtS;
   }
 
@@ -88,7 +88,7 @@
   private recordTaskDone(task: string): void {
     const load = this.acceptedJobs.get(task.slice(0, task.lastIndexOf("/")));
     const counters = load === undefined ? undefined : this.countersByClass.get(load.class);
-    const interval = Math.floor(this.now() / INTERVAL_S);
+    const interval = Math.floor(this.elapsedS() / INTERVAL_S);
     if (counters !== undefined && interval < counters.tasksDone.length) {
       counters.tasksDone[interval]!++;
     }
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Causes three disturbances: kills the leader, suspends a controller, and makes the state service unavailable. The
-   * latter two last a tenth of the run each, 20 s at most.
+   * Causes three disturbances: kills and restarts the leader, suspends a controller, and makes the state service
+   * unavailable. The latter two last a tenth of the run each, 20 s at most.
    */
   private async causeDisturbances(): Promise<void> {
     const { cluster } = this;
@@ -152,17 +152,17 @@
         cluster.stateService.isUnavailable = false;
       };
     });
-    await sleepSeconds(Math.max(0, this.seconds - this.now()));
+    await sleepSeconds(Math.max(0, this.seconds - this.elapsedS()));
   }
 
   /** Waits for a sixth of the run, then causes a disturbance; `begin` returns the function that ends it. */
   private async causeDisturbance(begin: () => () => void): Promise<void> {
     await sleepSeconds(this.seconds / 6);
-    const from = this.now();
+    const from = this.elapsedS();
     const end = begin();
     await sleepSeconds(Math.min(20, this.seconds / 10));
     end();
-    this.disturbances.push({ from, to: this.now() + RECOVERY_S });
+    this.disturbances.push({ from, to: this.elapsedS() + RECOVERY_S });
   }
 
   private async submitJobs(load: ClassLoad): Promise<void> {
@@ -171,7 +171,7 @@
     for (let number = 0; ; number++) {
       const submitAtS = number / perSecond;
       if (submitAtS >= this.seconds) break;
-      await sleepSeconds(Math.max(0, submitAtS - this.now()));
+      await sleepSeconds(Math.max(0, submitAtS - this.elapsedS()));
       users.push(this.submitUntilAccepted(load, number));
     }
     await Promise.all(users);
@@ -185,9 +185,9 @@
     const spec = buildJob(load, id);
     this.cluster.ruleChecker.jobSubmitted(spec);
     const body = encodeJob(spec);
-    const firstAttemptAtS = this.now();
+    const firstAttemptAtS = this.elapsedS();
     const shouldRetry = (): boolean =>
-      this.now() - firstAttemptAtS < USER_TIMEOUT_S && this.now() < this.seconds;
+      this.elapsedS() - firstAttemptAtS < USER_TIMEOUT_S && this.elapsedS() < this.seconds;
     for (let attempt = number; shouldRetry(); attempt++) {
       const retryAfterS = await this.submitOnce(attempt % CONTROLLER_COUNT, id, body);
       if (retryAfterS === null) {
@@ -195,7 +195,7 @@
         this.acceptedJobs.set(id, load);
         counters.longestAdmissionS = Math.max(
           counters.longestAdmissionS,
-          this.now() - firstAttemptAtS,
+          this.elapsedS() - firstAttemptAtS,
         );
         return;
       }
--- a/tests/support/overload/workload.ts
+++ b/tests/support/overload/workload.ts
@@ -5,7 +5,7 @@
 /** Number of worker stand-ins. */
 export const WORKER_COUNT = 8;
 const CPUS_PER_WORKER = 4;
-/** Capacity of the cluster. */
+/** Number of CPUs of all workers: the capacity of the cluster. */
 export const TOTAL_CPUS = WORKER_COUNT * CPUS_PER_WORKER;
 /** Run time of each task, in seconds. */
 export const TASK_S = 2;
--- a/tests/support/profile-hook.ts
+++ b/tests/support/profile-hook.ts
@@ -2,7 +2,7 @@
  * Measures the CPU time of a controller. `npm run profile` loads it into the process with `--import`, so that the
  * program itself contains no profiling code. The first signal SIGUSR2 starts the measurement, the second ends it and
  * writes the result to the file that PROFILE_FILE names. If PROFILE_FROM_START is "yes", the measurement starts with
- * the process. If PROFILE_SAMPLED is "yes", the result contains a sampled CPU profile.
+ * the process, and the first signal ends it. If PROFILE_SAMPLED is "yes", the result contains a sampled CPU profile.
  */
 import { writeFileSync } from "node:fs";
 import { type Profiler, Session } from "node:inspector/promises";
@@ -28,7 +28,7 @@
 const session = new Session();
 
 interface MeasurementStart {
-  readonly atMs: number;
+  readonly startedAtMs: number;
   readonly cpu: NodeJS.CpuUsage;
 }
 
@@ -50,12 +50,12 @@
     await session.post("Profiler.setSamplingInterval", { interval: SAMPLING_INTERVAL_US });
     await session.post("Profiler.start");
   }
-  measurementStart = { atMs: performance.now(), cpu: process.cpuUsage() };
+  measurementStart = { startedAtMs: performance.now(), cpu: process.cpuUsage() };
 }
 
-async function stopMeasurement(since: MeasurementStart): Promise<void> {
-  const cpu = process.cpuUsage(since.cpu);
-  const seconds = (performance.now() - since.atMs) / 1000;
+async function stopMeasurement(start: MeasurementStart): Promise<void> {
+  const cpu = process.cpuUsage(start.cpu);
+  const seconds = (performance.now() - start.startedAtMs) / 1000;
   const profile = isSampled ? (await session.post("Profiler.stop")).profile : null;
   const { rss, heapUsed } = process.memoryUsage();
   const measurements: ProcessProfile = {
--- a/tests/support/state-service-proxy.ts
+++ b/tests/support/state-service-proxy.ts
@@ -17,13 +17,13 @@
 
 /** Forwards a node's requests to the state service. */
 export class StateServiceProxy {
-  /** Whether requests of this node are answered with 503. Responses to open watches are held back until `reopen`. */
+  /** Whether requests of this node are answered with 503. Responses to open watches are held back meanwhile. */
   isRefusing = false;
   /** Chooses how each transaction is handled. */
   fateOf: (transaction: Transaction) => TransactionHandling = () => "answered";
   /** Transactions that were held back. The test calls each function to forward its transaction. */
   readonly delayedTransactions: (() => void)[] = [];
-  private readonly reopenWaiters = new Set<() => void>();
+  private readonly outageEndWaiters = new Set<() => void>();
   private readonly server = new StandInServer((...request) => this.forward(...request));
 
   /** `handler` answers the requests on behalf of the state service. */
@@ -44,8 +44,8 @@
   /** Ends the outage and sends the responses that were held back. */
   reopen(): void {
     this.isRefusing = false;
-    for (const resolve of this.reopenWaiters) resolve();
-    this.reopenWaiters.clear();
+    for (const resolve of this.outageEndWaiters) resolve();
+    this.outageEndWaiters.clear();
   }
 
   private async forward(method: string, url: URL, body: unknown): Promise<StandInResponse> {
@@ -58,7 +58,8 @@
     }
     const response = await this.handler(method, url, body);
     if (handling === "answer lost") return await noResponse();
-    while (this.isRefusing) await new Promise<void>((resolve) => this.reopenWaiters.add(resolve));
+    while (this.isRefusing)
+      await new Promise<void>((resolve) => this.outageEndWaiters.add(resolve));
     return response;
   }
 }
--- a/tests/support/state-service-stand-in.ts
+++ b/tests/support/state-service-stand-in.ts
@@ -79,7 +79,7 @@
     if (this.isUnavailable) return UNAVAILABLE;
     const { pathname, searchParams } = url;
     if (pathname === PATH.leases && method === "POST") return this.grantLease(body);
-    if (pathname.startsWith(`${PATH.leases}/`)) return this.changeLease(method, pathname);
+    if (pathname.startsWith(`${PATH.leases}/`)) return this.extendOrRevokeLease(method, pathname);
     if (pathname === PATH.transactions) return this.transact(decodeTransaction(body));
     if (pathname === PATH.keyValues) return this.readRange(searchParams);
     if (pathname === PATH.watch) return await this.watch(searchParams);
@@ -95,7 +95,7 @@
   }
 
   /** Extends the lease, or revokes it if the method is DELETE. */
-  private changeLease(method: string, path: string): StandInResponse {
+  private extendOrRevokeLease(method: string, path: string): StandInResponse {
     const id = Number(path.split("/")[2]);
     const lease = this.leases.get(id);
     if (lease === undefined) return NOT_FOUND;
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -123,7 +123,7 @@
 
   private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
     if (this.dropsInbound) return await noResponse();
-    this.expireLease();
+    this.expireLeaseIfDue();
     if (url.pathname === PATH.probe && method === "GET") {
       return { status: 200, body: encodeWorkerHeartbeat(this.buildHeartbeat()) };
     }
@@ -151,7 +151,7 @@
   }
 
   /** If the lease has expired, stops all tasks and begins a new incarnation. */
-  private expireLease(): void {
+  private expireLeaseIfDue(): void {
     if (performance.now() <= this.leaseExpiresAtMs) return;
     this.stopAllTasks();
     this.incarnation++;
@@ -163,7 +163,7 @@
     while (!this.isStopped) {
       await sleepSeconds(this.options.heartbeatIntervalMs / 1000);
       if (this.isStopped) return;
-      this.expireLease();
+      this.expireLeaseIfDue();
       if (this.dropsOutbound) continue;
       try {
         await this.sendHeartbeat();
