--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -1,4 +1,4 @@
-/** Controllers as processes of their own, each of some version of the program, against the stand-ins. */
+/** Runs controllers in separate processes against stand-ins. Each process may run another version of the program. */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -21,42 +21,43 @@
 import { waitForProcesses } from "./waiting.js";
 import { WorkerStandIn } from "./worker-stand-in.js";
 
-/** The program as this version's build leaves it. */
+/** The program that the build of this version produces. */
 export const PROGRAM = fileURLToPath(new URL("../../../peatsaddle.cjs", import.meta.url));
 
 const NODE_COUNT = 3;
 const ZONE = "a";
 const DEFAULT_WORKER_COUNT = 4;
 const HEARTBEAT_INTERVAL_MS = 300;
-const DEFAULT_HEARTBEAT = { everyS: 1, leaseS: 6 };
+const DEFAULT_HEARTBEAT = { intervalS: 1, leaseS: 6 };
 const MAX_CONNECTIONS = 4;
 const REQUEST_TIMEOUT_MS = 2000;
 const HEALTH_TIMEOUT_MS = 1000;
 const FIRST_RETRIED_STATUS = 429;
-/** A request without an answer is repeated so often, and so far apart, as users do. */
+/** A request without a final answer is retried as users do: at most this many attempts, RETRY_INTERVAL_S apart. */
 const MAX_ATTEMPTS = 200;
 const RETRY_INTERVAL_S = 0.1;
 
+/** Settings of the cluster, and callbacks for what its processes and workers do. */
 export interface MultiProcessClusterOptions {
-  /** How long a task of a job runs, in milliseconds. */
+  /** Returns the run time of each task of a job, in milliseconds. */
   readonly taskMs: (job: string) => number;
-  /** Fields of `state` in the settings, beside those of the tests. */
+  /** Fields of `state` in the settings that replace or extend the defaults of the tests. */
   readonly state?: Record<string, unknown>;
-  /** Teams in the settings, in place of those of the tests. */
+  /** Teams in the settings that replace the default teams of the tests. */
   readonly teams?: readonly Record<string, unknown>[];
-  /** The operators' settings (INI) of this version's processes. */
+  /** The operators' settings (INI); only processes of this version get them. */
   readonly operatorIni?: string;
-  /** Machines; four if not given. */
+  /** Number of machines, 4 by default. */
   readonly workers?: number;
-  /** Told of each end of a task. */
+  /** Called when a task exits. */
   readonly onTaskExit?: (task: string, cause: TaskStatus["cause"]) => void;
-  /** Seconds between a worker's reports, and of its lease, on both sides. */
-  readonly heartbeat?: { readonly everyS: number; readonly leaseS: number };
-  /** Arguments of Node.js before the program. */
+  /** Heartbeat interval and lease duration of workers, in seconds, for the controllers and the workers. */
+  readonly heartbeat?: { readonly intervalS: number; readonly leaseS: number };
+  /** Arguments of Node.js that precede the program. */
   readonly nodeArguments?: readonly string[];
-  /** Variables of one node's process. */
+  /** Returns environment variables for the process of a node. */
   readonly environment?: (node: number) => Record<string, string>;
-  /** Told of each line that a process logs; none are logged otherwise. */
+  /** Called for each line that a process logs. Without it, the logs are discarded unless `SITE_LOG` is set. */
   readonly onLogLine?: (node: number, line: Record<string, unknown>) => void;
 }
 
@@ -66,7 +67,10 @@
   readonly state: string | undefined;
 }
 
-/** Three controllers, their services and workers, from `open` to `close`; nodes are started one by one. */
+/**
+ * Three controllers, their services and workers. `open` starts the services and the workers, `startNode` starts each
+ * controller, and `close` stops them all.
+ */
 export class MultiProcessCluster {
   readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
@@ -96,28 +100,28 @@
     return cluster;
   }
 
-  startNode(i: number, program: string = PROGRAM): void {
+  startNode(nodeIndex: number, program: string = PROGRAM): void {
     const { onLogLine, environment } = this.options;
-    this.processes[i] = startControllerProcess({
-      arguments: this.argumentsOf(i, program),
-      environment: environment?.(i) ?? {},
-      ...(onLogLine === undefined ? {} : { onLogLine: (line) => onLogLine(i, line) }),
+    this.processes[nodeIndex] = startControllerProcess({
+      arguments: this.argumentsOf(nodeIndex, program),
+      environment: environment?.(nodeIndex) ?? {},
+      ...(onLogLine === undefined ? {} : { onLogLine: (line) => onLogLine(nodeIndex, line) }),
     });
   }
 
-  signalNode(i: number, signal: "SIGKILL" | "SIGSTOP" | "SIGCONT" | "SIGUSR2"): void {
-    this.processes[i]?.kill(signal);
+  signalNode(nodeIndex: number, signal: "SIGKILL" | "SIGSTOP" | "SIGCONT" | "SIGUSR2"): void {
+    this.processes[nodeIndex]?.kill(signal);
   }
 
-  /** The process ends without a word, and one of that version comes in its place. */
-  replaceNode(i: number, program: string = PROGRAM): void {
-    this.signalNode(i, "SIGKILL");
-    this.startNode(i, program);
+  /** Kills the process of a node and starts one that runs the given program. */
+  replaceNode(nodeIndex: number, program: string = PROGRAM): void {
+    this.signalNode(nodeIndex, "SIGKILL");
+    this.startNode(nodeIndex, program);
   }
 
-  async awaitHealthy(i: number): Promise<void> {
-    await waitForProcesses(`n${i} is healthy`, async () => {
-      const response = await this.connections[i]!.request(
+  async awaitHealthy(nodeIndex: number): Promise<void> {
+    await waitForProcesses(`n${nodeIndex} is healthy`, async () => {
+      const response = await this.connections[nodeIndex]!.request(
         "GET",
         "/healthz",
         null,
@@ -127,33 +131,37 @@
     });
   }
 
-  /** Index of the leader by the state service; -1: nobody leads. */
+  /** Index of the leader according to the state service; -1 if there is none. */
   leaderIndex(): number {
     const leader = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
     if (leader === undefined) return -1;
     return this.members.findIndex(({ member }) => member === leader.member);
   }
 
-  /** The epoch by the state service. */
+  /** The epoch of the newest leadership term according to the state service; 0 if there was none. */
   epoch(): number {
     return (this.stateService.entries.get("epoch")?.value as { n: number } | undefined)?.n ?? 0;
   }
 
-  async awaitOtherLeader(than: number): Promise<number> {
-    const isOther = () => ![-1, than].includes(this.leaderIndex());
-    await waitForProcesses(`another leader than n${than}`, isOther);
+  async awaitOtherLeader(previousLeader: number): Promise<number> {
+    const isOther = () => ![-1, previousLeader].includes(this.leaderIndex());
+    await waitForProcesses(`another leader than n${previousLeader}`, isOther);
     return this.leaderIndex();
   }
 
-  /** Asks one node until it answers for good, as users do. */
-  submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
-    return this.request(i, id, "POST", "/api/jobs", this.recordSubmission(id, change));
+  /** Submits the job to one node, and retries as users do until the answer is final. */
+  submitJob(nodeIndex: number, id: string, overrides: Partial<JobSpec> = {}): Promise<JobAnswer> {
+    return this.request(nodeIndex, id, "POST", "/api/jobs", this.recordSubmission(id, overrides));
   }
 
-  /** One try, whatever the answer; no answer at all counts as 503. */
-  async submitJobOnce(i: number, id: string, change: Partial<JobSpec>): Promise<JobAnswer> {
-    const body = encode(this.recordSubmission(id, change));
-    const response = await this.connections[i]!.request(
+  /** Submits the job without a retry. A missing answer counts as 503. */
+  async submitJobOnce(
+    nodeIndex: number,
+    id: string,
+    overrides: Partial<JobSpec>,
+  ): Promise<JobAnswer> {
+    const body = encode(this.recordSubmission(id, overrides));
+    const response = await this.connections[nodeIndex]!.request(
       "POST",
       "/api/jobs",
       body,
@@ -163,25 +171,25 @@
     return this.recordAnswer(id, response.status, response.body);
   }
 
-  queryJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, id, "GET", `/api/jobs/${id}`);
+  queryJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, id, "GET", `/api/jobs/${id}`);
   }
 
-  cancelJob(i: number, id: string): Promise<JobAnswer> {
+  cancelJob(nodeIndex: number, id: string): Promise<JobAnswer> {
     this.ruleChecker.cancelRequested(id);
-    return this.request(i, id, "POST", `/api/jobs/${id}/withdraw`, {});
+    return this.request(nodeIndex, id, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
-  /** Neither commands nor answers reach the machines of a job for so long. */
-  async dropInboundTraffic(id: string, forS: number): Promise<void> {
+  /** Drops commands and answers to the machines of a job for some seconds. */
+  async dropInboundTraffic(id: string, durationS: number): Promise<void> {
     const names = [...this.ruleChecker.machinesOf(id)];
     const workers = names.map((name) => this.cloud.workers.get(name)!);
     for (const worker of workers) worker.dropsInbound = true;
-    await sleepSeconds(forS);
+    await sleepSeconds(durationS);
     for (const worker of workers) worker.dropsInbound = false;
   }
 
-  /** Every node comes to answer that the job is in this state. */
+  /** Waits until every node has answered that the job is in the given state. */
   async awaitJobState(id: string, state: string): Promise<void> {
     for (let i = 0; i < NODE_COUNT; i++) {
       await waitForProcesses(`${id} is ${state} at n${i}`, async () => {
@@ -206,7 +214,7 @@
     }
     const shared = {
       workers: {
-        report_s: heartbeat.everyS,
+        report_s: heartbeat.intervalS,
         lease_s: heartbeat.leaseS,
         gang_wait_s: 10,
         gang_peer_s: 3,
@@ -234,7 +242,7 @@
         controllers: this.members,
         taskMs,
         heartbeatIntervalMs:
-          heartbeat === undefined ? HEARTBEAT_INTERVAL_MS : heartbeat.everyS * 1000,
+          heartbeat === undefined ? HEARTBEAT_INTERVAL_MS : heartbeat.intervalS * 1000,
         leaseMs: leaseS * 1000,
         onTaskChange: (task, machine, isRunning, cause) => {
           this.ruleChecker.taskChanged(task, machine, isRunning, cause);
@@ -248,16 +256,16 @@
     }
   }
 
-  /** Only this version is given the operators' settings. */
-  private argumentsOf(i: number, program: string): string[] {
+  /** Arguments of Node.js for a node. Other versions of the program are not given the operators' settings. */
+  private argumentsOf(nodeIndex: number, program: string): string[] {
     const operator =
       program === PROGRAM && this.operatorFile !== null ? ["--operator", this.operatorFile] : [];
     const { nodeArguments = [] } = this.options;
-    return [...nodeArguments, program, "--config", this.settingsFiles[i]!, ...operator];
+    return [...nodeArguments, program, "--config", this.settingsFiles[nodeIndex]!, ...operator];
   }
 
   private async request(
-    i: number,
+    nodeIndex: number,
     id: string,
     method: string,
     path: string,
@@ -265,7 +273,7 @@
   ): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const response = await this.connections[i]!.request(
+      const response = await this.connections[nodeIndex]!.request(
         method,
         path,
         bytes,
@@ -276,11 +284,11 @@
       }
       await sleepSeconds(RETRY_INTERVAL_S);
     }
-    assert.fail(`n${i} gives no answer to ${method} ${path}`);
+    assert.fail(`n${nodeIndex} gave no final answer to ${method} ${path}`);
   }
 
-  private recordSubmission(id: string, change: Partial<JobSpec>): Record<string, unknown> {
-    const spec = clusterJob(id, change);
+  private recordSubmission(id: string, overrides: Partial<JobSpec>): Record<string, unknown> {
+    const spec = clusterJob(id, overrides);
     this.ruleChecker.jobSubmitted(spec);
     return encodeJob(spec);
   }
--- a/tests/support/worker-stand-in.ts
+++ b/tests/support/worker-stand-in.ts
@@ -1,4 +1,4 @@
-/** A worker in this process that speaks with controllers over real connections. */
+/** A stand-in for a worker, which runs in the test process and exchanges messages with controllers over TCP. */
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
 import { HttpConnectionPool } from "../../src/net/http-connection-pool.js";
 import { sleepSeconds } from "../../src/time/sleep.js";
@@ -17,7 +17,7 @@
   timer: NodeJS.Timeout;
 }
 
-/** Told of a task's start, and of its end with the cause. */
+/** Called when a task starts, and when it exits, with the cause. */
 export type TaskListener = (
   task: string,
   machine: string,
@@ -25,28 +25,28 @@
   cause: TaskStatus["cause"],
 ) => void;
 
-/** What a worker is, whom it knows, and how long things take. */
+/** Identity, controllers and timing of a worker. */
 export interface WorkerStandInOptions {
   readonly name: string;
   readonly zone: string;
   readonly controllers: readonly { readonly member: string; readonly address: string }[];
-  /** Milliseconds that each task of the job runs. */
+  /** Returns the run time of each task of a job, in milliseconds. */
   readonly taskMs: (job: string) => number;
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
-  /** Told of starts and ends, to see that nothing is on two machines. */
+  /** Called when a task starts or exits; tests use it to detect a task that runs on two machines. */
   readonly onTaskChange: TaskListener;
 }
 
-/** Runs every task for the time that its job sets; tasks end with the lease. */
+/** Runs each task for the run time of its job, and stops all tasks when its lease expires. */
 export class WorkerStandIn {
   readonly name: string;
   readonly zone: string;
-  /** Its heartbeats reach no controller, while direct commands reach it. */
+  /** Whether the worker's heartbeats are lost. Commands that a controller sends to it still arrive. */
   dropsOutbound = false;
-  /** Its heartbeats arrive; answers and direct commands are lost. */
+  /** Whether answers to heartbeats and commands to the worker are lost. Its heartbeats still arrive. */
   dropsInbound = false;
-  /** The bytes of each heartbeat that it sent, for copies that arrive later. */
+  /** The bytes of each heartbeat that the worker sent, so that a test can deliver delayed copies. */
   readonly sentHeartbeats: Buffer[] = [];
   private readonly connections: readonly HttpConnectionPool[];
   private readonly server = new StandInServer((...request) => this.handle(...request));
@@ -73,7 +73,7 @@
 
   async start(): Promise<void> {
     await this.server.start();
-    void this.sendHeartbeats();
+    void this.runHeartbeatLoop();
   }
 
   stop(): void {
@@ -97,16 +97,16 @@
   }
 
   private startTask(key: string, { job, task, attempt }: WorkerCommand): void {
-    const started: StandInTask = {
+    const newTask: StandInTask = {
       status: { job, task, attempt, state: "running", cause: null, checkpointed: false },
-      timer: setTimeout(() => this.exitTask(started, "done"), this.options.taskMs(job)),
+      timer: setTimeout(() => this.exitTask(newTask, "done"), this.options.taskMs(job)),
     };
-    started.timer.unref();
-    this.tasks.set(key, started);
+    newTask.timer.unref();
+    this.tasks.set(key, newTask);
     this.options.onTaskChange(`${job}/${task}`, this.name, true, null);
   }
 
-  private heartbeat(): WorkerHeartbeat {
+  private buildHeartbeat(): WorkerHeartbeat {
     return {
       machine: this.name,
       address: this.address,
@@ -123,9 +123,9 @@
 
   private async handle(method: string, url: URL, body: unknown): Promise<StandInResponse> {
     if (this.dropsInbound) return await noResponse();
-    this.expireLease();
+    this.expireLeaseIfDue();
     if (url.pathname === PATH.probe && method === "GET") {
-      return { status: 200, body: encodeWorkerHeartbeat(this.heartbeat()) };
+      return { status: 200, body: encodeWorkerHeartbeat(this.buildHeartbeat()) };
     }
     const request = decodeCommands(body);
     if (request === null || request.incarnation === null) return { status: 400, body: {} };
@@ -133,25 +133,25 @@
       request.fencingToken >= this.fencingToken && request.incarnation === this.incarnation;
     this.fencingToken = Math.max(this.fencingToken, request.fencingToken);
     if (isAccepted) this.execute(request.commands);
-    return { status: isAccepted ? 200 : 409, body: encodeWorkerHeartbeat(this.heartbeat()) };
+    return { status: isAccepted ? 200 : 409, body: encodeWorkerHeartbeat(this.buildHeartbeat()) };
   }
 
   private execute(commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const key = `${command.job}/${command.task}#${command.attempt}`;
-      const known = this.tasks.get(key);
+      const existing = this.tasks.get(key);
       if (command.op === "forget") {
-        if (known?.status.state === "exited") this.tasks.delete(key);
+        if (existing?.status.state === "exited") this.tasks.delete(key);
       } else if (command.op === "stop") {
-        if (known !== undefined) this.exitTask(known, "stopped");
-      } else if (known === undefined) {
+        if (existing !== undefined) this.exitTask(existing, "stopped");
+      } else if (existing === undefined) {
         this.startTask(key, command);
       }
     }
   }
 
-  /** Once its lease is over, its tasks have ended and a new incarnation begins. */
-  private expireLease(): void {
+  /** If the lease has expired, stops all tasks and begins a new incarnation. */
+  private expireLeaseIfDue(): void {
     if (performance.now() <= this.leaseExpiresAtMs) return;
     this.stopAllTasks();
     this.incarnation++;
@@ -159,23 +159,23 @@
     this.leaseExpiresAtMs = performance.now() + this.options.leaseMs;
   }
 
-  private async sendHeartbeats(): Promise<void> {
+  private async runHeartbeatLoop(): Promise<void> {
     while (!this.isStopped) {
       await sleepSeconds(this.options.heartbeatIntervalMs / 1000);
       if (this.isStopped) return;
-      this.expireLease();
+      this.expireLeaseIfDue();
       if (this.dropsOutbound) continue;
       try {
         await this.sendHeartbeat();
       } catch {
-        this.nextController();
+        this.selectNextController();
       }
     }
   }
 
   private async sendHeartbeat(): Promise<void> {
     const sentAtMs = performance.now();
-    const bytes = encode(encodeWorkerHeartbeat(this.heartbeat()));
+    const bytes = encode(encodeWorkerHeartbeat(this.buildHeartbeat()));
     this.sentHeartbeats.push(bytes);
     const connection = this.connections[this.controllerIndex]!;
     const response = await connection.request("POST", PATH.heartbeat, bytes, REQUEST_TIMEOUT_MS);
@@ -197,10 +197,10 @@
     const leader = decodeRedirect(body);
     const index = this.options.controllers.findIndex(({ member }) => member === leader);
     if (index >= 0) this.controllerIndex = index;
-    else this.nextController();
+    else this.selectNextController();
   }
 
-  private nextController(): void {
+  private selectNextController(): void {
     this.controllerIndex = (this.controllerIndex + 1) % this.options.controllers.length;
   }
 }
