--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -125,12 +125,12 @@
   async (cluster) => {
     await fillUntilLimited(cluster, "fill");
     const refusedNode = [0, 1, 2].find((node) => node !== cluster.leaderIndex())!;
-    cluster.nodes[refusedNode]!.stateProxy.isRefusing = true;
+    cluster.nodes[refusedNode]!.stateProxy.isUnavailable = true;
     await waitUntil(
       "the controller answers that it cannot decide",
       async () => (await cluster.submitJob(refusedNode, "alone", FLOOD)).status === 503,
     );
-    for (const { stateProxy } of cluster.nodes) stateProxy.isRefusing = true;
+    for (const { stateProxy } of cluster.nodes) stateProxy.isUnavailable = true;
     await sleepSeconds(0.5);
     for (const node of [0, 1, 2]) {
       await waitUntil(
@@ -138,7 +138,7 @@
         async () => (await cluster.submitJob(node, "nobody", FLOOD)).status === 503,
       );
     }
-    for (const { stateProxy } of cluster.nodes) stateProxy.reopen();
+    for (const { stateProxy } of cluster.nodes) stateProxy.endOutage();
     await waitUntil("the controller decides again", async () =>
       isRejected(await cluster.submitJob(refusedNode, `back-${performance.now()}`, FLOOD)),
     );
@@ -154,7 +154,7 @@
     await fillUntilLimited(cluster, "fill");
     let claimCount = 0;
     for (const { stateProxy } of cluster.nodes) {
-      stateProxy.fateOf = (transaction) => {
+      stateProxy.handlingOf = (transaction) => {
         const isClaim = transaction.changes.some(
           ({ op, key }) => op === "put" && key.startsWith("a/t/"),
         );
@@ -172,7 +172,7 @@
       );
     }
     assert.ok(claimCount > 0);
-    for (const { stateProxy } of cluster.nodes) stateProxy.fateOf = () => "answered";
+    for (const { stateProxy } of cluster.nodes) stateProxy.handlingOf = () => "answered";
     for (const id of ids) {
       await waitUntil(
         `job ${id} is known`,
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -12,9 +12,9 @@
 import { test } from "node:test";
 import type { KeyValueItem } from "../src/core/state/key-value.js";
 import { decode, encode } from "../src/wire/msgpack.js";
-import { exchanges } from "./support/golden-exchanges.js";
-import { READ } from "./support/golden-messages.js";
-import { readAdmission, readStored, storedForms } from "./support/golden-stored.js";
+import { recordExchanges } from "./support/golden-exchanges.js";
+import { DECODE_CASES } from "./support/golden-messages.js";
+import { readAdmission, readStored, recordStoredForms } from "./support/golden-stored.js";
 
 interface RecordedExample {
   readonly bytes: string;
@@ -62,7 +62,7 @@
 
 function generateDecodedExamples(): Record<string, Record<string, unknown>> {
   const examples: Record<string, Record<string, unknown>> = {};
-  for (const [kind, { bodies, read }] of Object.entries(READ)) {
+  for (const [kind, { bodies, read }] of Object.entries(DECODE_CASES)) {
     examples[kind] = {};
     for (const [name, body] of Object.entries(bodies)) {
       const bytes = encode(body);
@@ -77,9 +77,9 @@
 }
 
 async function generate(): Promise<Golden> {
-  const stored = toPlainJson<Golden["stored"]>(await storedForms());
+  const stored = toPlainJson<Golden["stored"]>(await recordStoredForms());
   const parts = {
-    exchanges: await exchanges(),
+    exchanges: await recordExchanges(),
     stored: stored,
     readAgain: decodeStoredValues(stored),
   };
@@ -100,7 +100,11 @@
 for (const kind of Object.keys(golden.read)) {
   test(`${kind}: recorded bytes are decoded to the recorded result, and generated examples match`, async () => {
     for (const [name, example] of Object.entries(golden.read[kind]!)) {
-      assert.deepEqual(toPlainJson(READ[kind]!.read(decodeExample(example))), example.read, name);
+      assert.deepEqual(
+        toPlainJson(DECODE_CASES[kind]!.read(decodeExample(example))),
+        example.read,
+        name,
+      );
     }
     assert.deepEqual((await generated()).read[kind], golden.read[kind]);
   });
--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -51,14 +51,14 @@
       await submitDependent(cluster, 2, "last", ["middle"]);
       const leader = cluster.leaderIndex();
       const other = (leader + 1) % 3;
-      cluster.nodes[leader]!.stateProxy.isRefusing = true;
+      cluster.nodes[leader]!.stateProxy.isUnavailable = true;
       await cancelUntilConfirmed(cluster, other, chain[cancelledIndex]!);
       for (const [index, id] of chain.entries()) {
         const state = await jobState(cluster, other, id);
         if (index >= cancelledIndex) assert.equal(state, "cancelled", id);
         else assert.notEqual(state, "cancelled", id);
       }
-      cluster.nodes[leader]!.stateProxy.reopen();
+      cluster.nodes[leader]!.stateProxy.endOutage();
       await waitUntil("the refused leader reports the cancellation", async () => {
         return (await jobState(cluster, leader, chain[cancelledIndex]!)) === "cancelled";
       });
@@ -86,12 +86,13 @@
       );
       await sleepSeconds(0.12 * round);
       // The write is applied but its answer is lost, and the user repeats the submission on another node.
-      proxy.fateOf = (tx) => (JSON.stringify(tx).includes(dependent) ? "answer lost" : "answered");
+      proxy.handlingOf = (tx) =>
+        JSON.stringify(tx).includes(dependent) ? "answer lost" : "answered";
       const unanswered = cluster.submitJob(1, dependent, { after: [first] }).catch(() => null);
       await waitUntil("the write is carried out", () =>
         cluster.stateService.entries.has(`p/${dependent}`),
       );
-      proxy.fateOf = () => "answered";
+      proxy.handlingOf = () => "answered";
       const repeated = await cluster.submitJob(2, dependent, { after: [first] });
       assert.equal(repeated.status, 200, "the job is known already");
       await waitUntil(
@@ -117,10 +118,11 @@
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
     const proxy = cluster.nodes[1]!.stateProxy;
-    proxy.fateOf = (tx) => (JSON.stringify(tx).includes("follower") ? "answer lost" : "answered");
+    proxy.handlingOf = (tx) =>
+      JSON.stringify(tx).includes("follower") ? "answer lost" : "answered";
     const unanswered = cluster.submitJob(1, "follower", { after: ["first"] }).catch(() => null);
     await cancelUntilConfirmed(cluster, 0, "first");
-    proxy.fateOf = () => "answered";
+    proxy.handlingOf = () => "answered";
     await waitUntil("the dependent job is accepted", async () => {
       return (await cluster.submitJob(2, "follower", { after: ["first"] })).status <= 201;
     });
@@ -141,13 +143,13 @@
   {},
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
-    for (const node of cluster.nodes) node.stateProxy.isRefusing = true;
+    for (const node of cluster.nodes) node.stateProxy.isUnavailable = true;
     const startedAt = performance.now();
     const refused = await cluster.submitJob(1, "follower", { after: ["nobody"] });
     assert.equal(refused.status, 503, "not 422, as the dependency may exist");
     assert.ok(refused.retryAfter !== undefined, "Retry-After is set");
     assert.ok(performance.now() - startedAt < 2500, "answered at once");
-    for (const node of cluster.nodes) node.stateProxy.reopen();
+    for (const node of cluster.nodes) node.stateProxy.endOutage();
     await waitUntil("a read shows that the dependency does not exist", async () => {
       return (await cluster.submitJob(1, "follower", { after: ["nobody"] })).status === 422;
     });
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -1,4 +1,4 @@
-/** Whole controllers in this process, against the stand-ins: what a scenario needs, and what it saw. */
+/** Runs complete controllers in the test process against stand-ins, and records the tasks and admission decisions. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Logger, pino } from "pino";
@@ -25,18 +25,21 @@
 const MAX_CONNECTIONS = 16;
 const REQUEST_TIMEOUT_MS = 5000;
 const TEST_TIMEOUT_MS = 120_000;
-/** Stand-ins' heartbeats come a little more often than the settings say. */
+/**
+ * The workers send heartbeats more often than the settings require: at this ratio of the interval in the settings.
+ */
 const HEARTBEAT_INTERVAL_RATIO = 0.6;
 
+/** Size, intervals (in seconds) and settings of the cluster. */
 export interface InProcessClusterOptions {
   readonly nodes: number;
   readonly workers: number;
   readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly cancelS: number;
-  /** How long every task runs. */
+  /** Run time of every task, in seconds. */
   readonly taskS: number;
-  /** The cloud refuses to tell the machine types. */
+  /** Whether the cloud answers requests for the machine type catalog with 503. */
   readonly isCatalogUnavailable: boolean;
   /** The operators' settings (INI). */
   readonly operatorIni: string;
@@ -58,9 +61,9 @@
   readonly address: string;
   readonly stateProxy: StateServiceProxy;
   readonly connection: HttpConnectionPool;
-  /** Text of its settings. */
+  /** Text of the node's settings file. */
   readonly settings: string;
-  /** Null while it is stopped. */
+  /** Null while the node is stopped. */
   controller: Controller | null;
 }
 
@@ -71,66 +74,77 @@
   readonly retryAfter: string | undefined;
 }
 
-/** Controllers, their services and workers, from `open` to `close`. */
+/** Controllers, their services and workers, which run from `open` to `close`. */
 export class InProcessCluster {
   readonly stateService = new StateServiceStandIn();
   readonly cloud = new CloudStandIn();
   readonly nodes: ClusterNode[] = [];
-  /** Machines on which each task is. */
+  /** Machines on which each task (`job/index`) is running. */
   readonly machinesByTask = new Map<string, Set<string>>();
   readonly startedTasks: string[] = [];
-  /** Tasks that started while they were on another machine. */
+  /** Tasks that started on a machine while they were running on another one. */
   readonly duplicateStarts: string[] = [];
-  /** What each node logged of admission, in order. */
+  /** Admission decisions that each node logged, in order. */
   readonly admissionDecisions: Record<string, unknown>[][] = [];
 
   private constructor(readonly options: InProcessClusterOptions) {}
 
-  static async open(change: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
-    const cluster = new InProcessCluster({ ...DEFAULT_OPTIONS, ...change });
+  static async open(overrides: Partial<InProcessClusterOptions> = {}): Promise<InProcessCluster> {
+    const cluster = new InProcessCluster({ ...DEFAULT_OPTIONS, ...overrides });
     try {
       await cluster.startAll();
     } catch (error) {
-      // What has started would keep the test process alive for good.
+      // Servers and timers that have started would keep the test process from exiting.
       await cluster.close();
       throw error;
     }
     return cluster;
   }
 
-  /** `operatorIni`: the operators' settings, if they changed since the cluster was opened. */
-  async startNode(i: number, operatorIni: string = this.options.operatorIni): Promise<void> {
-    const node = this.nodes[i]!;
-    const controller = createController(node.settings, operatorIni, this.loggerFor(i));
+  /** Starts the controller of a node. `operatorIni` replaces the operators' settings of the cluster. */
+  async startNode(
+    nodeIndex: number,
+    operatorIni: string = this.options.operatorIni,
+  ): Promise<void> {
+    const node = this.nodes[nodeIndex]!;
+    const controller = createController(node.settings, operatorIni, this.loggerFor(nodeIndex));
     node.controller = controller;
     await startController(controller);
   }
 
-  /** It ends without a word, as a killed process does: what it sent before may still be under way. */
-  async stopNode(i: number): Promise<void> {
-    await this.nodes[i]!.controller?.stop();
-    this.nodes[i]!.controller = null;
+  /**
+   * Stops the controller of a node without notice to the others, as if its process were killed. Requests that it sent
+   * before may still arrive.
+   */
+  async stopNode(nodeIndex: number): Promise<void> {
+    await this.nodes[nodeIndex]!.controller?.stop();
+    this.nodes[nodeIndex]!.controller = null;
   }
 
-  /** By the state service; -1: nobody. */
+  /** Index of the leader according to the state service; -1 if there is none. */
   leaderIndex(): number {
     const leader = this.stateService.entries.get("lead")?.value as { member: string } | undefined;
     if (leader === undefined) return -1;
     return this.nodes.findIndex(({ name }) => name === leader.member);
   }
 
-  /** Machines on which any task of the job is, by what the machines themselves say. */
+  /** Machines on which any task of the job is running, as the machines themselves report it. */
   machinesOf(job: string): Set<string> {
     const machines = new Set<string>();
-    for (const [task, where] of this.machinesByTask) {
-      if (task.startsWith(`${job}/`)) for (const machine of where) machines.add(machine);
+    for (const [task, taskMachines] of this.machinesByTask) {
+      if (task.startsWith(`${job}/`)) for (const machine of taskMachines) machines.add(machine);
     }
     return machines;
   }
 
-  async request(i: number, method: string, path: string, body?: unknown): Promise<JobAnswer> {
+  async request(
+    nodeIndex: number,
+    method: string,
+    path: string,
+    body?: unknown,
+  ): Promise<JobAnswer> {
     const bytes = body === undefined ? null : encode(body);
-    const { connection } = this.nodes[i]!;
+    const { connection } = this.nodes[nodeIndex]!;
     const response = await connection.request(method, path, bytes, REQUEST_TIMEOUT_MS);
     return {
       status: response.status,
@@ -139,28 +153,28 @@
     };
   }
 
-  submitJob(i: number, id: string, change: Partial<JobSpec> = {}): Promise<JobAnswer> {
-    return this.submitBody(i, encodeJob(clusterJob(id, change)));
+  submitJob(nodeIndex: number, id: string, overrides: Partial<JobSpec> = {}): Promise<JobAnswer> {
+    return this.submitBody(nodeIndex, encodeJob(clusterJob(id, overrides)));
   }
 
-  /** A submission as it is on the wire, which may be none. */
-  submitBody(i: number, body: Record<string, unknown>): Promise<JobAnswer> {
-    return this.request(i, "POST", "/api/jobs", body);
+  /** Submits a job with the given body, which may be malformed. */
+  submitBody(nodeIndex: number, body: Record<string, unknown>): Promise<JobAnswer> {
+    return this.request(nodeIndex, "POST", "/api/jobs", body);
   }
 
-  queryJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, "GET", `/api/jobs/${id}`);
+  queryJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, "GET", `/api/jobs/${id}`);
   }
 
-  cancelJob(i: number, id: string): Promise<JobAnswer> {
-    return this.request(i, "POST", `/api/jobs/${id}/withdraw`, {});
+  cancelJob(nodeIndex: number, id: string): Promise<JobAnswer> {
+    return this.request(nodeIndex, "POST", `/api/jobs/${id}/withdraw`, {});
   }
 
-  /** Returns once the job runs with all its tasks. */
-  async submitAndAwaitRunning(id: string, change: Partial<JobSpec> = {}): Promise<void> {
-    const isAccepted = async () => (await this.submitJob(0, id, change)).status <= 201;
+  /** Submits the job and returns once all its tasks are running. */
+  async submitAndAwaitRunning(id: string, overrides: Partial<JobSpec> = {}): Promise<void> {
+    const isAccepted = async () => (await this.submitJob(0, id, overrides)).status <= 201;
     await waitUntil(`${id} is accepted`, isAccepted);
-    const { tasks } = clusterJob(id, change);
+    const { tasks } = clusterJob(id, overrides);
     await waitUntil(`${id} runs`, () => this.runningTaskCount(id) === tasks);
   }
 
@@ -188,7 +202,7 @@
     this.cloud.isCatalogUnavailable = isCatalogUnavailable;
     for (let i = 0; i < nodes; i++) await this.startNode(i);
     if (isCatalogUnavailable) return;
-    await waitUntil("somebody leads", () => this.leaderIndex() >= 0);
+    await waitUntil("a leader is elected", () => this.leaderIndex() >= 0);
   }
 
   private async addNode(node: ControllerNode, members: readonly ControllerNode[]): Promise<void> {
@@ -252,11 +266,11 @@
     return count;
   }
 
-  private loggerFor(i: number): Logger {
+  private loggerFor(nodeIndex: number): Logger {
     const level = process.env.SITE_LOG;
-    if (level !== undefined) return pino({ level }).child({ node: i });
+    if (level !== undefined) return pino({ level }).child({ node: nodeIndex });
     const decisions: Record<string, unknown>[] = [];
-    this.admissionDecisions[i] = decisions;
+    this.admissionDecisions[nodeIndex] = decisions;
     const write = (text: string): void => {
       const { level: _, time: __, msg, ...line } = JSON.parse(text) as Record<string, unknown>;
       if (msg === "admission decision") decisions.push(line);
@@ -265,18 +279,18 @@
   }
 }
 
-const zoneOf = (i: number): string => (i % 2 === 0 ? "a" : "b");
+const zoneOf = (index: number): string => (index % 2 === 0 ? "a" : "b");
 
-/** A test of whole controllers: whatever happens in it, no task may be on two machines. */
+/** Defines a test of a complete cluster, which also fails if a task ever runs on two machines at once. */
 export function clusterTest(
   name: string,
   options: Partial<InProcessClusterOptions>,
-  body: (cluster: InProcessCluster) => Promise<void>,
+  run: (cluster: InProcessCluster) => Promise<void>,
 ): void {
   test(name, { timeout: TEST_TIMEOUT_MS }, async (t) => {
     const cluster = await InProcessCluster.open(options);
     t.after(() => cluster.close());
-    await body(cluster);
+    await run(cluster);
     assert.deepEqual(cluster.duplicateStarts, [], "ran_twice");
   });
 }
--- a/tests/support/overload/report.ts
+++ b/tests/support/overload/report.ts
@@ -1,23 +1,23 @@
-/** What an overload run measured, and what must hold of it. */
+/** The report of an overload run, and the checks that it must pass. */
 import assert from "node:assert/strict";
 import { START_LATENCY_BOUND_S } from "../../../src/core/model/constants.js";
-import { CPUS, type Load, PATIENCE_S, TASK_S } from "./workload.js";
+import { type ClassLoad, TASK_S, TOTAL_CPUS, USER_TIMEOUT_S } from "./workload.js";
 
-/** Counts of one class. */
-export interface ClassFigures {
+/** Counters of one job class. */
+export interface ClassCounters {
   submitted: number;
   accepted: number;
   givenUp: number;
   longestAdmissionS: number;
-  /** Tasks completed, by interval of `INTERVAL_S`. */
+  /** Number of completed tasks in each interval of `INTERVAL_S`. */
   readonly tasksDone: number[];
 }
 
-/** Counts of one class, and what it used. */
-export interface ClassReport extends ClassFigures {
-  /** CPUs used on average. */
+/** Counters and CPU usage of one job class. */
+export interface ClassReport extends ClassCounters {
+  /** Average number of CPUs in use. */
   readonly cpus: number;
-  /** CPUs used in the worst interval without a disturbance; null: there was no such interval. */
+  /** CPUs in use in the worst undisturbed interval; null if there was none. */
   readonly leastCpus: number | null;
   readonly guaranteed: number;
 }
@@ -25,7 +25,7 @@
 /** The measurements, as `npm run overload` prints them. */
 export interface OverloadReport {
   readonly seconds: number;
-  /** Revisions with decisions for which all controllers that read them logged the same lines. */
+  /** Number of revisions for which all controllers that read them logged identical admission decisions. */
   readonly identicalDecisions: number;
   readonly decisions: { admitted: number; rejected: number };
   readonly windows: number;
@@ -35,41 +35,54 @@
   readonly faults: readonly string[];
 }
 
-/** Completed tasks are counted by intervals of this length, in seconds. */
+/** Length in seconds of the intervals by which completed tasks are counted. */
 export const INTERVAL_S = 10;
 
-/** The report of one class; `isDisturbed` tells the intervals that count only for the average. */
+/** Returns the report of one class. Intervals for which `isDisturbed` is true count for the average only. */
 export function reportClass(
-  load: Load,
-  figures: ClassFigures,
+  load: ClassLoad,
+  counters: ClassCounters,
   seconds: number,
   isDisturbed: (interval: number) => boolean,
 ): ClassReport {
-  const cpus = figures.tasksDone.map((tasks) => (tasks * TASK_S) / INTERVAL_S);
-  const completeIntervals = cpus.slice(1, Math.floor(seconds / INTERVAL_S));
-  const undisturbed = completeIntervals.filter((_, index) => !isDisturbed(index + 1));
+  const cpusByInterval = counters.tasksDone.map((tasks) => (tasks * TASK_S) / INTERVAL_S);
+  const completeIntervals = cpusByInterval.slice(1, Math.floor(seconds / INTERVAL_S));
+  const undisturbedIntervals = completeIntervals.filter((_, index) => !isDisturbed(index + 1));
   return {
-    ...figures,
-    cpus: cpus.reduce((sum, used) => sum + used, 0) / cpus.length,
-    leastCpus: undisturbed.length === 0 ? null : Math.min(...undisturbed),
-    guaranteed: load.guaranteed,
+    ...counters,
+    cpus: cpusByInterval.reduce((sum, used) => sum + used, 0) / cpusByInterval.length,
+    leastCpus: undisturbedIntervals.length === 0 ? null : Math.min(...undisturbedIntervals),
+    guaranteed: load.guaranteedCpus,
   };
 }
 
-/** What must hold on any machine: shares are compared with the CPUs that were used in total. */
-export function assertFair(report: OverloadReport): void {
+/**
+ * Checks the results that must hold on hardware of any speed: the CPU usage of a class is compared with the total CPU
+ * usage, and not with the capacity.
+ */
+export function assertOverloadReport(report: OverloadReport): void {
   assert.deepEqual(report.faults, []);
-  assert.ok(report.identicalDecisions > report.seconds, "decisions were compared");
-  assert.ok(report.decisions.rejected > 0 && report.windows > 3, "it was overloaded");
-  const used = Object.values(report.classes).reduce((sum, { cpus }) => sum + cpus, 0);
-  for (const [name, figures] of Object.entries(report.classes)) {
-    const guaranteed = (figures.guaranteed / CPUS) * used;
-    assert.ok(figures.cpus >= 0.8 * guaranteed, `${name}: ${figures.cpus} of ${guaranteed} CPUs`);
-    assert.ok(figures.accepted > 0, `${name} is shut out`);
-    // Any job begins within the users' bound; in a shorter run a gang of half the cluster need not have begun.
-    const hasRun = report.seconds < START_LATENCY_BOUND_S || figures.cpus > 0.01 * used;
-    assert.ok(hasRun, `${name} starves: ${figures.cpus} CPUs`);
-    const { longestAdmissionS } = figures;
-    assert.ok(longestAdmissionS <= PATIENCE_S, `${name}: ${longestAdmissionS} s`);
+  assert.ok(
+    report.identicalDecisions > report.seconds,
+    "too few admission decisions were compared",
+  );
+  assert.ok(report.decisions.rejected > 0 && report.windows > 3, "the cluster was not overloaded");
+  const totalCpus = Object.values(report.classes).reduce((sum, { cpus }) => sum + cpus, 0);
+  for (const [name, classReport] of Object.entries(report.classes)) {
+    const guaranteedCpus = (classReport.guaranteed / TOTAL_CPUS) * totalCpus;
+    assert.ok(
+      classReport.cpus >= 0.8 * guaranteedCpus,
+      `${name}: ${classReport.cpus} of ${guaranteedCpus} CPUs`,
+    );
+    assert.ok(classReport.accepted > 0, `no job of ${name} was accepted`);
+    // Every job must start within START_LATENCY_BOUND_S. In a shorter run a gang of half the cluster need not have started.
+    const hasStarted =
+      report.seconds < START_LATENCY_BOUND_S || classReport.cpus > 0.01 * totalCpus;
+    assert.ok(hasStarted, `${name} was starved: ${classReport.cpus} CPUs`);
+    const { longestAdmissionS } = classReport;
+    assert.ok(
+      longestAdmissionS <= USER_TIMEOUT_S,
+      `${name}: ${longestAdmissionS} s until a job was accepted`,
+    );
   }
 }
--- a/tests/support/state-service-proxy.ts
+++ b/tests/support/state-service-proxy.ts
@@ -1,4 +1,4 @@
-/** One node's way to the state service, on which a test can cause faults. */
+/** A proxy between one node and the state service, in which a test can inject faults. */
 import { decodeTransaction, type Transaction } from "../../src/wire/inverse-codecs.js";
 import { PATH } from "../../src/wire/names.js";
 import {
@@ -9,21 +9,24 @@
   UNAVAILABLE,
 } from "./stand-in-server.js";
 
-/** What becomes of a transaction: its answer may be lost, or it is carried out when the test says so. */
-export type TransactionFate = "answered" | "answer lost" | "late";
+/**
+ * How the proxy handles a transaction: it forwards the transaction and its response ("answered"), drops the response
+ * ("answer lost"), or holds the transaction back until the test forwards it, also without a response ("late").
+ */
+export type TransactionHandling = "answered" | "answer lost" | "late";
 
 /** Forwards a node's requests to the state service. */
 export class StateServiceProxy {
-  /** The service refuses this node alone; its open watches wait, as in an outage. */
-  isRefusing = false;
-  /** Decides for each transaction. */
-  fateOf: (transaction: Transaction) => TransactionFate = () => "answered";
-  /** Transactions that are carried out only when the test says so. */
+  /** Whether requests of this node are answered with 503. Responses to open watches are held back meanwhile. */
+  isUnavailable = false;
+  /** Chooses how each transaction is handled. */
+  handlingOf: (transaction: Transaction) => TransactionHandling = () => "answered";
+  /** Transactions that were held back. The test calls each function to forward its transaction. */
   readonly delayedTransactions: (() => void)[] = [];
-  private readonly reopenWaiters = new Set<() => void>();
+  private readonly outageEndWaiters = new Set<() => void>();
   private readonly server = new StandInServer((...request) => this.forward(...request));
 
-  /** `handler`: the state service. */
+  /** `handler` answers the requests on behalf of the state service. */
   constructor(private readonly handler: RequestHandler) {}
 
   get address(): string {
@@ -38,24 +41,25 @@
     this.server.stop();
   }
 
-  /** The service refuses this node no more. */
-  reopen(): void {
-    this.isRefusing = false;
-    for (const resolve of this.reopenWaiters) resolve();
-    this.reopenWaiters.clear();
+  /** Ends the outage and sends the responses that were held back. */
+  endOutage(): void {
+    this.isUnavailable = false;
+    for (const resolve of this.outageEndWaiters) resolve();
+    this.outageEndWaiters.clear();
   }
 
   private async forward(method: string, url: URL, body: unknown): Promise<StandInResponse> {
-    if (this.isRefusing) return UNAVAILABLE;
+    if (this.isUnavailable) return UNAVAILABLE;
     const isTransaction = url.pathname === PATH.transactions;
-    const fate = isTransaction ? this.fateOf(decodeTransaction(body)) : "answered";
-    if (fate === "late") {
+    const handling = isTransaction ? this.handlingOf(decodeTransaction(body)) : "answered";
+    if (handling === "late") {
       this.delayedTransactions.push(() => void this.handler(method, url, body));
       return await noResponse();
     }
     const response = await this.handler(method, url, body);
-    if (fate === "answer lost") return await noResponse();
-    while (this.isRefusing) await new Promise<void>((resolve) => this.reopenWaiters.add(resolve));
+    if (handling === "answer lost") return await noResponse();
+    while (this.isUnavailable)
+      await new Promise<void>((resolve) => this.outageEndWaiters.add(resolve));
     return response;
   }
 }
--- a/tests/support/state-service-stand-in.ts
+++ b/tests/support/state-service-stand-in.ts
@@ -1,4 +1,4 @@
-/** The state service of the tests: a key-value store with transactions, leases and watches, in one process. */
+/** An in-memory stand-in for the state service: a key-value store with transactions, leases and watches. */
 
 import type { Change, ChangeEvent } from "../../src/core/state/key-value.js";
 import {
@@ -13,7 +13,7 @@
 import { type StandInResponse, StandInServer, UNAVAILABLE } from "./stand-in-server.js";
 import { StateServiceProxy } from "./state-service-proxy.js";
 
-/** A stored value, with the lease that it is bound to. */
+/** A stored value and the lease that it is attached to, if any. */
 interface StoredEntry {
   readonly value: unknown;
   readonly modRevision: number;
@@ -29,30 +29,30 @@
 const ok = (body: unknown): StandInResponse => ({ status: 200, body });
 const badRequest = (error: string): StandInResponse => ({ status: 400, body: { error } });
 
-/** Strongly consistent by being one map in one process. */
+/** Linearizable, because all requests operate on one map in one process. */
 export class StateServiceStandIn {
   readonly entries = new Map<string, StoredEntry>();
-  /** How many changes of each key were carried out. */
+  /** Number of changes applied to each key. */
   readonly changeCounts = new Map<string, number>();
-  /** Larger values and transactions are refused. */
+  /** Transactions that exceed these limits are rejected. */
   limits = { valueBytes: Number.POSITIVE_INFINITY, txnOps: Number.POSITIVE_INFINITY };
-  /** Transactions that were refused for exceeding the limits. */
-  rejectedTransactions = 0;
-  /** It refuses everybody; open watches wait. */
+  /** Number of transactions that were rejected because they exceeded the limits. */
+  rejectedTransactionCount = 0;
+  /** Whether all requests are answered with 503. Open watches stay open. */
   isUnavailable = false;
   private readonly changeLog: ChangeEvent[] = [];
   private readonly leases = new Map<number, Lease>();
   private readonly watchers = new Set<() => void>();
   private readonly proxies: StateServiceProxy[] = [];
   private readonly server = new StandInServer((...request) => this.handle(...request));
-  private nextLease = 1;
+  private nextLeaseId = 1;
   private revision = 1;
 
   get address(): string {
     return this.server.address;
   }
 
-  /** All changes so far, in their order. */
+  /** All changes so far, in order. */
   get history(): readonly ChangeEvent[] {
     return this.changeLog;
   }
@@ -61,7 +61,7 @@
     return this.server.start();
   }
 
-  /** A way of its own for one node, with faults of its own. */
+  /** Starts a proxy for one node, in which a test can inject faults for this node only. */
   async openProxy(): Promise<StateServiceProxy> {
     const proxy = new StateServiceProxy((...request) => this.handle(...request));
     await proxy.start();
@@ -79,33 +79,33 @@
     if (this.isUnavailable) return UNAVAILABLE;
     const { pathname, searchParams } = url;
     if (pathname === PATH.leases && method === "POST") return this.grantLease(body);
-    if (pathname.startsWith(`${PATH.leases}/`)) return this.changeLease(method, pathname);
+    if (pathname.startsWith(`${PATH.leases}/`)) return this.extendOrRevokeLease(method, pathname);
     if (pathname === PATH.transactions) return this.transact(decodeTransaction(body));
-    if (pathname === PATH.keyValues) return this.range(searchParams);
+    if (pathname === PATH.keyValues) return this.readRange(searchParams);
     if (pathname === PATH.watch) return await this.watch(searchParams);
     return NOT_FOUND;
   }
 
   private grantLease(body: unknown): StandInResponse {
     const { ttlMs } = body as { ttlMs: number };
-    if (!Number.isInteger(ttlMs)) return badRequest("not whole milliseconds");
-    const id = this.nextLease++;
-    this.armLease(id, ttlMs);
+    if (!Number.isInteger(ttlMs)) return badRequest("ttlMs is not an integer");
+    const id = this.nextLeaseId++;
+    this.startLeaseTimer(id, ttlMs);
     return ok(encodeLease(id));
   }
 
-  /** Extends or revokes it. */
-  private changeLease(method: string, path: string): StandInResponse {
+  /** Extends the lease, or revokes it if the method is DELETE. */
+  private extendOrRevokeLease(method: string, path: string): StandInResponse {
     const id = Number(path.split("/")[2]);
     const lease = this.leases.get(id);
     if (lease === undefined) return NOT_FOUND;
     clearTimeout(lease.timer);
     if (method === "DELETE") this.expireLease(id);
-    else this.armLease(id, lease.ttlMs);
+    else this.startLeaseTimer(id, lease.ttlMs);
     return ok({});
   }
 
-  private armLease(id: number, ttlMs: number): void {
+  private startLeaseTimer(id: number, ttlMs: number): void {
     const timer = setTimeout(() => this.expireLease(id), ttlMs);
     timer.unref();
     this.leases.set(id, { ttlMs, timer });
@@ -120,26 +120,26 @@
     for (const [key, entry] of [...this.entries]) {
       if (entry.lease === id) this.applyChange({ op: "delete", key });
     }
-    this.wakeWatchers();
+    this.notifyWatchers();
   }
 
-  private range(query: URLSearchParams): StandInResponse {
+  private readRange(query: URLSearchParams): StandInResponse {
     const prefix = query.get("prefix") ?? "";
     const since = query.get("since") ?? "";
     const limit = Number(query.get("most") ?? "");
-    const found = [...this.entries]
+    const matches = [...this.entries]
       .filter(([key]) => key.startsWith(prefix) && key > since)
       .sort(([a], [b]) => (a < b ? -1 : 1));
-    const items = found
+    const items = matches
       .slice(0, limit)
       .map(([key, { value, modRevision }]) => ({ key, value, modRevision }));
-    return ok(encodeRange(items, found.length > limit, this.revision));
+    return ok(encodeRange(items, matches.length > limit, this.revision));
   }
 
   private async watch(query: URLSearchParams): Promise<StandInResponse> {
     const since = Number(query.get("since") ?? "");
     const blockMs = Number(query.get("blockMs") ?? "");
-    if (this.changesSince(since).length === 0 && blockMs > 0) await this.nextChange(blockMs);
+    if (this.changesSince(since).length === 0 && blockMs > 0) await this.waitForChange(blockMs);
     return ok(encodeWatchResponse(this.changesSince(since), this.revision));
   }
 
@@ -147,7 +147,7 @@
     return this.changeLog.filter(({ modRevision }) => modRevision > revision);
   }
 
-  private async nextChange(timeoutMs: number): Promise<void> {
+  private async waitForChange(timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
@@ -160,15 +160,15 @@
     });
   }
 
-  private wakeWatchers(): void {
+  private notifyWatchers(): void {
     for (const wake of [...this.watchers]) wake();
   }
 
   private transact({ preconditions, changes }: Transaction): StandInResponse {
     if (changes.some((change) => this.hasUnknownLease(change))) return badRequest("no such lease");
     if (this.exceedsLimits(changes)) {
-      this.rejectedTransactions++;
-      return badRequest("too large");
+      this.rejectedTransactionCount++;
+      return badRequest("transaction exceeds the limits");
     }
     const failedKeys = preconditions
       .filter(({ key, modRevision }) => (this.entries.get(key)?.modRevision ?? 0) !== modRevision)
@@ -178,7 +178,7 @@
     }
     this.revision++;
     for (const change of changes) this.applyChange(change);
-    this.wakeWatchers();
+    this.notifyWatchers();
     return ok(encodeTransactionResult(this.revision, []));
   }
 
