--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -8,12 +8,12 @@
 import type { Placement, StopRequest } from "./placement.js";
 import { isMachineAllowed } from "./placement-constraints.js";
 
-/** Probes per second and CPU core that the probe budget allows. */
+/** Rate of the probe budget: probes per second for each CPU core of this node. */
 const PROBES_PER_CORE_S = 40;
 const MAXIMUM_COMMANDS_PER_REQUEST = 400;
-/** Limit on concurrent probes, and on concurrent token-only requests, while the node is overloaded. */
+/** Maximum number of concurrent probes, and also of concurrent token-only requests, while the node is overloaded. */
 const CONCURRENT_REQUESTS_OVERLOADED = 4;
-/** Smallest value of the same limit while the node is not overloaded. */
+/** Lower bound of the same maximum while the node is not overloaded. */
 const MINIMUM_CONCURRENT_REQUESTS = 8;
 /** Probes may use one in 50 of the node's sockets, and token-only requests another one in 50. */
 const SOCKETS_PER_CONCURRENT_REQUEST = 50;
@@ -28,7 +28,7 @@
 
 /** Sends start, stop and forget commands to workers, with at most one direct request in flight per machine. */
 export class CommandDispatcher {
-  /** Machines that may have commands to send. `Scheduler.tick` skips all others. */
+  /** Machines to which commands may have to be sent. `Scheduler.tick` skips all others. */
   readonly dueMachines = new Set<Machine>();
   /** Names of the machines that have a token-only request (fencing token, no commands) in flight. */
   readonly tokenRequestsInFlight = new Set<string>();
@@ -50,8 +50,8 @@
 
   /**
    * Maximum number of probes in flight, and also of token-only requests in flight. Without this limit, a leader that
-   * took over while 1000 workers were late probed all of them at once. This left no time to process their heartbeats,
-   * and most of the workers lost their leases.
+   * took over while the heartbeats of 1000 workers were overdue probed all these workers at once. This left no time
+   * to process their heartbeats, and most of the workers lost their leases.
    */
   get maximumConcurrentRequests(): number {
     if (this.isOverloaded) return CONCURRENT_REQUESTS_OVERLOADED;
@@ -61,7 +61,7 @@
     );
   }
 
-  /** Requests a stop of the placement. Of several requests, the one with the shortest grace period applies. */
+  /** Requests that the placement is stopped. Of several requests, the one with the shortest grace period applies. */
   stop(placement: Placement, why: string, graceS: number): void {
     if (placement.stop !== null && placement.stop.graceS <= graceS) return;
     placement.stop = { why, graceS, sentAt: Number.NEGATIVE_INFINITY };
@@ -74,14 +74,20 @@
     }));
   }
 
-  /** Stops a task after `graceS` seconds to checkpoint. If it is a gang task, the whole gang is stopped. */
+  /**
+   * Stops a task, which gets `graceS` seconds to checkpoint. If the task belongs to a gang, the whole gang is
+   * stopped.
+   */
   stopGang(placement: Placement, why: string, graceS: number): void {
     const { job } = placement;
     const stopped = job.spec.kind === "gang" ? [...job.placements.values()] : [placement];
     for (const placementToStop of stopped) this.stop(placementToStop, why, graceS);
   }
 
-  /** Stops the remaining tasks of a gang that lost a task. The gang restarts once all its tasks have terminated. */
+  /**
+   * Stops all tasks of a gang so that the gang restarts: its tasks are placed again once all of them have terminated.
+   * Used when a task is lost or a placement violates a constraint, since a gang runs only as a whole.
+   */
   restartGang(job: ActiveJob, why: string): void {
     if (job.isComplete) return;
     for (const placement of job.placements.values()) this.stop(placement, why, job.spec.saveS);
@@ -93,7 +99,10 @@
     this.context.cycleRequested = true;
   }
 
-  /** Handles an attempt that ended with its machine or its worker's incarnation, or that its worker no longer has. */
+  /**
+   * Handles the loss of an attempt: its machine or its worker's incarnation ended, or its worker no longer reports
+   * it.
+   */
   handleTaskLost(placement: Placement, why: string, now: number): void {
     const { job, task, attempt, machine } = placement;
     this.context.log("task lost", {
@@ -107,16 +116,16 @@
   }
 
   /**
-   * Returns the commands to send to a machine now. Starts are included only in direct requests (`withStarts`),
-   * because only these report whether the commands were executed.
+   * Returns the commands to send to a machine now, and records them as sent. Start commands are included only in
+   * direct requests (`withStarts`), because only for these is it reported whether the commands were executed.
    */
   commandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const placement of [...machine.placements.values()]) {
       const { stop } = placement;
       let command: WorkerCommand | null = null;
-      if (stop !== null) command = this.stopIfDue(placement, stop, now);
-      else if (withStarts) command = this.startIfDue(placement, now);
+      if (stop !== null) command = this.takeDueStop(placement, stop, now);
+      else if (withStarts) command = this.takeDueStart(placement, now);
       if (command !== null) commands.push(command);
     }
     this.addOrphanedTaskStops(machine, commands);
@@ -148,8 +157,8 @@
 
   /**
    * Records that a direct request got no response, and schedules the next one. After the first failure, the delay is
-   * 1/30 of the heartbeat interval, because two consecutive failures are stronger evidence than one. After
-   * later failures, the delay is 1/3 of the interval.
+   * only 1/30 of the heartbeat interval, because two failures in a row are stronger evidence of a fault than one.
+   * After later failures, it is 1/3 of the interval.
    */
   recordUnansweredRequest(machine: Machine, now: number): void {
     const { heartbeatIntervalS } = this.context.settings;
@@ -166,20 +175,20 @@
     this.context.effects.push({ kind: "probe", machine: machine.name, address: machine.address });
   }
 
-  private stopIfDue(placement: Placement, stop: StopRequest, now: number): WorkerCommand | null {
+  private takeDueStop(placement: Placement, stop: StopRequest, now: number): WorkerCommand | null {
     if (placement.state === "planned") {
       this.releaseIfNeverSent(placement, now);
       return null;
     }
     if (placement.state === "loaded") return null;
-    // Another stop would interrupt the checkpoint, so it is sent only if the grace period is 0.
+    // Another stop command would interrupt the checkpoint, so it is sent only if the task gets no time to checkpoint.
     if (placement.state === "checkpointing" && stop.graceS > 0) return null;
     if (now - stop.sentAt < this.context.settings.heartbeatIntervalS / 6) return null;
     stop.sentAt = now;
     return { op: "stop", ...commandTarget(placement), graceS: stop.graceS };
   }
 
-  private startIfDue(placement: Placement, now: number): WorkerCommand | null {
+  private takeDueStart(placement: Placement, now: number): WorkerCommand | null {
     if (!this.mayStart(placement, now)) return null;
     const violatedConstraint = this.findViolatedConstraint(placement);
     if (violatedConstraint !== null) {
@@ -214,7 +223,7 @@
     if (!machine.hasAcknowledgedToken || placement.incarnation !== machine.incarnation)
       return false;
     if (state === "planned") return !placement.waitsForGangPeers(now);
-    // A start whose outcome is unknown can be repeated safely, because it is for the same attempt.
+    // A start command whose outcome is unknown can be repeated safely, because it is for the same attempt.
     return (
       state === "sent" &&
       placement.startsInFlight === 0 &&
@@ -252,16 +261,17 @@
     const { machine } = placement;
     if (placement.state !== "planned" || placement.startsInFlight > 0) return;
     if (machine.unansweredStarts.has(placement.key)) return;
-    // No start was sent under this fencing token, the worker drops starts with earlier tokens, and it does not report
-    // the attempt. So the attempt cannot be running.
+    // No start command was sent under this fencing token, the worker drops start commands with earlier tokens, and
+    // it does not report the attempt. So the attempt cannot be running.
     if (machine.hasAcknowledgedToken && placement.incarnation === machine.incarnation) {
       this.release(placement, now);
     }
   }
 
   /**
-   * Whether the worker may forget an exited attempt. A delayed duplicate of its start could run a forgotten attempt
-   * again, so no start of it may be unanswered under the current fencing token, and its exit must be stored.
+   * Whether the worker may forget an exited attempt. After that, a delayed duplicate of the attempt's start command
+   * would run it again, so no start command of the attempt may be unanswered under the current fencing token. In
+   * addition, the exit must be stored.
    */
   private mayForget(machine: Machine, key: string, exited: ExitedTask): boolean {
     if (machine.unansweredStarts.has(key)) return false;
--- a/src/core/dispatch/direct-request-results.ts
+++ b/src/core/dispatch/direct-request-results.ts
@@ -57,7 +57,10 @@
     this.reconciler.handleHeartbeat(heartbeat, now);
   }
 
-  /** Returns starts that were certainly not executed to `planned`, and records those that may still arrive. */
+  /**
+   * Sets placements whose start command was certainly not executed back to `planned`, and records the start commands
+   * that may still arrive.
+   */
   private applyStartOutcomes(
     machine: Machine,
     commands: readonly WorkerCommand[],
--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -37,7 +37,9 @@
   return !spec.spread || zones * spreadLimit(spec) >= spec.tasks;
 }
 
-/** Counts the tasks of one job by zone: every attempt that is, may be, or may still be started on a machine there. */
+/**
+ * Counts the tasks of one job by zone: all attempts that run, may run, or may still be started on a machine there.
+ */
 export class ZoneOccupancy {
   private readonly counts = new Map<string, number>();
 
@@ -48,8 +50,8 @@
   }
 
   remove(zone: string): void {
-    const left = this.tasksIn(zone) - 1;
-    if (left > 0) this.counts.set(zone, left);
+    const remainingTasks = this.tasksIn(zone) - 1;
+    if (remainingTasks > 0) this.counts.set(zone, remainingTasks);
     else this.counts.delete(zone);
   }
 
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -46,7 +46,7 @@
    * 0: no delay.
    */
   startDelayS = 0;
-  /** This leader observed the start of the task, so the run time of the task is known. */
+  /** Whether this leader observed the start of the task, so that the task's run time is known. */
   hasKnownStart = false;
 
   constructor(
@@ -56,7 +56,7 @@
     readonly machine: Machine,
     /** Incarnation of the worker that the attempt belongs to. */
     readonly incarnation: number,
-    /** Version of the job that must be stored before a start is sent. */
+    /** Version of the job that must be stored before a start command is sent. */
     readonly version: number,
     now: number,
   ) {
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -8,7 +8,10 @@
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { TaskReconciler } from "./task-reconciler.js";
 
-/** Heartbeat intervals of silence after which the next message from a worker triggers a scheduling cycle. */
+/**
+ * A message from a worker triggers a scheduling cycle if none arrived for more than this number of heartbeat
+ * intervals.
+ */
 const LONG_SILENCE_INTERVALS = 1.5;
 
 /** Updates the leader's view of a machine from its worker's heartbeats. */
@@ -25,16 +28,17 @@
   }
 
   /**
-   * Handles a heartbeat that the worker sent on its own or in response to a direct request.
+   * Handles a heartbeat that the worker sent on its own or in response to a direct request. A heartbeat that is no
+   * newer than the last one is skipped.
    *
-   * @returns the machine that sent the heartbeat, also if the heartbeat was ignored because it is no newer than the
-   * last one; null if the heartbeat was not processed because the machine is terminated, its type is unknown, or
-   * another leader has a higher fencing token.
+   * @returns the machine that sent the heartbeat, even if the heartbeat was skipped. Null in three cases: the machine
+   * is terminated; the machine is new and its type is unknown; or the worker has seen a higher fencing token than
+   * this leader's, so this leader steps down.
    */
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): Machine | null {
     if (this.machinePool.terminated.has(heartbeat.machine)) return null;
     if (this.stepDownIfSuperseded(heartbeat)) return null;
-    const machine = this.findMachine(heartbeat, now);
+    const machine = this.findOrAddMachine(heartbeat, now);
     if (machine === null || !isNewer(heartbeat, machine)) return machine;
     this.applyDescription(machine, heartbeat, now);
     this.recordContact(machine, now);
@@ -43,7 +47,7 @@
     }
     machine.sequence = heartbeat.sequence;
     this.handleInterruptionNotice(machine, heartbeat.interruptionNoticeS, now);
-    this.recordFencingToken(machine, heartbeat.fencingToken);
+    this.updateTokenAcknowledgement(machine, heartbeat.fencingToken);
     if (machine.hasAcknowledgedToken) {
       this.taskReconciler.reconcileTasks(machine, heartbeat.tasks, now);
     }
@@ -51,7 +55,10 @@
     return machine;
   }
 
-  /** Steps down if the worker has seen a higher fencing token, which proves that another leader was elected. */
+  /**
+   * Steps down and returns true if the worker has seen a higher fencing token, which proves that another leader was
+   * elected.
+   */
   private stepDownIfSuperseded({ machine, fencingToken }: WorkerHeartbeat): boolean {
     if (fencingToken <= this.context.epoch) return false;
     this.context.effects.push({
@@ -61,7 +68,7 @@
     return true;
   }
 
-  private findMachine(heartbeat: WorkerHeartbeat, now: number): Machine | null {
+  private findOrAddMachine(heartbeat: WorkerHeartbeat, now: number): Machine | null {
     return this.context.findOrAddMachine(heartbeat.machine, heartbeat, now);
   }
 
@@ -89,21 +96,24 @@
 
   private recordContact(machine: Machine, now: number): void {
     const { settings, options, startedAt } = this.context;
+    // `lastHeartbeatAt` is the time of the last heartbeat that the worker sent on its own, which the scheduler
+    // records when it answers one. Until then, the first message of any kind counts as one.
     if (machine.lastHeartbeatAt === Number.NEGATIVE_INFINITY) machine.lastHeartbeatAt = now;
     if (now - machine.lastMessageAt > LONG_SILENCE_INTERVALS * settings.heartbeatIntervalS) {
       this.context.cycleRequested = true;
     }
     machine.lastMessageAt = now;
     machine.consecutiveFailedRequests = 0;
-    // An incarnation, and with it the worker's lease, begins no later than its first heartbeat. The lease may
-    // therefore run from now, or from a renewal by a previous leader in that leader's grace period.
+    // The exact start of the lease is not known here, so the latest possible time is assumed. If the incarnation is
+    // new, its lease began at the latest now, when its first heartbeat arrived. A previous leader can have renewed
+    // the lease until the end of that leader's grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
 
   /**
-   * Handles a new worker incarnation, which begins when the worker's lease expires. The worker has killed and
-   * forgotten all its tasks, and drops starts that were sent to an earlier incarnation.
+   * Handles a new worker incarnation, which begins when the worker's lease expires. By then the worker has killed and
+   * forgotten all its tasks. It drops start commands that were sent to an earlier incarnation.
    */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     for (const placement of [...machine.placements.values()]) {
@@ -117,8 +127,8 @@
   }
 
   /**
-   * Stops the tasks on a spot machine that the cloud is about to reclaim. Array tasks without checkpoints that may
-   * complete before then keep running.
+   * Stops the tasks on a spot machine that the cloud is about to reclaim. An array task that never checkpoints keeps
+   * running if it may complete before the machine is reclaimed, because a stop would lose its work.
    */
   private handleInterruptionNotice(machine: Machine, noticeS: number | null, now: number): void {
     if (noticeS === null || machine.interruptionAt !== null) return;
@@ -140,10 +150,10 @@
   }
 
   /**
-   * Records whether the worker has acknowledged the current fencing token. From then on, the worker drops starts that
-   * carry an earlier token, so these no longer count as unanswered.
+   * Records whether the worker has acknowledged the current fencing token. Once it has, it drops start commands
+   * with an earlier token, so these no longer count as unanswered.
    */
-  private recordFencingToken(machine: Machine, fencingToken: number): void {
+  private updateTokenAcknowledgement(machine: Machine, fencingToken: number): void {
     const { epoch } = this.context;
     const isAcknowledged = fencingToken === epoch;
     if (isAcknowledged && !machine.hasAcknowledgedToken) {
@@ -153,6 +163,7 @@
       }
     }
     machine.hasAcknowledgedToken = isAcknowledged;
+    // Unlike `hasAcknowledgedToken`, this stays true when the token is advanced later in the term.
     if (isAcknowledged) machine.hasSeenTermToken = true;
   }
 }
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -9,7 +9,9 @@
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import { Placement, taskKey } from "./placement.js";
 
-/** Maximum number of run times kept per job to detect slow machines; more would hardly change the result. */
+/**
+ * Maximum number of run times kept per job. Slow machines are detected by them; more would hardly change the result.
+ */
 const MAXIMUM_RUN_TIMES = 256;
 
 /** Reconciles the leader's placements with the tasks that a worker reports. */
@@ -40,7 +42,9 @@
     }
   }
 
-  /** Handles placements that the worker does not report: they have yet to be started, or they are lost. */
+  /**
+   * Handles placements whose tasks the worker does not report: each task has either yet to be started, or is lost.
+   */
   private handleMissingTasks(
     machine: Machine,
     reportedKeys: ReadonlySet<string>,
@@ -53,7 +57,8 @@
         case "planned":
           break;
         case "loaded":
-          // The worker has not received the previous leader's start. It would drop the start if it still arrived.
+          // The worker has not received the previous leader's start command. If the command still arrived, the worker
+          // would drop it because of its earlier fencing token.
           placement.state = "planned";
           break;
         case "sent":
@@ -111,8 +116,8 @@
   }
 
   /**
-   * Predicts the worker's image cache, which keeps the most recently used images. Images beyond the cache size are
-   * assumed to be evicted unless they are in use.
+   * Removes the images that the worker has presumably evicted from its cache: the cache keeps the most recently used
+   * images up to its size, and any image in use.
    */
   private evictImages(machine: Machine): void {
     const inUse = new Set([...machine.placements.values()].map(({ job }) => job.spec.image));
@@ -171,7 +176,10 @@
     this.context.cycleRequested = true;
   }
 
-  /** Stops a task that has no recorded placement. Its resources count as used until it has terminated. */
+  /**
+   * Stops a task that has no recorded placement. If its job is active, its resources count as used until the task has
+   * terminated.
+   */
   private stopUnrecordedTask(machine: Machine, status: TaskStatus, now: number): void {
     const { job: id, task, attempt } = status;
     this.context.log("orphaned task", { task: `${id}/${task}`, attempt, machine: machine.name });
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -35,9 +35,12 @@
   precedence = 0;
   /** Earliest time of the next search for tasks to preempt; set after a search that found none. */
   nextPreemptionAt = Number.NEGATIVE_INFINITY;
-  /** For a gang: whether a start now would still meet at least the longest objective on team guarantees. */
+  /**
+   * For a gang, whether a start now would still meet the longest start-time objective for work within a team's
+   * guarantee; true for other jobs.
+   */
   canStillMeetGuarantee = true;
-  /** Whether the job goes first because it has waited for too long. */
+  /** Whether the job is placed before others because it has waited for too long. */
   isStarving = false;
   /** Position in the queue in the last scheduling cycle. */
   queuePosition = Number.MAX_SAFE_INTEGER;
--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -10,9 +10,12 @@
 
 /** Failures of one job, the input of fault attribution. They are not stored: a new leader starts with none. */
 export class FailureHistory {
-  /** Machines on which a task of the job ever failed. Only as many are kept as fault attribution needs. */
+  /**
+   * Machines on which a task of the job ever failed. No more are recorded than fault attribution needs to reach a
+   * conclusion.
+   */
   readonly failedMachines = new Set<string>();
-  /** Longest run time of a task of the job before it failed, in seconds. */
+  /** Longest time, in seconds, that a task of the job ran before it failed. */
   longestRunBeforeFailureS = 0;
   /** Null: the job is not suspect. */
   suspicion: Suspicion | null = null;
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -123,7 +123,7 @@
     if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
   }
 
-  /** Loads stored placements. `firstTask`: the task number that 0 stands for in the stored ranges. */
+  /** Loads stored placements. `firstTask`: the number to add to each task number in the stored ranges. */
   private loadPlacements(
     job: ActiveJob,
     stored: readonly StoredPlacements[],
@@ -211,7 +211,7 @@
     return true;
   }
 
-  /** Cancels a job. Its dependencies no longer inherit its priority and deadline. */
+  /** Cancels a job. The jobs that it depends on no longer inherit its priority and deadline. */
   private cancel(
     replica: StateReplica,
     job: ActiveJob,
--- a/src/core/jobs/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -2,8 +2,8 @@
  * Pipelines: jobs linked by dependencies between their start, done and failed events.
  *
  * A submission contains one job and names the jobs that must be done before it. The stored record of a job contains
- * the residuals of its own dependencies and of those on the jobs that it names. The outcome of a named job is an
- * event that residuates them.
+ * the residuals of the dependencies between its own events (`ownDependencies`) and of those on the jobs that it names
+ * (`afterDependencies`). The outcome of a named job is an event that residuates them.
  */
 import {
   type Atom,
@@ -33,9 +33,12 @@
 
 /** The controllers trigger the start event. */
 const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
-/** Like commit in the paper: it occurs only once the transaction is committed, so it can be delayed and rejected. */
+/**
+ * Like commit in the paper that `algebra/expression.ts` names: it occurs only once the transaction is committed, so
+ * it can be delayed and rejected.
+ */
 const DONE: EventAttributes = { triggerable: false, rejectable: true, delayable: true };
-/** Like abort in the paper: the controllers learn of the failed event only after it has occurred. */
+/** Like abort in the same paper: the controllers learn of the failed event only after it has occurred. */
 const FAILED: EventAttributes = { triggerable: false, rejectable: false, delayable: false };
 
 /** Returns the attributes of an event, given its name. */
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -11,7 +11,7 @@
 /** Index of the main shard, which is the job record itself. */
 const MAIN_SHARD_INDEX = -1;
 
-/** Cause of a cancellation. Only `by user` has a key of its own in the state service. */
+/** Cause of a cancellation. Only a cancellation `by user` is stored under a key of its own. */
 export type CancellationCause = "by user" | "by dependency";
 
 /** A job as read from the state service. */
@@ -78,13 +78,16 @@
     return false;
   }
 
-  /** Returns the shard in which a task is stored. */
+  /** Returns the shard in which a task is stored, and adds it if it does not exist yet. */
   shardOf(task: number): JobShard {
     if (this.shardSize === null || task >= this.spec.tasks) return this.mainShard;
-    return this.shardAt(Math.floor(task / this.shardSize), this.shardSize);
+    return this.findOrAddShard(Math.floor(task / this.shardSize), this.shardSize);
   }
 
-  /** Attempt number for a task to be placed. `cycleAttempt`: number shared by tasks placed in the same cycle. */
+  /**
+   * Chooses the attempt number for a task to be placed. `cycleAttempt`: number shared by tasks placed in the same
+   * cycle.
+   */
   attemptFor(task: number, cycleAttempt: number): number {
     if (this.shardSize === null) return cycleAttempt;
     const shard = this.shardOf(task);
@@ -114,7 +117,7 @@
     if (!this.mainShard.isUnpersisted) this.markChanged();
   }
 
-  /** Marks a change that is to be stored, of one task or (null) of the job as a whole. */
+  /** Records that the job has changed and has to be stored: the shard of one task, or (null) the job's own value. */
   markChanged(task: number | null = null): void {
     const shard = task === null ? this.mainShard : this.shardOf(task);
     shard.changedVersion = ++this.version;
@@ -177,7 +180,7 @@
     }
     if (done === endTask - firstTask && !hasPlacement) this.closedShards.add(index);
     else if (done > 0 || hasPlacement) {
-      const shard = this.shardAt(index, shardSize);
+      const shard = this.findOrAddShard(index, shardSize);
       shard.attempt = Math.max(shard.attempt, this.mainShard.attempt);
       shard.changedVersion = ++this.version;
       this.unpersistedShards.add(shard);
@@ -194,11 +197,11 @@
       if (this.doneTasks.has(index * shardSize) && !stored.has(index)) this.closedShards.add(index);
     }
     for (const [index, { value, modRevision }] of stored) {
-      const shard = this.shardAt(index, shardSize);
+      const shard = this.findOrAddShard(index, shardSize);
       shard.modRevision = modRevision;
       shard.persistedVersion = value.version;
       // The last attempt number of each task is not stored, so all tasks continue above the shard's newest number.
-      shard.attempt = value.nextAttempt + 1;
+      shard.attempt = value.newestAttempt + 1;
       // A gang's attempt number may already be in a stored shard but not yet in the job record.
       if (this.spec.kind === "gang") {
         this.mainShard.attempt = Math.max(this.mainShard.attempt, shard.attempt);
@@ -209,7 +212,7 @@
     }
   }
 
-  private shardAt(index: number, shardSize: number): JobShard {
+  private findOrAddShard(index: number, shardSize: number): JobShard {
     let shard = this.shards.get(index);
     if (shard === undefined) {
       const firstTask = index * shardSize;
--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -26,12 +26,18 @@
     this.endedAt = context.startedAt;
   }
 
-  /** Whether an advance was requested and its result is still unknown. No transaction may be sent in that time. */
+  /**
+   * Whether an advance was requested and its result is still unknown. Until it is known, no transaction may be sent,
+   * because each transaction requires the current mod revision of the epoch's key.
+   */
   get isInFlight(): boolean {
     return this.inFlight;
   }
 
-  /** Requests an advance if some unanswered start has to be fenced off, at most once per half a worker lease. */
+  /**
+   * Requests an advance if some unanswered start has to be fenced off. Between two advances, at least half a worker
+   * lease passes.
+   */
   requestIfNeeded(now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
     if (this.inFlight || now - this.endedAt < leaseS / 2) return;
--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -11,7 +11,7 @@
  */
 import { MAXIMUM_CLOCK_DRIFT_RATIO } from "../model/constants.js";
 
-/** Margin, in seconds, on the time in contact that is required before leases may be extended. */
+/** Seconds, on top of one lease, for which the controller must have been in contact before it may extend leases. */
 const CONTACT_MARGIN_S = 1;
 
 /** Decides whether a partitioned controller may extend worker leases. Times are monotonic, in seconds. */
@@ -23,6 +23,7 @@
     private readonly leaseS: number,
     /** Longest time between two answers of the state service that still counts as continuous contact. */
     private readonly maximumContactGapS: number,
+    /** Seconds after the last answer of the state service during which leases may be extended. */
     private readonly extensionS: number,
   ) {}
 
--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/standby-responder.ts
@@ -21,9 +21,13 @@
 
 /** Which other parts of the cluster the node can reach. */
 export interface NodeConnectivity {
+  /** Whether the replica has been loaded by a full read. */
   readonly replicaLoaded: boolean;
+  /** Whether this node has contact with the state service. */
   readonly reachesState: boolean;
+  /** Whether some other node that this node reaches has contact with the state service. */
   readonly peerReachesState: boolean;
+  /** Whether a leader's heartbeat to this node arrived recently. */
   readonly leaderHeartbeatRecent: boolean;
 }
 
@@ -73,7 +77,7 @@
 
   /**
    * Whether the machine runs service or gang tasks, according to its worker's heartbeat, and no task of a cancelled
-   * job. Cancelled tasks must end soon, so their leases are not extended.
+   * job. Cancelled tasks must end soon, so the lease of a worker that runs any of them is not extended.
    */
   runsExtendableTasks(heartbeat: WorkerHeartbeat): boolean {
     if (this.runsCancelledTasks(heartbeat)) return false;
@@ -93,7 +97,7 @@
    * the others without commands, with the leader's fencing token, and they try again with their next heartbeat.
    * Without this limit, 2000 workers connected to the leader at once; each had disconnected before it was served, and
    * reconnected, until its lease expired. Extending these leases is safe: the leader assumes that every lease was
-   * renewed as late as its own start plus the grace period, and the settling time ends before then.
+   * renewed as late as the leader's own start plus the grace period, and the settling time ends before then.
    */
   private mayAnswerForSettlingLeader(
     heartbeat: WorkerHeartbeat,
@@ -115,9 +119,10 @@
 
   /**
    * While there is no leader, a worker whose heartbeat is refused retries every second over a new connection. With
-   * 1000 workers this load kept every node from acquiring leadership for 20 s. So for part of a lease, any node that
-   * reaches the state service answers them without commands, with the last fencing token; they find the next leader
-   * with a later heartbeat. That leader adds its grace period before it declares a lease expired.
+   * 1000 workers this load kept every node from acquiring leadership for 20 s. Therefore, for part of a lease, any
+   * node that reaches the state service answers these workers without commands, with the last fencing token. They
+   * find the next leader with a later heartbeat. That leader adds its grace period before it declares a lease
+   * expired.
    */
   private mayAnswerBetweenLeaders(
     heartbeat: WorkerHeartbeat,
--- a/src/core/leadership/takeover.ts
+++ b/src/core/leadership/takeover.ts
@@ -10,7 +10,7 @@
 import { runsServiceTasks } from "../machines/machine-predicates.js";
 import type { StateReplica } from "../state/state-replica.js";
 
-/** Workers with service tasks are sent the new fencing token after the heartbeat interval divided by this. */
+/** The new fencing token is sent to workers with service tasks after the heartbeat interval divided by this. */
 const SERVICE_REQUEST_DIVISOR = 4;
 /**
  * Any other worker is sent the token once its own heartbeat is overdue: after this many heartbeat intervals, or after
@@ -71,7 +71,7 @@
  * Releases placements of earlier worker incarnations. They are still stored if the previous leader stopped leading
  * after it had placed tasks on a later incarnation but before it had stored the loss of the earlier ones. The later
  * incarnation proves that the earlier tasks are lost. No heartbeat mentions such tasks, so without this step their
- * jobs do not end (9 jobs of one day waited until its end).
+ * jobs do not end (on one day, 9 jobs waited until the day's end).
  */
 function releaseEarlierIncarnations({ context, dispatcher }: TakeoverTargets, now: number): void {
   for (const machine of context.cluster.machines.values()) {
@@ -84,7 +84,7 @@
 
 /**
  * Restarts gangs that had lost tasks before this term. A previous leader may have stored the loss, and then stopped
- * leading before it had stopped the remaining tasks. Requests to stop tasks are not stored. The remaining tasks
+ * leading before it had stopped the remaining tasks; its requests to stop them are not stored. The remaining tasks
  * cannot complete, and no task of the gang is placed while they run.
  */
 function restartIncompleteGangs({ context, dispatcher }: TakeoverTargets): void {
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -3,9 +3,9 @@
  * events (docs/design.md, exception 1).
  *
  * A term ends at the latest when the lease of the stored leader record expires. It is numbered by the epoch, a
- * counter that is never reset. This module computes until when the leader may act: for the length of the lease,
- * counted from when the last renewal was sent, less the clock drift and a margin. The leader therefore stops acting
- * before its lease can expire. Times are monotonic, in seconds, unless the name says otherwise.
+ * counter that is never reset. This module computes until when the leader may act: the time at which the last
+ * successful renewal was sent, plus the length of the lease, less the clock drift and a margin. The leader therefore
+ * stops acting before its lease can expire. Times are monotonic, in seconds, unless the name says otherwise.
  */
 import { MAXIMUM_CLOCK_DRIFT_RATIO } from "../model/constants.js";
 
@@ -15,7 +15,7 @@
  */
 const MAXIMUM_STALL_CPU_S = 0.3;
 const MINIMUM_LEASE_S = 0.5;
-/** The leader stops acting before its lease expires, earlier by the clock drift and by the lease divided by this. */
+/** The leader stops acting before its lease expires. The margin is the clock drift plus the lease divided by this. */
 const SAFETY_MARGIN_DIVISOR = 10;
 
 /**
@@ -89,9 +89,10 @@
   }
 
   /**
-   * Whether the leader may still answer heartbeats without commands, for the grace period after it may no longer act.
-   * If the state service is down for all nodes, workers would otherwise lose all their tasks. The next leader waits
-   * for this time too (`gracePeriodS` of the scheduler).
+   * Whether the leader may still answer heartbeats without commands. It may do so during the grace period, which
+   * begins when it may no longer act. Otherwise workers would lose all their tasks if the state service is down for
+   * all nodes. The next leader takes this time into account when it computes how late a lease can have been renewed
+   * (`gracePeriodS` of the scheduler).
    */
   isWithinGracePeriod(now: number, gracePeriodS: number): boolean {
     return now < this.validUntil + gracePeriodS;
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -27,24 +27,33 @@
 
 /** Settings of the managed cluster, and limits on the controllers' use of external services and of their own node. */
 export interface ClusterSettings {
-  /** Number of controllers. */
+  /** Number of nodes in the cluster that run a controller. */
   readonly nodes: number;
   readonly zones: readonly string[];
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
   /** Seconds between a worker's heartbeats; actual intervals vary by up to a quarter. */
   readonly heartbeatIntervalS: number;
-  /** Lease of a worker: seconds without a response to a heartbeat after which the worker kills all its tasks. */
+  /**
+   * Length of a worker's lease, in seconds. A worker whose heartbeats get no response for this long kills all its
+   * tasks.
+   */
   readonly leaseS: number;
   /** Seconds that a gang task waits for its peers to start before it exits. */
   readonly gangWaitS: number;
-  /** Seconds within which gang tasks detect that a peer no longer runs, and within which all must be stopped. */
+  /**
+   * Seconds, counted from the end of a gang task, within which its peers detect that it no longer runs, and within
+   * which all tasks of the gang must have stopped.
+   */
   readonly gangPeerS: number;
   /** Seconds from the confirmation of a cancellation after which no task of the job may run. */
   readonly cancelS: number;
-  /** Rate limit of the state service, in requests per second, for all controllers together. */
+  /** Maximum rate of requests to the state service, in requests per second, of all controllers together. */
   readonly stateRps: number;
-  /** Rate limit of the state service, in changes per second, for all controllers together. */
+  /**
+   * Maximum rate of stored changes, in changes per second, of all controllers together. A request may contain
+   * several.
+   */
   readonly stateWriteRps: number;
   /** Maximum size of a stored value, in KiB. */
   readonly valueKb: number;
@@ -54,12 +63,12 @@
   readonly cloudRps: number;
   /** Seconds by which the cloud's list of machines normally lags. At times it lags twice as much. */
   readonly listLagS: number;
-  /** CPU cores available to this node; may be a fraction of a core, or several cores. */
+  /** Number of CPU cores available to this node, as a decimal: 0.5 is half a core, and 2 is two cores. */
   readonly cpuShare: number;
   /** Memory available to this node, in MiB. */
   readonly memoryMb: number;
   /** Maximum number of open sockets of this node. */
   readonly sockets: number;
-  /** Maximum difference between the wall clocks of two machines, in milliseconds. */
+  /** Maximum difference between the wall clocks of any two machines at the same moment, in milliseconds. */
   readonly clockOffMs: number;
 }
--- a/src/core/model/workers.ts
+++ b/src/core/model/workers.ts
@@ -73,5 +73,5 @@
   | ({ readonly op: "start" } & CommandTarget)
   /** `graceS`: seconds that the task has to checkpoint. If it needs more, it exits at once without a checkpoint. */
   | ({ readonly op: "stop"; readonly graceS: number } & CommandTarget)
-  /** Removes an exited task from the worker's heartbeats. */
+  /** Makes the worker forget an exited task, and omit it from its heartbeats. */
   | ({ readonly op: "forget" } & CommandTarget);
--- a/src/core/state/dependency-index.ts
+++ b/src/core/state/dependency-index.ts
@@ -50,13 +50,13 @@
 
   /** Adds a job that was just put into `activeJobs`. */
   add(id: string, job: JobRecord): void {
-    const needed = job.spec.after ?? [];
-    for (const name of needed) {
+    const dependencyIds = job.spec.after ?? [];
+    for (const name of dependencyIds) {
       const dependents = this.dependents.get(name) ?? new Set();
       this.dependents.set(name, dependents);
       dependents.add(id);
     }
-    if (needed.length > 0 && this.isExcluded(id, job)) {
+    if (dependencyIds.length > 0 && this.isStartExcluded(id, job)) {
       this.excludedJobs.add(id);
       this.propagateFailure(id);
     }
@@ -82,7 +82,7 @@
       for (const dependent of this.dependentsOf(id)) {
         const job = this.activeJobs.get(dependent);
         if (job === undefined || this.excludedJobs.has(dependent)) continue;
-        if (!this.isExcluded(dependent, job.value)) continue;
+        if (!this.isStartExcluded(dependent, job.value)) continue;
         this.excludedJobs.add(dependent);
         pending.push(dependent);
       }
@@ -92,7 +92,7 @@
   /**
    * Whether the job's dependencies, residuated by the known outcomes of the jobs it depends on, exclude its start.
    */
-  private isExcluded(id: string, job: JobRecord): boolean {
+  private isStartExcluded(id: string, job: JobRecord): boolean {
     let dependencies = parseResiduals(job.residuals);
     for (const name of job.spec.after ?? []) {
       const outcome = this.outcomeOf(name);
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -12,7 +12,8 @@
 /** Limits on the changes of a job that may be written now. */
 export interface JobChangeLimits {
   /**
-   * Only urgent changes are written; progress, and the removal of ended jobs' shards, wait for spare write budget.
+   * Whether only urgent changes are written. Jobs that have only progress to store then wait for spare write budget,
+   * and in other jobs so do the open shards that have only progress to store.
    */
   readonly urgentOnly: boolean;
   /** Whether a value of this size may be sent; false if one no larger was refused recently. */
@@ -22,7 +23,7 @@
 /** The changes of one job in a transaction. */
 export interface JobChanges {
   readonly kind: "changes";
-  /** Approximate size of the changes in the transaction. */
+  /** Approximate size of the changes in the transaction, in bytes. */
   readonly bytes: number;
   readonly preconditions: readonly Precondition[];
   readonly changes: readonly Change[];
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Attempt number for the next attempt of a task. A new number is taken only if the task already had the current
-   * one, so that few distinct numbers are stored.
+   * Chooses the number for the next attempt of a task. The current number is raised only if the task already had it,
+   * so that few distinct numbers are stored.
    */
   nextAttempt(task: number): number {
     if ((this.lastAttempts.get(task) ?? 0) >= this.attempt) this.attempt++;
--- a/src/core/state/job-values.ts
+++ b/src/core/state/job-values.ts
@@ -63,7 +63,7 @@
   }
   return encodeJobShardRecord({
     version: job.version,
-    nextAttempt: shard.attempt,
+    newestAttempt: shard.attempt,
     doneTasks: TaskRanges.of(done).toString(),
     placements: encodePlacements(placed, shard.firstTask),
   });
--- a/src/core/state/stored-placements.ts
+++ b/src/core/state/stored-placements.ts
@@ -41,7 +41,7 @@
 ): StoredPlacements[] {
   const groups = new Map<string, AttemptGroup>();
   for (const placement of placements) {
-    const { tasksByMachine } = groupOf(placement, groups);
+    const { tasksByMachine } = findOrAddGroup(placement, groups);
     const tasks = tasksByMachine.get(placement.machine.name);
     const task = placement.task - firstTask;
     if (tasks === undefined) tasksByMachine.set(placement.machine.name, [task]);
@@ -50,7 +50,7 @@
   return Array.from(groups.values(), encodeGroup);
 }
 
-function groupOf(placement: Placement, groups: Map<string, AttemptGroup>): AttemptGroup {
+function findOrAddGroup(placement: Placement, groups: Map<string, AttemptGroup>): AttemptGroup {
   const { attempt, incarnation } = placement;
   const key = `${attempt} ${incarnation}`;
   let group = groups.get(key);
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -10,7 +10,7 @@
  * | `g/<n>`       | `StoredMachineShard` | machines that may run tasks, many in one value                         |
  * | `lead`        | `StoredLeader`       | the leader; attached to its lease                                      |
  * | `epoch`       | `StoredEpoch`        | the epoch, raised with each term; also the workers' fencing token      |
- * | `types`       | `MachineType[]`      | the machine types, for a controller start while the cloud API is down  |
+ * | `types`       | `MachineType[]`      | the machine types, for controllers that start while the cloud is down  |
  *
  * Stored field names are short because the size of a value is limited to a few KiB, and must not change because other
  * versions of the software read them. Only this module reads and writes them; all other modules use the records with
@@ -93,9 +93,9 @@
 }
 
 /**
- * Placements whose tasks may be on a machine: for each attempt and incarnation, a list that alternates machine names
- * and the ranges of the tasks on them (`0-5,7`). Many machines share one attempt, so grouping by attempt saves space
- * in a value, which is limited to a few KiB.
+ * Placements, whose tasks may be on a machine, that share one attempt number and one worker incarnation. Machine
+ * names alternate with the ranges of the tasks on the machine (`0-5,7`). Many machines share one attempt number, so
+ * grouping by it saves space in a value, which is limited to a few KiB.
  */
 export type StoredPlacements = readonly [
   attempt: number,
@@ -121,14 +121,14 @@
   readonly spec: JobSpec;
   /** Time of day of the submission, in milliseconds. */
   readonly submittedAtMs: number;
-  /** Residuals of the job's dependencies. */
+  /** Residuals of the job's dependencies, as text. */
   readonly residuals: readonly string[];
   /** Number of changes of this job so far. */
   readonly version: number;
   readonly nextAttempt: number;
   /** Epoch of the leader that accepted the job's start; 0 before that. */
   readonly ownerEpoch: number;
-  /** Ranges of the done tasks. For a sharded job, only the tasks of terminal shards. */
+  /** Ranges of the done tasks. For a sharded job, only the tasks of its closed shards. */
   readonly doneTasks: string;
   readonly placements: readonly StoredPlacements[];
   /** Number of tasks in each shard of a sharded job; null if the job is stored in one value. */
@@ -186,7 +186,8 @@
 export interface JobShardRecord {
   /** Version of the job when this value was written. */
   readonly version: number;
-  readonly nextAttempt: number;
+  /** Newest attempt number of a task in this shard. */
+  readonly newestAttempt: number;
   readonly doneTasks: string;
   readonly placements: readonly StoredPlacements[];
 }
@@ -195,7 +196,7 @@
 export function encodeJobShardRecord(shard: JobShardRecord): StoredShard {
   return {
     v: shard.version,
-    n: shard.nextAttempt,
+    n: shard.newestAttempt,
     done: shard.doneTasks,
     pl: shard.placements,
   };
@@ -206,7 +207,7 @@
   const stored = value as StoredShard;
   return {
     version: stored.v,
-    nextAttempt: stored.n,
+    newestAttempt: stored.n,
     doneTasks: stored.done,
     placements: stored.pl,
   };
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -1,9 +1,9 @@
 /**
  * Tracks the size of the largest value that the state service accepts.
  *
- * The settings give the current limits and the next ones. If a single value is refused although it is within them,
- * values are planned to be smaller from then on, and no value of that size or more is sent until a retry interval has
- * passed.
+ * The settings give the size limit that applies now and the one that will apply next. If the only value of a
+ * transaction is refused although it is within both, values are planned to be smaller from then on, and no value of
+ * that size or more is sent until a retry interval has passed.
  */
 
 /** Planned size of values, as a share of the smallest value that was refused. */
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -3,15 +3,18 @@
  * leave, estimated from the submissions and cancellations that they store, and always at least 2/5 of the limit. For
  * a while after the state service refused a write because of its rate, the leader uses at most 2/3 of the limit.
  *
- * A fixed share of 2/3 failed in two ways: the placements of a new leader, or of thousands of tiny jobs, waited
- * although the state service was idle; and when many submissions arrived at the same time, they were refused because
- * of the leader's writes.
+ * A fixed share of 2/3 failed in two ways: the placements of a new leader, or of thousands of tiny jobs, were stored
+ * late although the state service was idle; and when many submissions arrived at the same time, the submissions were
+ * refused because of the leader's writes.
  */
 
 /** Largest share of the limit that the leader uses after a refusal. */
 export const LEADER_SHARE_AFTER_REFUSAL = 2 / 3;
 const MIN_LEADER_SHARE = 0.4;
-/** The rest is reserved for changes of other nodes that are not seen yet, since submissions must not wait. */
+/**
+ * The rest of the limit is reserved for changes of other nodes that are not seen yet, since submissions must not
+ * wait.
+ */
 const MAX_LEADER_SHARE = 0.85;
 /** Allows for growth of the other nodes' changes by half before the leader sees it. */
 const OTHERS_HEADROOM_FACTOR = 1.5;
--- a/src/core/state/write-composer.ts
+++ b/src/core/state/write-composer.ts
@@ -18,7 +18,10 @@
 import type { MachineRecordShard, MachineRecordShards } from "./machine-record-shards.js";
 import { KEY } from "./stored-values.js";
 
-/** Bytes of a transaction in addition to its changes, and of each job and machine-record shard besides its values. */
+/**
+ * Approximate bytes of a transaction besides its changes, and of each job and machine-record shard besides its
+ * values.
+ */
 const TRANSACTION_OVERHEAD_BYTES = 200;
 const JOB_OVERHEAD_BYTES = 400;
 const MACHINE_SHARD_OVERHEAD_BYTES = 300;
