--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -175,6 +175,10 @@
     this.context.effects.push({ kind: "probe", machine: machine.name, address: machine.address });
   }
 
+  /**
+   * Returns the stop command for a placement and records it as sent, or returns null if it is not due. A placement
+   * whose start command was never sent is released instead.
+   */
   private takeDueStop(placement: Placement, stop: StopRequest, now: number): WorkerCommand | null {
     if (placement.state === "planned") {
       this.releaseIfNeverSent(placement, now);
@@ -188,6 +192,10 @@
     return { op: "stop", ...commandTarget(placement), graceS: stop.graceS };
   }
 
+  /**
+   * Returns the start command for a placement and records it as sent, or returns null if it may not be sent now. A
+   * placement that violates a constraint is withdrawn.
+   */
   private takeDueStart(placement: Placement, now: number): WorkerCommand | null {
     if (!this.mayStart(placement, now)) return null;
     const violatedConstraint = this.findViolatedConstraint(placement);
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -7,8 +7,8 @@
 
 /**
  * State of a placement. `loaded`: read from the stored state in a takeover; its state on the machine is not known
- * yet. `planned`: no start was sent under the current fencing token. `sent`: a start is in flight or unanswered. The
- * other states are those reported in the worker's last heartbeat.
+ * yet. `planned`: no start command was sent under the current fencing token. `sent`: a start command is in flight or
+ * unanswered. The other states are those reported in the worker's last heartbeat.
  */
 export type PlacementState =
   | "loaded"
@@ -24,18 +24,18 @@
   readonly why: string;
   /** Seconds that the task has to checkpoint. */
   readonly graceS: number;
-  /** Time at which the stop was last sent. */
+  /** Time at which the stop command was last sent. */
   sentAt: number;
 }
 
 /** One attempt of a task on one machine. */
 export class Placement {
   state: PlacementState = "planned";
-  /** Number of direct requests in flight that carry the start of this attempt. */
+  /** Number of direct requests in flight that carry the start command of this attempt. */
   startsInFlight = 0;
   /** Request to stop this attempt; null: none. */
   stop: StopRequest | null = null;
-  /** Time at which the start was last sent. */
+  /** Time at which the start command was last sent. */
   sentAt = Number.NEGATIVE_INFINITY;
   readonly placedAt: number;
   /** Time at which the task was first reported as running; valid only once it was. */
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -1,4 +1,4 @@
-/** Counts the recent starts of gangs by class and size, for the fairness between gang sizes. */
+/** Counts the recent starts of gangs by class and size, so that capacity can be shared fairly between gang sizes. */
 import { START_LATENCY_BOUND_S } from "../model/constants.js";
 import type { JobSpec } from "../model/jobs.js";
 
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -123,7 +123,7 @@
     if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
   }
 
-  /** Loads stored placements. `firstTask`: the number to add to each task number in the stored ranges. */
+  /** Loads stored placements. `firstTask`: number of the job's task that is task 0 in the stored ranges. */
   private loadPlacements(
     job: ActiveJob,
     stored: readonly StoredPlacements[],
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -117,7 +117,7 @@
     if (!this.mainShard.isUnpersisted) this.markChanged();
   }
 
-  /** Records that the job has changed and has to be stored: the shard of one task, or (null) the job's own value. */
+  /** Records a change that has to be stored: in the shard of the given task, or (null) in the job record. */
   markChanged(task: number | null = null): void {
     const shard = task === null ? this.mainShard : this.shardOf(task);
     shard.changedVersion = ++this.version;
--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -14,7 +14,9 @@
   readonly modRevision: number;
 }
 
-/** Requests a higher fencing token when unanswered starts have to be fenced off, and applies the new token. */
+/**
+ * Requests a higher fencing token when unanswered start commands have to be fenced off, and applies the new token.
+ */
 export class FencingTokenAdvance {
   private inFlight = false;
   private endedAt: number;
@@ -35,8 +37,8 @@
   }
 
   /**
-   * Requests an advance if some unanswered start has to be fenced off. Between two advances, at least half a worker
-   * lease passes.
+   * Requests an advance if some unanswered start command has to be fenced off. Between two advances, at least half a
+   * worker lease passes.
    */
   requestIfNeeded(now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
@@ -69,8 +71,8 @@
 }
 
 /**
- * Whether the machine has an unanswered start whose task is being stopped, or has exited. As long as the start may
- * still arrive, the worker must not forget the exited task, since it would run the task again.
+ * Whether the machine has an unanswered start command of a task that is being stopped or has exited. As long as the
+ * command may still arrive, the worker must not forget the exited task, since the command would run it again.
  */
 function hasStartToFence(machine: Machine): boolean {
   for (const key of machine.unansweredStarts.keys()) {
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -1,7 +1,7 @@
 /**
  * Sharding of large jobs. A job with too many tasks for one value is stored in several: one for the job itself, and
- * one for each shard, which is a range of consecutive tasks of which some are active. When all tasks of a shard are
- * done, it is recorded as a range in the job's own value, and its key is deleted in the same transaction.
+ * one for each shard, which is a range of consecutive tasks, at least one of which is active. When all tasks of a
+ * shard are done, it is recorded as a range in the job's own value, and its key is deleted in the same transaction.
  *
  * The values can be written independently of each other. Each write is conditional on the mod revision of the job's
  * own value, which changes whenever a shard is deleted, so a delayed copy of a write cannot restore a deleted shard.
@@ -31,7 +31,9 @@
  */
 const ALL_AT_ONCE_SHARD_RATIO = 1 / 4;
 
-/** Number of tasks in a shard such that it fits one value in whichever order the tasks end. */
+/**
+ * Number of tasks per shard such that a shard's value does not exceed `valueBytes`, in whichever order its tasks end.
+ */
 export function shardSizeFor(valueBytes: number): number {
   return Math.max(1, Math.floor((FILL_RATIO * valueBytes) / TASK_BYTES));
 }
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -43,7 +43,8 @@
   /** Number of machines in the shard whose records are not stored yet. */
   unpersistedMachineCount = 0;
   /**
-   * Shards to which a split moved machines of this one. They are stored before this shard is written without them.
+   * Shards to which a split moved machines of this one. They are stored before this shard is written without these
+   * machines.
    */
   readonly splitTargets: MachineRecordShard[] = [];
 
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -186,7 +186,7 @@
 export interface JobShardRecord {
   /** Version of the job when this value was written. */
   readonly version: number;
-  /** Newest attempt number of a task in this shard. */
+  /** Number of the newest attempt in this shard, or a higher number. */
   readonly newestAttempt: number;
   readonly doneTasks: string;
   readonly placements: readonly StoredPlacements[];
--- a/src/core/state/transaction-results.ts
+++ b/src/core/state/transaction-results.ts
@@ -102,7 +102,7 @@
     this.context.cycleRequested = true;
   }
 
-  /** Sends the starts that waited for this transaction. */
+  /** Sends the start commands that waited for this transaction. */
   private sendPersistedStarts(transaction: LeaderTransaction, now: number): void {
     const machines = new Set<Machine>();
     for (const { job } of transaction.jobWrites) {
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -16,7 +16,7 @@
  * wait.
  */
 const MAX_LEADER_SHARE = 0.85;
-/** Allows for growth of the other nodes' changes by half before the leader sees it. */
+/** Lets the rate of the other nodes' changes grow by half before the leader sees the growth. */
 const OTHERS_HEADROOM_FACTOR = 1.5;
 /**
  * Time over which the other nodes' changes are averaged. The rate limit's burst covers the same number of seconds.
