--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -14,7 +14,9 @@
   readonly modRevision: number;
 }
 
-/** Requests a higher fencing token when unanswered starts have to be fenced off, and applies the new token. */
+/**
+ * Requests a higher fencing token when unanswered start commands have to be fenced off, and applies the new token.
+ */
 export class FencingTokenAdvance {
   private inFlight = false;
   private endedAt: number;
@@ -26,12 +28,18 @@
     this.endedAt = context.startedAt;
   }
 
-  /** Whether an advance was requested and its result is still unknown. No transaction may be sent in that time. */
+  /**
+   * Whether an advance was requested and its result is still unknown. Until it is known, no transaction may be sent,
+   * because each transaction requires the current mod revision of the epoch's key.
+   */
   get isInFlight(): boolean {
     return this.inFlight;
   }
 
-  /** Requests an advance if some unanswered start has to be fenced off, at most once per half a worker lease. */
+  /**
+   * Requests an advance if some unanswered start command has to be fenced off. Between two advances, at least half a
+   * worker lease passes.
+   */
   requestIfNeeded(now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
     if (this.inFlight || now - this.endedAt < leaseS / 2) return;
@@ -63,8 +71,8 @@
 }
 
 /**
- * Whether the machine has an unanswered start whose task is being stopped, or has exited. As long as the start may
- * still arrive, the worker must not forget the exited task, since it would run the task again.
+ * Whether the machine has an unanswered start command of a task that is being stopped or has exited. As long as the
+ * command may still arrive, the worker must not forget the exited task, since the command would run it again.
  */
 function hasStartToFence(machine: Machine): boolean {
   for (const key of machine.unansweredStarts.keys()) {
