--- a/src/core/capacity/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -2,9 +2,9 @@
 import type { Machine } from "../machines/machine.js";
 
 /**
- * Multiple of the usual boot time up to which a booting machine counts as capacity. A later one may never come up, so
- * other machines are requested meanwhile, from another offer if there is one. With a ratio of four, no others were
- * requested while machines were late or failed to boot.
+ * Multiple of the usual boot time up to which a booting machine counts as capacity. A machine that takes longer may
+ * never come up, so others are requested meanwhile, from another offer if there is one. With a ratio of four, no
+ * others were requested while machines were late or failed to boot.
  */
 const LATE_BOOT_RATIO = 2;
 /** Boot timeout as a multiple of the usual boot time: the initial value and the maximum. */
@@ -31,12 +31,12 @@
    */
   recordBoot(machine: Machine, now: number): void {
     const bootRatio = (now - machine.bootingSince) / machine.type.bootS;
-    const timeout = Math.max(
+    const timeoutRatio = Math.max(
       INITIAL_TIMEOUT_RATIO,
       2 * bootRatio,
       TIMEOUT_DECAY_FACTOR * this.timeoutRatioFor(machine),
     );
-    this.ratioByType.set(machine.type.name, Math.min(timeout, MAX_TIMEOUT_RATIO));
+    this.ratioByType.set(machine.type.name, Math.min(timeoutRatio, MAX_TIMEOUT_RATIO));
   }
 
   /** Whether the machine has been booting for longer than its timeout. */
@@ -45,15 +45,15 @@
   }
 
   /**
-   * Raises the timeout for the type, up to the maximum, because a machine is released on timeout. Otherwise no
-   * machine would ever come up if all machines of the type needed longer than the timeout.
+   * Raises the timeout for the type, up to the maximum. A machine is released on timeout, so with a fixed timeout no
+   * machine would ever come up if all machines of the type needed longer than that.
    */
   recordTimeout(machine: Machine): void {
-    const timeout = Math.min(
+    const timeoutRatio = Math.min(
       TIMEOUT_GROWTH_FACTOR * this.timeoutRatioFor(machine),
       MAX_TIMEOUT_RATIO,
     );
-    this.ratioByType.set(machine.type.name, timeout);
+    this.ratioByType.set(machine.type.name, timeoutRatio);
   }
 
   private timeoutRatioFor(machine: Machine): number {
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -10,7 +10,8 @@
   /** Names of machines that are confirmed to be terminated. */
   readonly terminated: ReadonlySet<string>;
   /**
-   * Requests the release of a machine. It counts as part of the pool until the cloud has confirmed its termination.
+   * Requests the release of a machine, which counts as part of the pool until the cloud has confirmed its
+   * termination.
    */
   requestRelease(machine: Machine, why: string): void;
 }
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Whether no newer list has arrived before. Lists may arrive out of order. In an older list, some machine has a
-   * lower age than is already known.
+   * Whether no newer list has arrived before, since lists may arrive out of order. A list is older than an earlier
+   * arrival if a machine has a lower age in it than is already known.
    */
   private isNewest(listed: readonly ListedMachine[]): boolean {
     for (const { name, ageS } of listed) {
@@ -81,7 +82,7 @@
 
   /**
    * Releases machines that were listed before and no longer are. The cloud lists a machine until it is terminated, so
-   * the request only has the termination confirmed.
+   * the release only makes the cloud confirm the termination.
    */
   private releaseUnlisted(listed: readonly ListedMachine[]): void {
     const names = new Set(listed.map(({ name }) => name));
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -74,20 +74,20 @@
   /**
    * Whether the pool can grow: it is below its maximum, and the cloud has not lacked capacity within a worker lease.
    */
-  isGrowing(now: number): boolean {
+  canScaleOut(now: number): boolean {
     if (this.context.cluster.machines.size >= this.context.options.maxMachines) return false;
     const { leaseS } = this.context.settings;
     for (const until of this.capacityBackoffUntil.values()) {
-      const refusedAt = until - CAPACITY_BACKOFF_LEASES * leaseS;
-      if (now - refusedAt < leaseS) return false;
+      const lackedCapacityAt = until - CAPACITY_BACKOFF_LEASES * leaseS;
+      if (now - lackedCapacityAt < leaseS) return false;
     }
     return true;
   }
 
   /** Records the resource demands of a job's class, for which spare capacity is kept. */
   noteJobShape(spec: JobSpec): void {
-    const runningTasks = this.shapes.get(spec.class)?.runningTasks ?? 0;
-    this.shapes.set(spec.class, { spec, runningTasks });
+    const placedTasks = this.shapes.get(spec.class)?.placedTasks ?? 0;
+    this.shapes.set(spec.class, { spec, placedTasks });
   }
 
   /** Handles the first message from a machine's worker. */
@@ -105,7 +105,8 @@
   }
 
   /**
-   * Requests the release of a machine. It counts as part of the pool until the cloud has confirmed its termination.
+   * Requests the release of a machine, which counts as part of the pool until the cloud has confirmed its
+   * termination.
    */
   requestRelease(machine: Machine, why: string): void {
     if (this.pendingReleases.has(machine.name) || machine.state === "terminated") return;
@@ -170,7 +171,7 @@
   }
 
   /**
-   * Excludes an offer for which the cloud lacked capacity until its backoff ends; other offers are used meanwhile.
+   * Excludes an offer for which the cloud lacked capacity, until its backoff ends. Other offers are used meanwhile.
    */
   private backOff({ type, zone, spot }: RequestedMachines, now: number): void {
     const until = now + CAPACITY_BACKOFF_LEASES * this.context.settings.leaseS;
@@ -209,7 +210,7 @@
     if (now - startedAt < 2 * settings.listLagS && this.machineList.isEmpty) return;
     const isUnused = this.isClusterUnused(now);
     if (isUnused) this.shapes.clear();
-    this.countRunningTasks();
+    this.countPlacedTasks();
     const scaling = this.scalingContext(now);
     const request = planScaleOut(scaling, this.waitingJobs, this.shapes.values());
     if (request !== null) this.scaleOut(request);
@@ -222,12 +223,12 @@
     return now - this.lastJobAt > this.context.settings.leaseS;
   }
 
-  private countRunningTasks(): void {
-    for (const shape of this.shapes.values()) shape.runningTasks = 0;
+  private countPlacedTasks(): void {
+    for (const shape of this.shapes.values()) shape.placedTasks = 0;
     for (const machine of this.context.cluster.machines.values()) {
       for (const { job } of machine.placements.values()) {
         const shape = this.shapes.get(job.spec.class);
-        if (shape !== undefined) shape.runningTasks++;
+        if (shape !== undefined) shape.placedTasks++;
       }
     }
   }
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -12,7 +12,7 @@
 /** Cost per machine already in the zone. It is small, and prefers zones with fewer machines at equal prices. */
 const ZONE_BALANCE_COST = 1e-4;
 
-/** A machine type in a zone, as a spot machine or not, that may be requested. */
+/** A combination of machine type, zone and spot flag that may be requested from the cloud. */
 export interface Offer {
   readonly type: MachineType;
   readonly zone: string;
@@ -84,7 +84,8 @@
 ): number {
   const gpuWasteFactor = type.gpus > 0 && spec.gpus === 0 ? GPU_WASTE_FACTOR : 1;
   const price = spot ? type.spotPrice : type.price;
-  // Each late boot adds the price once more, so an offer at up to twice the price is preferred after one late boot.
+  // Each late boot adds the price once more. After one late boot, another offer at up to twice the price is
+  // preferred.
   const lateBoots = lateBootsByOffer.get(offerKey(type.name, zone, spot)) ?? 0;
   const lateBootFactor = 1 + Math.min(MAX_COUNTED_LATE_BOOTS, lateBoots);
   const zoneBalanceCost = ZONE_BALANCE_COST * (machinesByZone.get(zone) ?? 0);
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -25,7 +25,7 @@
 /** The resource demands of a class of jobs, from the latest job of the class, and the number of its tasks placed. */
 export interface JobShape {
   readonly spec: JobSpec;
-  runningTasks: number;
+  placedTasks: number;
 }
 
 /**
@@ -60,7 +60,7 @@
 export function freeSlots(cluster: Cluster, spec: JobSpec, now: number): number {
   let slots = 0;
   for (const machine of cluster.machines.values()) {
-    if (!acceptsNewTasks(machine, now) || !isMachineAllowed(spec, machine)) continue;
+    if (!countsAsCapacity(machine, now) || !isMachineAllowed(spec, machine)) continue;
     slots += taskSlots(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
   }
   return slots;
@@ -80,8 +80,8 @@
 }
 
 /**
- * Finds machines, one at most, that have been idle for `idleS` seconds and whose release leaves every class of jobs
- * its spare capacity.
+ * Finds a machine that has been idle for `idleS` seconds and whose release leaves every class of jobs its spare
+ * capacity. Returns one machine at most.
  */
 export function findSurplusMachines(
   scaling: ScalingContext,
@@ -122,7 +122,7 @@
     const request = scaleOutForJob(job, allocateBootingCapacity, scaling);
     if (request === null) continue;
     if (combined === null) combined = request;
-    else if (isSameKind(request, combined)) {
+    else if (isSameOffer(request, combined)) {
       const count = Math.min(MAX_MACHINES_PER_REQUEST, combined.count + request.count);
       combined = { ...combined, count };
     }
@@ -147,7 +147,9 @@
   return null;
 }
 
-/** Requests capacity for a waiting job in the zones that its other tasks allow, less the capacity that is booting. */
+/**
+ * Plans capacity for a waiting job in the zones that its other tasks allow, less the capacity of booting machines.
+ */
 function scaleOutForJob(
   job: ActiveJob,
   allocateBootingCapacity: BootingCapacityAllocator,
@@ -186,17 +188,17 @@
   return { type: offer.type.name, zone: offer.zone, spot: offer.spot, count, why };
 }
 
-const isSameKind = (a: ScaleOutRequest, b: ScaleOutRequest): boolean =>
+const isSameOffer = (a: ScaleOutRequest, b: ScaleOutRequest): boolean =>
   a.type === b.type && a.zone === b.zone && a.spot === b.spot;
 
 const spareTasks = (shape: JobShape, { spareRatio }: ScalingContext): number =>
-  Math.max(1, Math.ceil(spareRatio * shape.runningTasks));
+  Math.max(1, Math.ceil(spareRatio * shape.placedTasks));
 
 /**
  * Whether the machine counts as capacity for new tasks. A machine that is late in booting does not, because it may
  * never come up; nor does one that is drained, unreachable or about to be reclaimed.
  */
-function acceptsNewTasks(machine: Machine, now: number): boolean {
+function countsAsCapacity(machine: Machine, now: number): boolean {
   if (machine.drainReason !== null || machine.interruptionAt !== null) return false;
   if (machine.state === "booting") return !isBootLate(machine, now);
   return machine.state === "up" && machine.unreachableSince === null;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -82,11 +82,15 @@
   readonly maxMachines: number;
   /** Seconds of idleness after which a machine that is not needed is released. */
   readonly idleReleaseS: number;
-  /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
+  /**
+   * Seconds for which a previous leader may still answer heartbeats, and so renew leases, after the end of its term.
+   */
   readonly gracePeriodS: number;
-  /** Like `gracePeriodS`, for machines that run service or gang tasks. */
+  /**
+   * Like `gracePeriodS`, for machines that run service or gang tasks, whose leases are extended during a partition.
+   */
   readonly leaseExtensionS: number;
-  /** Enables log lines on single tasks: hundreds a second, each of which costs as much as a heartbeat's answer. */
+  /** Enables log lines on single tasks: hundreds a second, each of which costs as much as answering a heartbeat. */
   readonly logsTasks: boolean;
   /**
    * Number of other controllers in each zone. Each may extend the leases of its zone's workers while it is
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -25,8 +25,8 @@
 /** Number of doublings after which the backoff no longer grows. */
 const MAXIMUM_BACKOFF_DOUBLINGS = 10;
 
-const FAULTY_MACHINE = "healthy jobs fail on it";
-const SLOW_MACHINE = "slow";
+const FAULTY_DRAIN_REASON = "healthy jobs fail on it";
+const SLOW_DRAIN_REASON = "slow";
 
 /** Attributes failures to machines, which are drained, or to jobs, which are retried with exponential backoff. */
 export class FaultAttribution {
@@ -40,7 +40,7 @@
     private readonly dispatcher: CommandDispatcher,
   ) {}
 
-  /** Handles the exit of a task, except for the release of its resources. */
+  /** Handles the exit of a task. The caller releases the task's resources. */
   handleTaskExit(placement: Placement, status: TaskStatus, now: number): void {
     const { job, machine } = placement;
     const { heartbeatIntervalS } = this.context.settings;
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Clears jobs that succeed again, and re-evaluates machines by the current state of the jobs that failed there. */
+  /** Clears the suspicion of jobs that succeed again, and re-evaluates machines on which jobs failed. */
   reviewFailures(now: number): void {
     if (now - this.reviewedAt < this.context.settings.heartbeatIntervalS / 2) return;
     this.reviewedAt = now;
@@ -85,16 +85,16 @@
   drainSlowMachines(now: number): void {
     if (now - this.slowCheckedAt < this.context.settings.heartbeatIntervalS) return;
     this.slowCheckedAt = now;
-    for (const job of this.context.cluster.jobs.values()) this.findSlowTasks(job, now);
+    for (const job of this.context.cluster.jobs.values()) this.recordSlowTasks(job, now);
     const machines = [...this.context.cluster.machines.values()];
-    if (machines.some(({ drainReason }) => drainReason === SLOW_MACHINE)) return;
+    if (machines.some(({ drainReason }) => drainReason === SLOW_DRAIN_REASON)) return;
     const slowest = machines
       .filter(
         ({ state, drainReason, slowTasks }) =>
           state === "up" && drainReason === null && slowTasks.size >= MINIMUM_EVIDENCE,
       )
       .sort((a, b) => b.slowTasks.size - a.slowTasks.size)[0];
-    if (slowest !== undefined) this.drain(slowest, SLOW_MACHINE);
+    if (slowest !== undefined) this.drain(slowest, SLOW_DRAIN_REASON);
   }
 
   /**
@@ -184,10 +184,11 @@
     const { failedJobs } = machine;
     if (machine.drainReason !== null || failedJobs.size < MINIMUM_EVIDENCE) return;
     if (this.countJobsSucceedingElsewhere(machine, now) >= MINIMUM_EVIDENCE) {
-      if (this.mayDrainFaultyMachine()) this.drain(machine, FAULTY_MACHINE);
+      if (this.mayDrainFaultyMachine()) this.drain(machine, FAULTY_DRAIN_REASON);
       return;
     }
-    // Not attributed yet: the machine accepts no new tasks until its jobs have had time to succeed or fail elsewhere.
+    // The failures cannot be attributed yet: the machine accepts no new tasks until its failed jobs have had time to
+    // succeed or fail on other machines.
     const { heartbeatIntervalS, leaseS } = this.context.settings;
     const backoffS = Math.min(
       leaseS,
@@ -214,7 +215,7 @@
     const { machines } = this.context.cluster;
     let faulty = 0;
     for (const { drainReason } of machines.values()) {
-      if (drainReason === FAULTY_MACHINE) faulty++;
+      if (drainReason === FAULTY_DRAIN_REASON) faulty++;
     }
     return faulty <= machines.size * MAXIMUM_FAULTY_SHARE;
   }
@@ -234,7 +235,7 @@
     return false;
   }
 
-  private findSlowTasks(job: ActiveJob, now: number): void {
+  private recordSlowTasks(job: ActiveJob, now: number): void {
     const { spec, runTimes } = job;
     if (spec.kind !== "array" || runTimes.length < Math.max(3, spec.tasks / 4)) return;
     const sorted = [...runTimes].sort((a, b) => a - b);
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -86,8 +86,8 @@
   private stepDownIfIsolated(running: readonly Machine[], now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
     // An overloaded node has unread heartbeats, which is no sign of a partition, and a new leader would have to
-    // contact all workers again. After all controllers had terminated, a slow leader stepped down 12 s into its term,
-    // and the workers' leases expired.
+    // contact all workers again. Without this check, after all controllers had terminated, a slow new leader stepped
+    // down 12 s into its term, and the workers' leases expired.
     if (this.dispatcher.isOverloaded) return false;
     const known = running.filter(({ incarnation }) => incarnation > 0);
     const recent = known.filter(
@@ -181,7 +181,7 @@
     if (isStopUndeliverable && runsCancelledTask(machine)) {
       this.machinePool.requestRelease(machine, "runs a cancelled task");
     }
-    // The silence has lasted for longer than any partition that is tolerated, so the machine is replaced.
+    // No message has arrived for longer than any tolerated partition lasts, so the machine is replaced.
     if (sinceLastMessageS > this.context.options.leaseExtensionS + leaseS) {
       this.machinePool.requestRelease(machine, "no message from worker for too long");
     }
@@ -221,7 +221,7 @@
 
   /** Ends the worker's incarnation once its lease has certainly expired, since all its tasks have then ended. */
   private endExpiredIncarnation(machine: Machine, now: number): void {
-    if (machine.placements.size === 0 || now <= this.leaseExpiryBound(machine)) return;
+    if (machine.placements.size === 0 || now <= this.latestLeaseExpiry(machine)) return;
     for (const placement of [...machine.placements.values()]) {
       this.dispatcher.handleTaskLost(placement, "lease expired", now);
     }
@@ -236,18 +236,18 @@
    * possible renewal by any node. In a partitioned zone the leases of machines with service or gang tasks are
    * extended (`LeaseExtension`), in the worst case by one node after another.
    */
-  private leaseExpiryBound(machine: Machine): number {
+  private latestLeaseExpiry(machine: Machine): number {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
     const { leaseExtensionS, controllersPerZone } = this.context.options;
-    const boundS = leaseS * (1 + 2 * MAXIMUM_CLOCK_DRIFT_RATIO) + 1;
+    const maxLeaseS = leaseS * (1 + 2 * MAXIMUM_CLOCK_DRIFT_RATIO) + 1;
     let renewedAt = machine.leaseRenewedAt;
     if (mayHaveExtendedLease(machine)) {
       if (!machine.hasSeenTermToken) {
         renewedAt = Math.max(renewedAt, this.context.startedAt + leaseExtensionS);
       }
       const controllers = controllersPerZone.get(machine.zone) ?? 0;
-      renewedAt += controllers * (leaseExtensionS + boundS + heartbeatIntervalS);
+      renewedAt += controllers * (leaseExtensionS + maxLeaseS + heartbeatIntervalS);
     }
-    return renewedAt + boundS;
+    return renewedAt + maxLeaseS;
   }
 }
--- a/src/core/machines/zone-partition-detector.ts
+++ b/src/core/machines/zone-partition-detector.ts
@@ -39,8 +39,8 @@
 
   /**
    * Whether missing heartbeats point to a fault of the machine itself, because its zone has not appeared partitioned
-   * within the last `SUSPICION_INTERVALS`. Without this delay, the last quarter of a zone's machines to resume
-   * heartbeats after a partition was released together with all their tasks.
+   * within the last `SUSPICION_INTERVALS`. Without this delay, when a partition ended, the last quarter of the zone's
+   * machines to send heartbeats again were released, with all their tasks.
    */
   isMachineFaultLikely(machine: Machine, now: number): boolean {
     const suspectedAt = this.suspectedAt.get(machine.zone) ?? Number.NEGATIVE_INFINITY;
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -51,7 +51,7 @@
     return this.inProgress;
   }
 
-  /** Admits a request; returns false if the caller must refuse it at once. */
+  /** Admits a request; returns false if the caller must reject it at once. */
   tryAcquire(): boolean {
     if (this.inProgress >= Math.floor(this.limit)) return false;
     this.inProgress++;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -19,7 +19,7 @@
 /** Share of a transaction's operations that the shards of one job may use. Other jobs need the rest. */
 const SHARD_WRITE_SHARE = 1 / 4;
 
-/** Maximum number of tasks to place, and of candidates to place them on. */
+/** Maximum number of tasks to place, and of machines to place them on. */
 interface PlacementLimit {
   readonly tasks: number;
   readonly machines: number;
@@ -29,8 +29,9 @@
 export function placeIndependentTasks(job: ActiveJob, context: PlanningContext): void {
   const quota = context.cluster.quotaSlots(job.spec);
   if (quota <= 0 || job.pendingCount === 0 || job.hasRetryInProgress) return;
-  // Checked before the pass over all machines, which would be wasted for each large array in a long queue.
-  if (job.shardSize !== null && availableShardedTasks(job, context) < 1) return;
+  // Checked before the pass over all machines, because once the rate limit is used up, that pass would be wasted for
+  // each large array in a long queue.
+  if (job.shardSize !== null && shardedTasksWithinRate(job, context) < 1) return;
   const candidates = restrictToOneZone(job, findCandidates(job, context));
   if (candidates.length === 0) return;
   const limit =
@@ -46,9 +47,10 @@
 }
 
 /**
- * For a job whose tasks must share a zone, returns the candidates of the zone that takes the most of them; among
- * equal zones, that of the best candidate. For a service, slots for all its tasks count, because all must fit
- * eventually. When the candidates of all zones were used, tasks placed in one cycle ended up in several zones.
+ * For a job whose tasks must share a zone, returns the candidates of the zone with the most usable slots; among equal
+ * zones, the zone of the cheapest candidate. At most as many slots count as the job has pending tasks, or for a
+ * service as it has tasks, because all of them must eventually fit in the zone. Without this restriction, tasks
+ * placed in one cycle ended up in several zones.
  */
 function restrictToOneZone(job: ActiveJob, candidates: readonly Candidate[]): readonly Candidate[] {
   const { oneZone, kind, tasks } = job.spec;
@@ -113,7 +115,7 @@
  * Limit for a sharded job, whose number of tasks is not limited by the size of one value. Each shard is a separate
  * write, so the number of shards is limited to those that fit into one transaction beside the writes of other jobs.
  * Processing each task's start, heartbeats and end takes CPU time, so the rate of placements is limited too. Without
- * the rate limit, 25,000 tasks of six seconds of a team without a guarantee were placed at 450 a second: the
+ * the rate limit, 25,000 tasks of six seconds each, of a team without a guarantee, were placed at 450 a second: the
  * heartbeats of all machines were late, 28 machines were considered lost, and gangs within a guarantee waited for two
  * minutes.
  */
@@ -127,12 +129,12 @@
   for (const shard of job.unpersistedShards) if (shard.hasUnpersistedPlacement) shards--;
   let freeSlots = 0;
   for (const candidate of candidates) freeSlots += candidate.freeSlots;
-  const tasks = Math.min(freeSlots, availableShardedTasks(job, context), shards * shardSize);
+  const tasks = Math.min(freeSlots, shardedTasksWithinRate(job, context), shards * shardSize);
   return { tasks: Math.max(0, tasks), machines: candidates.length };
 }
 
 /** Number of tasks of a sharded job that the rate limit allows now. Production jobs are not limited. */
-function availableShardedTasks(job: ActiveJob, context: PlanningContext): number {
+function shardedTasksWithinRate(job: ActiveJob, context: PlanningContext): number {
   if (job.spec.priority === "production") return Number.MAX_SAFE_INTEGER;
   return Math.floor(context.shardedTaskBudget.available(context.now));
 }
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -17,14 +17,14 @@
   candidates: readonly Candidate[],
   context: PlanningContext,
 ): number {
-  const versions = new PlacementVersions(job);
+  const batch = new PlacementBatch(job);
   let placed = 0;
   for (const candidate of candidates) {
     const { machine } = candidate;
     let slots = Math.min(candidate.freeSlots, tasks.length - placed);
     // Checked again for each task, as every placement changes how many more the constraints allow in a zone.
     for (; slots > 0 && job.zones.capacityIn(machine.zone) > 0; slots--) {
-      const placement = versions.createPlacement(tasks[placed]!, machine, context.now);
+      const placement = batch.createPlacement(tasks[placed]!, machine, context.now);
       placed++;
       context.cluster.addPlacement(placement);
       recordImagePull(job, machine, context);
@@ -35,12 +35,15 @@
   return placed;
 }
 
-/** Assigns attempt numbers and versions to placements of one batch. Each shard changes its version once per batch. */
-class PlacementVersions {
+/**
+ * Creates the placements of one batch, with attempt numbers and versions. All placements of a shard in the batch
+ * share one version.
+ */
+class PlacementBatch {
   private readonly commonAttempt: number;
   /** The job version that contains the placements of a shard, by shard. */
-  private readonly versions = new Map<JobShard, number>();
-  private isFirst = true;
+  private readonly versionByShard = new Map<JobShard, number>();
+  private isFirstPlacement = true;
 
   constructor(private readonly job: ActiveJob) {
     this.commonAttempt = job.mainShard.attempt;
@@ -49,17 +52,17 @@
   createPlacement(task: number, machine: Machine, now: number): Placement {
     const { job } = this;
     const shard = job.shardOf(task);
-    if (this.isFirst && (shard === job.mainShard || job.spec.kind === "gang")) {
+    if (this.isFirstPlacement && (shard === job.mainShard || job.spec.kind === "gang")) {
       job.mainShard.attempt++;
       job.markChanged();
-      this.versions.set(job.mainShard, job.version);
+      this.versionByShard.set(job.mainShard, job.version);
     }
-    this.isFirst = false;
-    let version = this.versions.get(shard);
+    this.isFirstPlacement = false;
+    let version = this.versionByShard.get(shard);
     if (version === undefined) {
       job.markChanged(task);
       version = job.version;
-      this.versions.set(shard, version);
+      this.versionByShard.set(shard, version);
     }
     const attempt = job.attemptFor(task, this.commonAttempt);
     return new Placement(job, task, attempt, machine, machine.incarnation, version, now);
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -8,24 +8,26 @@
 import { freeSlotsOn, imagePullS, isCapacityOpenTo } from "./eligibility.js";
 import { blocksGpuJob } from "./gpu-reservation.js";
 
-/** Cost of blocking a GPU job, in boot times of the machine. It keeps GPUs usable for GPU jobs. */
+/** Cost of blocking a GPU job, as a multiple of the machine's boot time. It keeps GPUs usable for GPU jobs. */
 const GPU_BLOCKING_COST_BOOTS = 2;
 
-/** Cost in seconds of each service task on the machine. It spreads service tasks, so a machine failure ends few. */
-const REPLICA_SPREAD_COST_S = 0.2;
+/**
+ * Cost in seconds per service task on the machine. It spreads service tasks, as a machine failure ends all of them.
+ */
+const SERVICE_TASK_SPREAD_COST_S = 0.2;
 
 /** Cost in seconds of a machine with all CPUs free. It packs tasks other than service tasks onto fuller machines. */
 const BIN_PACKING_COST_S = 0.5;
 
 /**
  * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work in an interruption; for a
- * job with checkpoints it is deducted instead. Half of the jobs that ended late had a task on a spot machine that was
- * interrupted.
+ * job with checkpoints it is deducted instead. The reason for the cost: half of the jobs that ended late had a task
+ * on a spot machine that was interrupted.
  */
 const SPOT_COST_S = 1;
 
-/** Heartbeat intervals after which a waiting service is placed even where its tasks block GPU jobs. */
-const ANY_MACHINE_AFTER_HEARTBEAT_INTERVALS = 2;
+/** Heartbeat intervals of waiting after which a service is placed even where its tasks block GPU jobs. */
+const GPU_BLOCKING_AFTER_HEARTBEAT_INTERVALS = 2;
 
 /** A machine with free capacity for tasks of a job. */
 export interface Candidate {
@@ -36,11 +38,11 @@
   readonly costS: number;
 }
 
-/** Whether the job has waited so long that it is also placed on machines where it blocks GPU jobs. */
-export const acceptsAnyMachine = (job: ActiveJob, context: PlanningContext): boolean =>
+/** Whether a service has waited so long that it may be placed on machines where its tasks block GPU jobs. */
+export const mayBlockGpuJobs = (job: ActiveJob, context: PlanningContext): boolean =>
   job.waitingSince !== null &&
   context.now - job.waitingSince >
-    ANY_MACHINE_AFTER_HEARTBEAT_INTERVALS * context.settings.heartbeatIntervalS;
+    GPU_BLOCKING_AFTER_HEARTBEAT_INTERVALS * context.settings.heartbeatIntervalS;
 
 /** Returns the machines with free capacity for the job, sorted by cost and then by name. */
 export function findCandidates(job: ActiveJob, context: PlanningContext): Candidate[] {
@@ -62,8 +64,8 @@
 }
 
 /**
- * Whether the job is a service that must not block GPU jobs on this machine. Service tasks run for long, so a service
- * may block GPU jobs only after there has been time to free capacity elsewhere.
+ * Whether the job is a service that must not block GPU jobs on this machine. Service tasks run for a long time, so a
+ * service may block GPU jobs only if no capacity elsewhere became free while it waited.
  */
 function mustAvoidBlockingGpuJobs(
   job: ActiveJob,
@@ -72,7 +74,7 @@
 ): boolean {
   return (
     job.spec.kind === "service" &&
-    !acceptsAnyMachine(job, context) &&
+    !mayBlockGpuJobs(job, context) &&
     blocksGpuJob(machine, job.spec, context.gpuReservation)
   );
 }
@@ -101,7 +103,7 @@
   }
   if (spec.kind === "service") {
     for (const { job } of machine.placements.values()) {
-      if (job.spec.kind === "service") costS += REPLICA_SPREAD_COST_S;
+      if (job.spec.kind === "service") costS += SERVICE_TASK_SPREAD_COST_S;
     }
     return costS;
   }
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -31,7 +31,7 @@
 }
 
 /**
- * Indexes of the machines as of the start of a cycle. They are built once for all jobs, because with many hundred
+ * Indexes of the machines as of the start of a cycle. They are built once for all jobs, because with several hundred
  * machines and jobs a pass over all machines for every job takes more CPU time than a controller has.
  */
 export interface MachineSnapshot {
@@ -39,12 +39,12 @@
   readonly usableByType: ReadonlyMap<string, readonly Machine[]>;
   /** Usable machines with free CPU and memory. */
   readonly withFreeCapacity: readonly Machine[];
-  /** One machine, usable or not, for each combination of type, zone and spot attribute. */
+  /** One machine, usable or not, for each combination of type, zone and spot flag. */
   readonly oneOfEachKind: readonly Machine[];
   /** The machines of `withFreeCapacity` that hold an image, by the image's name. */
   readonly withImage: ReadonlyMap<string, readonly Machine[]>;
   /** Number of usable GPU machines, with or without free capacity, that hold an image, by the image's name. */
-  readonly gpuMachinesWithImage: ReadonlyMap<string, number>;
+  readonly gpuMachineCountByImage: ReadonlyMap<string, number>;
 }
 
 /** The capacity reserved for GPU jobs, as of the start of a cycle. */
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -8,11 +8,14 @@
 import type { ClusterSettings } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 
-/** Heartbeat intervals without a message from the worker after which a machine accepts no new work. */
+/** Age of the worker's last message of any kind, in heartbeat intervals, at which a machine accepts no new work. */
 const MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS = 1.5;
 
-/** Share of a lease without a heartbeat sent by the worker itself after which a machine accepts no new work. */
-const MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
+/**
+ * Age of the last heartbeat that the worker sent unprompted, as a share of a lease, at which a machine accepts no new
+ * work.
+ */
+const MAX_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
 /** Whether the machine accepts new work at `now` (in seconds), regardless of reservations for particular jobs. */
 export function acceptsNewWork(machine: Machine, settings: ClusterSettings, now: number): boolean {
@@ -25,16 +28,16 @@
     machine.unreachableSince === null &&
     now - machine.lastMessageAt <
       MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
-    // Under a new leader, workers send heartbeats to other controllers at first, but for less time than this.
-    now - machine.lastHeartbeatAt < MAX_DIRECT_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
+    // Under a new leader, workers at first send heartbeats to other controllers, but for a shorter time than this.
+    now - machine.lastHeartbeatAt < MAX_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
     now >= machine.backoffUntil
   );
 }
 
 /**
- * Whether no reservation for another job keeps this job from using the machine's capacity. Capacity that is being
- * freed for a gang stays open to gangs that are earlier in the queue: otherwise two gangs can deadlock, each with
- * half of the capacity that it needs.
+ * Whether the job may use the machine's capacity, as far as reservations for other jobs are concerned. Capacity that
+ * is being freed for a gang may still be used by gangs that are earlier in the queue: otherwise two gangs could
+ * deadlock, each holding half of the capacity that it needs.
  */
 export function isCapacityOpenTo(machine: Machine, job: ActiveJob): boolean {
   const { reservation } = machine;
@@ -47,7 +50,10 @@
   );
 }
 
-/** Estimated seconds until the machine holds the job's image. A pull in progress counts as half done. */
+/**
+ * Estimated seconds until the machine holds the job's image. A pull of this image in progress counts as half done; a
+ * new pull is assumed to begin after all pulls in progress.
+ */
 export function imagePullS(machine: Machine, spec: JobSpec): number {
   const { images, type } = machine;
   const image = images.get(spec.image);
--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -33,9 +33,9 @@
  * Reserves free capacity of one zone, until the next cycle, for a gang that could not be placed. Without a
  * reservation, smaller jobs take each machine as it becomes free, and a large gang never finds enough of them free at
  * the same time. Jobs later in the queue get the remaining capacity. The reservation ends with the next cycle, so it
- * does not block a gang that is ahead in the queue by then. Only one gang at a time reserves in a zone: two
- * reservations kept a third of the zone idle. `reservedZones`: zones with a reservation of this cycle; the gang's
- * zone is added if the gang still lacks capacity there.
+ * does not block a gang that is ahead in the queue by then. Only one gang at a time reserves in a zone: with two
+ * reservations, a third of the zone's capacity stayed idle. `reservedZones`: zones that earlier gangs of this cycle
+ * have reserved and still lack capacity in. The zone reserved for this gang is added if the same holds for it.
  */
 export function reserveGangCapacity(
   job: ActiveJob,
@@ -119,7 +119,7 @@
 }
 
 /**
- * Reserves as many machines as the gang needs, in the order of their image pull times. Returns the number of slots
+ * Reserves as many machines as the gang needs, those with the shortest image pull first. Returns the number of slots
  * that are still missing.
  */
 function reserveMachines(job: ActiveJob, machines: Machine[], context: PlanningContext): number {
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -2,10 +2,10 @@
  * Fairness between gang sizes within a class, so that no size starves in a backlog.
  *
  * The queue puts small gangs first, because objectives count each gang once, whatever its size. In a lasting backlog
- * this order starts few large gangs: in a burst of four times the usual jobs, less than half of the gangs of four
- * started within the bound `START_LATENCY_BOUND_S`. Therefore recent starts are counted by class and size. While the share
- * that started is below `MIN_STARTED_SHARE` for some size, the first queued jobs of the size with the smallest share
- * go before all others of their class.
+ * this order starts few large gangs: in a burst of four times the usual number of jobs, less than half of the gangs
+ * of four started within the bound `START_LATENCY_BOUND_S`. Therefore recent starts are counted by class and size.
+ * While fewer than `MIN_STARTED_SHARE` of the gangs of some size started, the first queued jobs of the size with the
+ * smallest share go before all others of their class.
  */
 
 import type { ActiveJob } from "../jobs/active-job.js";
@@ -15,12 +15,15 @@
 import { expectedImagePullS, waitedShareOfStartBound } from "./urgency.js";
 
 /**
- * Share of the gangs of each size that should start in time: the objective of one half, plus a fifth of that as a
- * margin.
+ * Share of the gangs of each size that should start in time. The objective demands one half; a fifth of that is added
+ * as a margin.
  */
 const MIN_STARTED_SHARE = 0.6;
 
-/** Added to the number of started jobs, so that a single job decides nothing when the numbers are small. */
+/**
+ * Added to the number of started jobs and to the total, so that a single job decides nothing when the numbers are
+ * small.
+ */
 const SMOOTHING = 1;
 
 /** Share of `START_LATENCY_BOUND_S` after which a waiting job counts as not started. */
@@ -28,7 +31,10 @@
 
 /** Waiting jobs of one class and size. */
 interface SizeQueue {
-  /** The first jobs in queue order that can still start within the bound and within their team's quota. */
+  /**
+   * The first jobs in queue order, at most one per zone, that can still start within the bound and their team's
+   * quota.
+   */
   readonly startable: ActiveJob[];
   /** Number of jobs that have waited long enough to count as not started. */
   notStarted: number;
--- a/src/core/planning/machine-snapshot.ts
+++ b/src/core/planning/machine-snapshot.ts
@@ -20,14 +20,14 @@
   const withFreeCapacity: Machine[] = [];
   const kinds = new Map<string, Machine>();
   const withImage = new Map<string, Machine[]>();
-  const gpuMachinesWithImage = new Map<string, number>();
+  const gpuMachineCountByImage = new Map<string, number>();
   for (const machine of cluster.machines.values()) {
     const kind = `${machine.type.name} ${machine.zone} ${machine.spot}`;
     if (!kinds.has(kind)) kinds.set(kind, machine);
     if (!acceptsNewWork(machine, settings, now)) continue;
     append(usableByType, machine.type.name, machine);
     refreshWeakestPrecedence(machine);
-    if (machine.type.gpus > 0) countImages(machine, gpuMachinesWithImage);
+    if (machine.type.gpus > 0) countImages(machine, gpuMachineCountByImage);
     if (machine.freeCpus < AMOUNT_TOLERANCE || machine.freeMemoryGb < AMOUNT_TOLERANCE) continue;
     withFreeCapacity.push(machine);
     for (const [name, image] of machine.images) {
@@ -39,7 +39,7 @@
     withFreeCapacity,
     oneOfEachKind: [...kinds.values()],
     withImage,
-    gpuMachinesWithImage,
+    gpuMachineCountByImage,
   };
 }
 
--- a/src/core/planning/planner.ts
+++ b/src/core/planning/planner.ts
@@ -1,6 +1,7 @@
 /**
  * The placement step of a scheduling cycle, which assigns waiting tasks to machines. The leader's view of the
- * machines may be stale. A placement takes effect only once it is stored, and workers refuse tasks that do not fit.
+ * machines may be stale. This does no harm, because a placement takes effect only once it is stored, and workers
+ * refuse tasks that do not fit.
  */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { placeIndependentTasks } from "./array-placement.js";
@@ -13,13 +14,13 @@
 import { waitedShareOfStartBound } from "./urgency.js";
 
 /**
- * Places tasks of the waiting jobs in queue order. `mayStart` decides whether a job may start; a start that it has
- * accepted is not taken back. Returns the jobs that still lack capacity, in the same order: the caller preempts tasks
- * and provisions machines for these.
+ * Places tasks of the waiting jobs in queue order. `acceptStart` decides whether a job may start; once it has
+ * accepted a start, the start is not revoked. Returns the jobs that still lack capacity, in the same order: the
+ * caller preempts tasks and provisions machines for these.
  */
 export function placeWaitingJobs(
   context: PlanningContext,
-  mayStart: (job: ActiveJob) => boolean,
+  acceptStart: (job: ActiveJob) => boolean,
 ): ActiveJob[] {
   const lackingCapacity: ActiveJob[] = [];
   /** Zones in which a gang has reserved capacity in this cycle and still needs more. */
@@ -29,7 +30,7 @@
     job.queuePosition = position;
   });
   for (const job of queue) {
-    if (!mayStart(job)) continue;
+    if (!acceptStart(job)) continue;
     const waitsForImage = placeJob(job, context, reservedZones);
     if (job.pendingCount === 0) {
       job.waitingSince = null;
--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -16,7 +16,9 @@
 /** Maximum number of searches per cycle, regardless of the number of cores. */
 const MAX_PREEMPTION_SEARCHES = 16;
 
-/** Searches per job and cycle, so that one job does not use up the budget. Each frees capacity on one machine. */
+/**
+ * Searches per job and cycle, so that one job does not use up the budget. Each search frees capacity on one machine.
+ */
 const MAX_SEARCHES_PER_JOB = 8;
 
 /** Highest rank number (0 is the most urgent) at which a job beyond its team's guarantee may preempt. */
@@ -97,11 +99,15 @@
   }
   if (spec.kind !== "gang") return true;
   if (job.placementCount > 0) return false;
-  // Tasks that start together need the freed capacity in one place, so a gang preempts only with a reserved zone.
+  // The tasks of a gang start together and need the freed capacity in one place, so a gang of several tasks preempts
+  // only if it has reserved a zone.
   return spec.tasks <= 1 || job.reservedZone !== null;
 }
 
-/** Counts the slots on machines being freed for the job in `zones`, and returns their number. */
+/**
+ * Returns the number of slots on machines that are being freed for the job, and adds them to `zones`, unless the job
+ * has reserved a zone.
+ */
 function reserveSlotsBeingFreed(
   job: ActiveJob,
   zones: ZoneOccupancy,
@@ -111,7 +117,8 @@
   for (const machine of context.cluster.machines.values()) {
     if (machine.reservation?.job !== job) continue;
     const slotsOnMachine = slotsOnEmptyMachine(job.spec, machine);
-    // A gang may be freeing machines outside the zone it reserves now. Those must not tie its tasks to their zone.
+    // A gang that has reserved a zone may also be freeing machines in other zones. These must not tie its tasks to
+    // their zones.
     slots += job.reservedZone ? slotsOnMachine : zones.reserveIn(machine.zone, slotsOnMachine);
   }
   return slots;
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -5,12 +5,12 @@
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
-import { acceptsAnyMachine } from "./candidates.js";
+import { mayBlockGpuJobs } from "./candidates.js";
 import type { GpuReservation, PlanningContext } from "./context.js";
 import { imagePullS, machinesThatFit } from "./eligibility.js";
 import { waitedShareOfStartBound } from "./urgency.js";
 
-/** Share of `START_LATENCY_BOUND_S` that a job without GPUs must have waited before it preempts jobs that use GPUs. */
+/** Share of `START_LATENCY_BOUND_S` that a job without GPUs must have waited before it preempts GPU jobs. */
 const GPU_JOB_PROTECTION_BOUND_SHARE = 0.25;
 
 /** Minimum number of CPUs counted per task in the cost of a preemption, so that no task costs nothing. */
@@ -42,12 +42,12 @@
   context: PlanningContext,
 ): PreemptionChoice | null {
   if (context.cluster.quotaSlots(job.spec) <= 0) return null;
-  const avoidsBlockingGpuJobs = job.spec.kind === "service" && !acceptsAnyMachine(job, context);
+  const avoidsBlockingGpuJobs = job.spec.kind === "service" && !mayBlockGpuJobs(job, context);
   let cheapest: PreemptionChoice | null = null;
   let lowestCost = Infinity;
   for (const machine of machinesThatFit(job.spec, context)) {
     if (!mayFreeCapacityOn(machine, job, zones, context)) continue;
-    if (avoidsBlockingGpuJobs && replicaBlocksGpuJobs(job, machine, context.gpuReservation))
+    if (avoidsBlockingGpuJobs && serviceTaskBlocksGpuJobs(job, machine, context.gpuReservation))
       continue;
     const choice = cheapestPreemptionOn(machine, job, context, lowestCost);
     if (choice === null) continue;
@@ -67,7 +67,8 @@
   context: PlanningContext,
 ): boolean {
   if (machine.weakestPrecedence <= job.precedence) return false;
-  // A reserved machine is reserved for another job, or already being freed for this one and counted by the caller.
+  // A reserved machine is either reserved for another job, or already being freed for this one, and then the caller
+  // has counted it.
   if (machine.reservation !== null || zones.capacityIn(machine.zone) === 0) return false;
   // An empty string stands for any zone.
   if (job.reservedZone && machine.zone !== job.reservedZone) return false;
@@ -75,10 +76,10 @@
 }
 
 /**
- * Whether a single task of the service on the otherwise empty machine would leave room for fewer tasks of some GPU
- * job. True for every GPU machine while no GPU job is known.
+ * Whether one task of the service, alone on the machine, would leave room for fewer tasks of some GPU job. True for
+ * every GPU machine while no GPU job is known.
  */
-function replicaBlocksGpuJobs(
+function serviceTaskBlocksGpuJobs(
   { spec }: ActiveJob,
   machine: Machine,
   reservation: GpuReservation,
@@ -139,9 +140,9 @@
     return false;
   }
   if (victim.effectiveRank > job.effectiveRank) return true;
-  // A job within its team's guarantee may preempt tasks of other teams that exceed theirs, regardless of rank. A gang
-  // that can no longer start in time for the guarantee may not, unless it is starving: otherwise tasks were preempted
-  // and placed again fifty times.
+  // A job within its team's guarantee may preempt tasks of other teams' jobs that are beyond their guarantee,
+  // regardless of rank. A gang that can no longer start in time for the guarantee may not, unless it is starving:
+  // without this restriction, tasks were preempted and placed again fifty times.
   if (!job.canStillMeetGuarantee && !job.isStarving) return false;
   const { guaranteedJobs } = context;
   return (
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -5,10 +5,10 @@
 import { markStarvingJobs } from "./starvation.js";
 import { estimatedMachineSeconds, type Urgency, urgencyOf } from "./urgency.js";
 
-/** Precedence of jobs suspected of failing on every machine, after all other jobs. */
+/** Precedence of jobs suspected of failing on every machine. They come after all other jobs. */
 const SUSPECT_PRECEDENCE = 40;
 
-/** Precedence of starving jobs, directly after production. */
+/** Precedence of starving jobs. They come directly after production jobs. */
 const STARVING_PRECEDENCE = 1;
 
 /** Returns the waiting jobs, the most urgent first, and sets `isStarving` and `canStillMeetGuarantee` of each. */
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -22,11 +22,15 @@
 const MAX_CYCLES_PER_INTERVAL = 40;
 
 /**
- * The same while a new leader has not heard from most workers yet, because a cycle then finds little usable capacity.
+ * Like `MAX_CYCLES_PER_INTERVAL`, but while a new leader has had no message from most workers. A cycle then finds
+ * little usable capacity.
  */
 const MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING = MAX_CYCLES_PER_INTERVAL / 8;
 
-/** Cycles in a heartbeat interval when no change was reported. Backoffs and time limits still expire meanwhile. */
+/**
+ * Cycles in a heartbeat interval in which no change is reported. Some are needed because backoffs and time limits
+ * expire meanwhile.
+ */
 const IDLE_CYCLES_PER_INTERVAL = 3;
 
 /**
@@ -36,16 +40,16 @@
 const SHARDED_TASKS_PER_CORE_SECOND = 400;
 
 /**
- * Tasks of sharded jobs placed per write that the state service accepts. Used instead of the rate per core if it is
- * higher, as it is with a small CPU share: at 7.6% of a core, the rate per core allowed only 30 tasks a second, and 8
- * when overloaded, although the leader used only seven tenths of its share.
+ * Tasks of sharded jobs placed per change that the state service accepts. The resulting rate replaces the rate per
+ * core if it is higher, as it is with a small CPU share: at 7.6% of a core, the rate per core allowed only 30 tasks a
+ * second, and 8 when overloaded, although the leader used only seven tenths of its share.
  */
 const SHARDED_TASKS_PER_STATE_WRITE = 2;
 
-/** Factor applied to the rate while the controller is overloaded. */
+/** Factor on the rate of placements while the controller is overloaded. */
 const OVERLOADED_RATE_FACTOR = 1 / 4;
 
-/** Burst size, in seconds of the rate. */
+/** Burst size: the number of tasks that the rate allows in this many seconds. */
 const SHARDED_TASK_BURST_S = 4;
 
 /** Runs scheduling cycles on the leader, at a bounded rate. */
--- a/src/core/planning/starvation.ts
+++ b/src/core/planning/starvation.ts
@@ -10,7 +10,10 @@
 /** Share of `START_LATENCY_BOUND_S` after which a waiting job may count as starving. */
 const STARVING_AFTER_BOUND_SHARE = 0.5;
 
-/** Cooldown as a multiple of the machine time that a starving job uses: such jobs get two thirds of the capacity. */
+/**
+ * Cooldown as a multiple of the time that a starving job takes if it uses all capacity. Starving jobs thus get two
+ * thirds of the capacity.
+ */
 const COOLDOWN_FACTOR = 1.5;
 
 /** Maximum cooldown, so that a wrong run time estimate does not block the next starving job for long. */
@@ -18,11 +21,11 @@
 
 /**
  * Sets `isStarving` of every waiting job. In each class that is not in a cooldown, the largest job that has waited
- * for half of `START_LATENCY_BOUND_S` without a start counts as starving. Jobs past the bound are considered only if there
- * are no others. It goes ahead of all but production jobs, one job per class at a time. When it has started, a
- * cooldown lets other jobs go first, long enough that starving jobs get two thirds of the capacity. Without the
- * cooldown, all jobs were started in the order of their size, the largest first, once a burst had lasted for two
- * minutes. With half of the capacity, the median job of the largest size started after 289 s.
+ * for half of `START_LATENCY_BOUND_S` without a start counts as starving. Jobs past the bound are considered only if
+ * there are no others. A starving job goes ahead of all but production jobs; there is one per class at a time. When
+ * it has started, a cooldown lets other jobs go first. Its length gives starving jobs two thirds of the capacity:
+ * with half of the capacity, the median job of the largest size started only after 289 s. Without the cooldown, all
+ * jobs were started in the order of their size, the largest first, once a burst had lasted for two minutes.
  */
 export function markStarvingJobs(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const byClass = new Map<string, ActiveJob[]>();
@@ -34,12 +37,12 @@
     else sameClass.push(job);
   }
   // A job past the bound comes after jobs that can still start within it.
-  const pastBound = (job: ActiveJob): number =>
+  const pastBoundOrder = (job: ActiveJob): number =>
     waitedShareOfStartBound(job, context) >= 1 ? 1 : 0;
   for (const jobs of byClass.values()) {
     jobs.sort(
       (a, b) =>
-        pastBound(a) - pastBound(b) ||
+        pastBoundOrder(a) - pastBoundOrder(b) ||
         b.spec.tasks - a.spec.tasks ||
         a.submittedAtMs - b.submittedAtMs,
     );
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -13,8 +13,8 @@
   (context.wallMs - job.objectivesStartMs) / (1000 * START_LATENCY_BOUND_S);
 
 /**
- * Number of tasks times estimated run time, for a gang; 0 for other jobs. Gangs with less go first, because
- * objectives count each gang once, whatever its size.
+ * Number of tasks times estimated run time, for a gang; 0 for other jobs. Gangs with a lower product go first,
+ * because objectives count each gang once, whatever its size.
  */
 export const estimatedMachineSeconds = ({ spec }: ActiveJob): number =>
   spec.kind === "gang" ? spec.tasks * Math.max(1, spec.estimateS) : 0;
@@ -22,11 +22,14 @@
 /** How urgent a waiting job is. */
 export interface Urgency {
   /**
-   * Time of day (ms) by which the job must start to meet the most urgent objective that it can still meet; infinite
-   * if it can no longer meet any.
+   * Time of day (ms) by which the job must be placed to meet its most urgent objective or deadline among those that
+   * it can still meet; infinite if it can no longer meet any.
    */
   readonly latestStartAtMs: number;
-  /** 0: in time; 1: a gang that can still meet only an objective on its end; 2: too late for all, or none applies. */
+  /**
+   * 0: in time; 1: a gang that can still meet only an objective for its end time; 2: too late for all, or none
+   * applies.
+   */
   readonly lateness: 0 | 1 | 2;
 }
 
@@ -38,7 +41,7 @@
 export function urgencyOf(job: ActiveJob, context: PlanningContext): Urgency {
   const { spec, objectivesStartMs } = job;
   const imageS = expectedImagePullS(job, context);
-  // Objectives on the start no longer apply once a task has been placed.
+  // Objectives for the start time no longer apply once a task has been placed.
   const hasStarted = job.doneTasks.size > 0 || job.placements.size > 0;
   let latestStartAtMs = Infinity;
   let hasStartObjective = false;
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -14,7 +14,7 @@
 import type { MachineSnapshot } from "./context.js";
 import { isCapacityOpenTo } from "./eligibility.js";
 
-/** Share of `START_LATENCY_BOUND_S` that a service waits for capacity in its current zone before it may be relocated. */
+/** Share of `START_LATENCY_BOUND_S` for which a service waits for capacity in its zone before it may be relocated. */
 const ZONE_WAIT_SHARE = 1 / 4;
 
 /** Whether the job is a service bound to one zone that has waited long enough there for its missing tasks. */
@@ -46,7 +46,8 @@
   }
 
   /**
-   * Whether only capacity keeps the job waiting, its zone has none, and another zone has enough for the whole job.
+   * Whether the job waits for lack of capacity alone, its zone has none left, and another zone has enough for the
+   * whole job.
    */
   private lacksCapacityInZone(job: ActiveJob, snapshot: MachineSnapshot, now: number): boolean {
     // If the team's quota is used up, the job cannot be placed in any zone.
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -3,7 +3,8 @@
  *
  * Its methods take inputs (changed keys, heartbeats, results, the passing of time) and return the effects to be
  * carried out. It has no clock, socket or randomness of its own. Times are read from the node's monotonic clock, in
- * seconds. The caller fetches writes with `nextTransaction`, because it limits how much is written at a time.
+ * seconds. Writes are not effects: the caller fetches them with `nextTransaction`, because it limits how much is
+ * written at a time.
  */
 
 import { MachinePool } from "./capacity/machine-pool.js";
@@ -94,7 +95,7 @@
 
   /** Whether the pool is below its machine limit and the cloud has not recently lacked capacity. */
   canScaleOut(now: number): boolean {
-    return this.machinePool.isGrowing(now);
+    return this.machinePool.canScaleOut(now);
   }
 
   /** Set by the node while it is overloaded. Work that can wait is postponed then. */
@@ -146,7 +147,10 @@
     return { commands, effects: this.context.takeEffects() };
   }
 
-  /** Records that a heartbeat was answered without commands in the grace period, when this node may no longer act. */
+  /**
+   * Records that a heartbeat was answered without commands in the grace period, when this node may no longer act as
+   * the leader.
+   */
   recordGracePeriodAnswer(heartbeat: WorkerHeartbeat, now: number): void {
     const machine = this.context.cluster.machines.get(heartbeat.machine);
     if (machine === undefined || !isNewer(heartbeat, machine)) return;
@@ -294,7 +298,8 @@
     if (now - machine.lastHeartbeatAt > leaseS / 2) this.context.cycleRequested = true;
     machine.lastHeartbeatAt = now;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
-    // The answer carries the fencing token. A worker to which the token is new sends its next heartbeat at once.
+    // The answer carries the fencing token. A worker to which the token is new sends its next heartbeat at once, so a
+    // direct request with the token can wait for that heartbeat.
     if (machine.hasAcknowledgedToken) return;
     machine.nextRequestAt = Math.max(machine.nextRequestAt, now + heartbeatIntervalS / 4);
   }
