--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -47,7 +47,10 @@
 export const isTop = (expression: Expression): boolean =>
   expression.some((term) => term.length === 0);
 
-/** Drops duplicate terms and terms that no admissible trace satisfies. If a term is top, the result is top. */
+/**
+ * Drops duplicate terms, and terms with an event twice or with its complement, which no admissible trace satisfies.
+ * If a term is top, the result is top.
+ */
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
   const distinct = new Map<string, Term>();
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -75,7 +75,9 @@
   return until !== undefined && until > now;
 }
 
-/** Price per task, weighted by the disadvantages of the offer. */
+/**
+ * Price per task, with surcharges for GPUs that the job does not use, late boots and machines already in the zone.
+ */
 function costPerTask(
   { type, zone, spot, tasksPerMachine }: Offer,
   spec: JobSpec,
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -59,14 +59,14 @@
   isAwaitingFirstHeartbeats(now: number): boolean {
     const { startedAt, settings } = this.context;
     if (this.hasFirstHeartbeats || now - startedAt > settings.leaseS / 2) return false;
-    let up = 0;
-    let inContact = 0;
+    let upCount = 0;
+    let upWithTermTokenCount = 0;
     for (const machine of this.context.cluster.machines.values()) {
       if (machine.state !== "up") continue;
-      up++;
-      if (machine.hasSeenTermToken) inContact++;
+      upCount++;
+      if (machine.hasSeenTermToken) upWithTermTokenCount++;
     }
-    this.hasFirstHeartbeats = inContact >= 0.8 * up;
+    this.hasFirstHeartbeats = upWithTermTokenCount >= 0.8 * upCount;
     return !this.hasFirstHeartbeats;
   }
 
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -23,7 +23,7 @@
   isPulled: boolean;
 }
 
-/** Reservation of a machine's capacity for a waiting job. */
+/** Reservation of a machine's capacity for a waiting job, until the monotonic time `until`, in seconds. */
 export interface CapacityReservation {
   readonly job: ActiveJob;
   readonly until: number;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -13,8 +13,11 @@
 /** Bytes of a machine's entry in a stored value, in addition to the machine's name. */
 const MACHINE_ENTRY_BYTES = 12;
 
-/** Numbers stored per range of tasks. In the worst case each task is a range of its own. */
-const NUMBERS_PER_TASK_RANGE = 2;
+/**
+ * Task numbers that a value may have to hold per placed task. In the worst case each task is a range of its own, both
+ * in the placements and between the done tasks (`maxValueBytes`).
+ */
+const NUMBERS_PER_PLACED_TASK = 2;
 
 /** Share of a transaction's operations that the shards of one job may use. Other jobs need the rest. */
 const SHARD_WRITE_SHARE = 1 / 4;
@@ -98,7 +101,7 @@
   let freeBytes = VALUE_FILL_RATIO * context.maxValueBytes - maxValueBytes(job);
   let tasks = 0;
   let machines = 0;
-  const bytesPerTask = NUMBERS_PER_TASK_RANGE * taskNumberBytes(job);
+  const bytesPerTask = NUMBERS_PER_PLACED_TASK * taskNumberBytes(job);
   for (const { machine, freeSlots } of candidates) {
     freeBytes -= machine.name.length + MACHINE_ENTRY_BYTES;
     const slots = Math.min(freeSlots, Math.floor(freeBytes / bytesPerTask));
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -12,7 +12,7 @@
 const GPU_BLOCKING_COST_BOOTS = 2;
 
 /**
- * Cost in seconds per service task on the machine. It spreads service tasks, as a machine failure ends all of them.
+ * Cost in seconds per service task on the machine. It spreads service tasks, so a machine failure ends fewer of them.
  */
 const SERVICE_TASK_SPREAD_COST_S = 0.2;
 
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -18,7 +18,7 @@
   readonly now: number;
   /** Time of day at the start of the cycle, in milliseconds since 1970. Deadlines and objectives refer to it. */
   readonly wallMs: number;
-  /** Size limit in bytes of a job's stored value while tasks of the job are still being placed. */
+  /** Size in bytes that a job's stored value must not exceed when tasks of the job are placed. */
   readonly maxValueBytes: number;
   readonly snapshot: MachineSnapshot;
   /** Ids of the jobs that fit within the guaranteed capacity of their team. */
--- a/src/core/planning/gang-placement.ts
+++ b/src/core/planning/gang-placement.ts
@@ -85,8 +85,8 @@
  * Delays the tasks whose image pull is short. A gang task with its image ready waits for its peers for `gang_wait_s`
  * at most; after that the whole gang is restarted. If the longest pull takes half of `gang_wait_s` or more, the tasks
  * whose pull takes less than half as long as the longest one start only when another task of the gang has pulled the
- * image. Without the delay, a gang of four lost 85 s: one machine held the image, the other three pulled it for 70 s,
- * and `gang_wait_s` was 45 s.
+ * image, or after twice the longest pull time. Without the delay, a gang of four lost 85 s: one machine held the
+ * image, the other three pulled it for 70 s, and `gang_wait_s` was 45 s.
  */
 function delayTasksWithShortPulls(
   job: ActiveJob,
