--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -85,13 +85,13 @@
   }
 
   /** Records the resource demands of a job's class, for which spare capacity is kept. */
-  noteJobShape(spec: JobSpec): void {
+  recordJobShape(spec: JobSpec): void {
     const placedTasks = this.shapes.get(spec.class)?.placedTasks ?? 0;
     this.shapes.set(spec.class, { spec, placedTasks });
   }
 
   /** Handles the first message from a machine's worker. */
-  noteMachineUp(machine: Machine, now: number): void {
+  recordMachineUp(machine: Machine, now: number): void {
     this.bootTimeouts.recordBoot(machine, now);
   }
 
@@ -275,7 +275,7 @@
       this.dispatcher.handleTaskLost(placement, why, now);
     }
     this.context.cluster.machines.delete(name);
-    this.dispatcher.dueMachines.delete(machine);
+    this.dispatcher.machinesAwaitingDispatch.delete(machine);
     this.recordShards.remove(name, machine.isPersisted);
     this.context.cycleRequested = true;
   }
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -29,7 +29,7 @@
 /** Sends start, stop and forget commands to workers, with at most one direct request in flight per machine. */
 export class CommandDispatcher {
   /** Machines to which commands may have to be sent. `Scheduler.tick` skips all others. */
-  readonly dueMachines = new Set<Machine>();
+  readonly machinesAwaitingDispatch = new Set<Machine>();
   /** Names of the machines that have a token-only request (fencing token, no commands) in flight. */
   readonly tokenRequestsInFlight = new Set<string>();
   /** Names of the machines that have a probe in flight. */
@@ -65,7 +65,7 @@
   stop(placement: Placement, why: string, graceS: number): void {
     if (placement.stop !== null && placement.stop.graceS <= graceS) return;
     placement.stop = { why, graceS, sentAt: Number.NEGATIVE_INFINITY };
-    this.dueMachines.add(placement.machine);
+    this.machinesAwaitingDispatch.add(placement.machine);
     this.context.logTask("stopping task", () => ({
       task: `${placement.job.spec.id}/${placement.task}`,
       attempt: placement.attempt,
@@ -78,7 +78,7 @@
    * Stops a task, which gets `graceS` seconds to checkpoint. If the task belongs to a gang, the whole gang is
    * stopped.
    */
-  stopGang(placement: Placement, why: string, graceS: number): void {
+  stopTaskOrGang(placement: Placement, why: string, graceS: number): void {
     const { job } = placement;
     const stopped = job.spec.kind === "gang" ? [...job.placements.values()] : [placement];
     for (const placementToStop of stopped) this.stop(placementToStop, why, graceS);
@@ -119,7 +119,7 @@
    * Returns the commands to send to a machine now, and records them as sent. Start commands are included only in
    * direct requests (`withStarts`), because only for these is it reported whether the commands were executed.
    */
-  commandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
+  takeCommandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const placement of [...machine.placements.values()]) {
       const { stop } = placement;
@@ -138,19 +138,22 @@
    * request: they are not urgent, and are sent along with other commands or in the response to a heartbeat.
    */
   sendDueCommands(machine: Machine, now: number): void {
-    this.dueMachines.delete(machine);
+    this.machinesAwaitingDispatch.delete(machine);
     if (machine.hasRequestInFlight || machine.address === "" || machine.state !== "up") return;
     if (now < machine.nextRequestAt) {
-      this.dueMachines.add(machine);
+      this.machinesAwaitingDispatch.add(machine);
       return;
     }
     if (!machine.hasAcknowledgedToken) {
       this.sendFencingToken(machine);
       return;
     }
-    if (mayNeedCommands(machine)) this.dueMachines.add(machine);
+    if (mayNeedCommands(machine)) this.machinesAwaitingDispatch.add(machine);
     else if (this.orphanedTasks.length === 0) return;
-    const dueCommands = this.commandsFor(machine, now, true).slice(0, MAXIMUM_COMMANDS_PER_REQUEST);
+    const dueCommands = this.takeCommandsFor(machine, now, true).slice(
+      0,
+      MAXIMUM_COMMANDS_PER_REQUEST,
+    );
     if (dueCommands.every((command) => command.op === "forget")) return;
     this.send(machine, machine.incarnation, dueCommands);
   }
@@ -289,7 +292,7 @@
 
   /** Sends a direct request without commands, which only carries the current fencing token. */
   private sendFencingToken(machine: Machine): void {
-    this.dueMachines.add(machine);
+    this.machinesAwaitingDispatch.add(machine);
     if (this.tokenRequestsInFlight.size >= this.maximumConcurrentRequests) return;
     this.tokenRequestsInFlight.add(machine.name);
     this.send(machine, Math.max(machine.incarnation, 1), []);
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -51,7 +51,7 @@
     if (machine.hasAcknowledgedToken) {
       this.taskReconciler.reconcileTasks(machine, heartbeat.tasks, now);
     }
-    this.dispatcher.dueMachines.add(machine);
+    this.dispatcher.machinesAwaitingDispatch.add(machine);
     return machine;
   }
 
@@ -82,7 +82,7 @@
   }
 
   private handleBooted(machine: Machine, now: number): void {
-    this.machinePool.noteMachineUp(machine, now);
+    this.machinePool.recordMachineUp(machine, now);
     machine.state = "up";
     machine.idleSince = now;
     this.context.cycleRequested = true;
@@ -144,7 +144,7 @@
       const remainingS = estimateS - elapsedS;
       const mayComplete = remainingS > 0 && remainingS < noticeS;
       if (kind === "array" && checkpointS === 0 && mayComplete) continue;
-      this.dispatcher.stopGang(placement, "spot interruption notice", saveS);
+      this.dispatcher.stopTaskOrGang(placement, "spot interruption notice", saveS);
     }
     this.context.cycleRequested = true;
   }
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -28,7 +28,7 @@
   }
 
   /** Number of gangs with this key that started within the last `START_LATENCY_BOUND_S` seconds. */
-  recentStarts(key: string, now: number): number {
+  countRecentStarts(key: string, now: number): number {
     const times = this.startTimes.get(key);
     if (times === undefined) return 0;
     while (times.length > 0 && now - times[0]! > START_LATENCY_BOUND_S) times.shift();
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -118,7 +118,7 @@
   private loadDependencies(replica: StateReplica, job: ActiveJob, now: number): void {
     const dependencies = job.spec.after ?? [];
     for (const dependency of dependencies) this.applyOutcome(replica, job, dependency);
-    if (!job.isBlockedOnDependencies) this.machinePool.noteJobShape(job.spec);
+    if (!job.isBlockedOnDependencies) this.machinePool.recordJobShape(job.spec);
     this.propagateUrgency(replica, dependencies);
     if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
   }
@@ -184,7 +184,7 @@
           this.cancel(replica, job, "by dependency", now);
           endedJobs.push(dependent);
         } else if (!job.isBlockedOnDependencies) {
-          this.machinePool.noteJobShape(job.spec);
+          this.machinePool.recordJobShape(job.spec);
           this.context.cycleRequested = true;
         }
       }
--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -63,9 +63,9 @@
     this.context.epochModRevision = stored.modRevision;
     for (const machine of this.context.cluster.machines.values()) {
       machine.hasAcknowledgedToken = false;
-      this.dispatcher.dueMachines.add(machine);
+      this.dispatcher.machinesAwaitingDispatch.add(machine);
     }
-    for (const machine of [...this.dispatcher.dueMachines])
+    for (const machine of [...this.dispatcher.machinesAwaitingDispatch])
       this.dispatcher.sendDueCommands(machine, now);
   }
 }
--- a/src/core/leadership/takeover.ts
+++ b/src/core/leadership/takeover.ts
@@ -108,6 +108,6 @@
   );
   for (const machine of context.cluster.machines.values()) {
     machine.nextRequestAt = now + (runsServiceTasks(machine) ? serviceDelayS : overdueDelayS);
-    dispatcher.dueMachines.add(machine);
+    dispatcher.machinesAwaitingDispatch.add(machine);
   }
 }
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -253,7 +253,7 @@
     machine.drainReason = why;
     this.context.log("draining machine", { machine: machine.name, why });
     for (const placement of machine.placements.values()) {
-      this.dispatcher.stopGang(placement, why, placement.job.spec.saveS);
+      this.dispatcher.stopTaskOrGang(placement, why, placement.job.spec.saveS);
     }
   }
 }
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -79,7 +79,7 @@
   for (const [key, { startable, notStarted }] of sizeQueues(queue, context)) {
     const [first] = startable;
     if (first === undefined || notStarted === 0) continue;
-    const started = context.cluster.gangStarts.recentStarts(key, context.now);
+    const started = context.cluster.gangStarts.countRecentStarts(key, context.now);
     const share = (started + SMOOTHING) / (started + notStarted + SMOOTHING);
     if (share >= (shares.get(first.spec.class) ?? MIN_STARTED_SHARE)) continue;
     shares.set(first.spec.class, share);
--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -79,7 +79,7 @@
       held: false,
     };
     for (const victim of victims) {
-      this.dispatcher.stopGang(victim, `preempted for ${job.spec.id}`, victim.job.spec.saveS);
+      this.dispatcher.stopTaskOrGang(victim, `preempted for ${job.spec.id}`, victim.job.spec.saveS);
     }
     this.dispatcher.sendDueCommands(machine, context.now);
   }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -141,7 +141,7 @@
     this.recordAnsweredHeartbeat(machine, now);
     // Stop and forget commands can be repeated. Start commands need a direct request, whose outcome is reported.
     const commands = machine.hasAcknowledgedToken
-      ? this.dispatcher.commandsFor(machine, now, false)
+      ? this.dispatcher.takeCommandsFor(machine, now, false)
       : [];
     this.dispatcher.sendDueCommands(machine, now);
     return { commands, effects: this.context.takeEffects() };
@@ -203,7 +203,7 @@
     this.faultAttribution.reviewFailures(now);
     this.schedulingCycle.runIfDue(now, wallMs);
     this.machinePool.runCloudRequests(now);
-    for (const machine of [...this.dispatcher.dueMachines])
+    for (const machine of [...this.dispatcher.machinesAwaitingDispatch])
       this.dispatcher.sendDueCommands(machine, now);
     return this.context.takeEffects();
   }
