--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -8,7 +8,10 @@
   readonly enabled: boolean;
   /** Length of an admission window, as a multiple of the workers' heartbeat interval. */
   readonly windowRatio: number;
-  /** Admitted unfinished work that a class may have beyond its share, as a multiple of the share. */
+  /**
+   * Admitted unfinished work that a class may have in addition to its share of the cluster's capacity, as a multiple
+   * of that share.
+   */
   readonly queueRatio: number;
   readonly calendar: Calendar;
 }
@@ -70,7 +73,7 @@
 export interface DecodedAdmission {
   /** Null if there are faults. */
   readonly settings: AdmissionSettings | null;
-  /** One line per invalid value, which begins with its key. */
+  /** One line per invalid value. Each line begins with the key of the value. */
   readonly faults: readonly string[];
   /** Unknown keys, which are ignored. */
   readonly unknown: readonly string[];
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -45,7 +45,10 @@
   /** Factors that the weight calendar applies to the teams' weights; 1 for a team without an entry. */
   readonly teamWeights: ReadonlyMap<string, number>;
   readonly classes: readonly ClassUsage[];
-  /** Admitted unfinished work that a class may have beyond its share, as a multiple of the share. */
+  /**
+   * Admitted unfinished work that a class may have in addition to its share of the cluster's capacity, as a multiple
+   * of that share.
+   */
   readonly queueRatio: number;
   /** Names of the active periods of the weight calendar. */
   readonly periods: readonly string[];
@@ -55,7 +58,7 @@
 
 /** Fraction of the capacity that is distributed before the guarantees, so that no share is zero. */
 const FLOOR_RATIO = 0.05;
-/** Smallest grant that admits a job. It admits exactly one, of any size. */
+/** Smallest grant that admits a job. It admits one job of any size, as any unused part of a grant admits a job. */
 const ONE_JOB_GRANT = 1;
 /** Factor by which a class with production jobs outweighs other classes of its team within the team's guarantee. */
 const PRODUCTION_WEIGHT_FACTOR = 1000;
@@ -73,11 +76,11 @@
   const fractions = entitledFractions(input, classes, others);
   const grants = classes.map((usage, index) => {
     const unfinished = dominantShare(usage.unfinished, input.capacity);
-    const allowed = allowance(fractions[index]!, demandOf(usage), input);
+    const allowed = allowedUnits(fractions[index]!, demandOf(usage), input);
     return grantOf(usage.team, usage.class, allowed - Math.min(allowed, unfinished));
   });
   const grantsForOthers = others.map(({ team, demand }, index) => {
-    const allowed = allowance(fractions[classes.length + index]!, demand, input);
+    const allowed = allowedUnits(fractions[classes.length + index]!, demand, input);
     return grantOf(team, null, Math.max(ONE_JOB_GRANT, allowed));
   });
   return {
@@ -251,7 +254,7 @@
 }
 
 /** Returns the units that a class may have unfinished, given the fraction of its demand that it is entitled to. */
-function allowance(fraction: number, demand: ResourceVector, input: WindowInput): number {
+function allowedUnits(fraction: number, demand: ResourceVector, input: WindowInput): number {
   if (fraction === Number.POSITIVE_INFINITY) return UNLIMITED;
   const share = dominantShare(scaleResources(demand, fraction), input.capacity);
   return Math.min(UNLIMITED, Math.ceil((1 + input.queueRatio) * share));
@@ -270,7 +273,7 @@
 }
 
 function grantOf(team: string, className: string | null, units: number): Grant {
-  // At least one job with dependencies is admitted in each window: the jobs before it were admitted, and it must not
+  // Each window admits at least one job with dependencies: the jobs that it depends on were admitted, so it must not
   // starve.
   const follower = Math.max(ONE_JOB_GRANT, units);
   return { team, class: className, lanes: { new: units, follower } };
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -16,13 +16,13 @@
 /** The controller as the HTTP server uses it. */
 export interface ApiBackend extends HeartbeatBackend {
   isHealthy(): boolean;
-  /** True if users should move to other nodes; requests that still arrive here are answered. */
+  /** True if users should move to other nodes. Requests that still arrive at this node are answered. */
   shedsUsers(): boolean;
   /** A linearizable read. */
   readJob(id: string): Promise<JobReadResult>;
   checkFeasibility(spec: JobSpec): Feasibility;
   submit(spec: JobSpec): Promise<SubmissionOutcome>;
-  /** `ok`: the cancellation is stored; `known`: it, or the job's final state, was stored already. */
+  /** `ok`: the cancellation is now stored; `known`: a cancellation or the job's final state was stored already. */
   cancel(id: string): Promise<WriteResult>;
   /** Resolves to the job once its final state is stored, or to null if that takes longer than `withinS` seconds. */
   waitForEnd(id: string, withinS: number): Promise<JobView | null>;
@@ -46,8 +46,11 @@
   readonly idleTimeoutS: number;
   /** Called with errors of this program, not of the request. */
   readonly onFault: (error: Error) => void;
-  /** Called when a request (`what`: "query" or "mutation") was answered with `status` after `durationS` seconds. */
-  readonly onRequestDone: (what: string, durationS: number, status: number) => void;
+  /**
+   * Called when the part of a request that runs under a concurrency limit has ended, after `durationS` seconds.
+   * `requestKind` is "query" or "mutation"; `status` is the HTTP status that the reply has at that time.
+   */
+  readonly onRequestDone: (requestKind: string, durationS: number, status: number) => void;
 }
 
 /** Sends a response with a MessagePack body. */
@@ -64,7 +67,10 @@
 
 /** Registers and handles all routes of a server. */
 export class Routes {
-  /** Number of requests refused beyond the concurrency limit; it varies their Retry-After values. */
+  /**
+   * Number of requests refused so far because of a concurrency limit. Their Retry-After values are derived from it,
+   * so that these clients do not all retry at the same time.
+   */
   private busyRefusalCount = 0;
 
   constructor(
@@ -123,7 +129,10 @@
     return Math.max(1, Math.ceil(this.options.retryAfterS));
   }
 
-  /** Runs a handler under a concurrency limit; beyond the limit the request is refused with a varied Retry-After. */
+  /**
+   * Runs a handler under a concurrency limit. A request beyond the limit is refused, with a Retry-After value that
+   * varies from one refused request to the next.
+   */
   private async withConcurrencyLimit<T>(
     limit: AdaptiveConcurrencyLimit,
     reply: FastifyReply,
@@ -133,19 +142,20 @@
       return this.refuse(reply, 429, "busy", this.busyRefusalCount++ % RETRY_SPREAD_S);
     }
     const startedAt = this.options.now();
-    // While users are shed, connections close with their responses, so that none is reset later during a request.
+    // While this node sheds users, it is unhealthy, and connections that stay open may be reset later, even during a
+    // request. Each connection is therefore closed with its response.
     if (this.backend.shedsUsers()) reply.header("connection", "close");
     try {
       return await work();
     } finally {
       const durationS = this.options.now() - startedAt;
       limit.release(durationS);
-      const what = limit === this.options.queryLimit ? "query" : "mutation";
-      this.options.onRequestDone(what, durationS, reply.statusCode);
+      const requestKind = limit === this.options.queryLimit ? "query" : "mutation";
+      this.options.onRequestDone(requestKind, durationS, reply.statusCode);
     }
   }
 
-  /** Answers with the job's state, or with 503 if it can't be read; null without an answer if no such job exists. */
+  /** Sends the job's state, or 503 if it can't be read. If no such job exists, sends nothing and returns null. */
   private async answerWithJobState(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     const result = await this.backend.readJob(id);
     switch (result.kind) {
@@ -164,15 +174,16 @@
     const body = decodeBody(toBuffer(requestBody));
     const spec = decodeJob(body);
     if (spec === null) {
-      // A retry of an accepted job is answered with the job's state, even if the rest of its body is malformed.
+      // A repeated submission of an accepted job is answered with the job's state, even if the rest of its body is
+      // malformed.
       const id = decodeJobId(body);
-      const answered = id === null ? null : await this.answerWithJobState(id, reply);
-      return answered ?? sendMessagePack(reply, 400, { error: "malformed" });
+      const sentReply = id === null ? null : await this.answerWithJobState(id, reply);
+      return sentReply ?? sendMessagePack(reply, 400, { error: "malformed" });
     }
     const { kind } = this.backend.checkFeasibility(spec);
     if (kind !== "feasible") {
-      const answered = await this.answerWithJobState(spec.id, reply);
-      if (answered !== null) return answered;
+      const sentReply = await this.answerWithJobState(spec.id, reply);
+      if (sentReply !== null) return sentReply;
       if (kind === "unknown") return this.refuse(reply, 503, "machine types unknown");
       return sendMessagePack(reply, 422, { error: "can never run" });
     }
@@ -204,17 +215,17 @@
   }
 
   private async query(id: string, reply: FastifyReply): Promise<FastifyReply> {
-    const answered = isValidJobId(id) ? await this.answerWithJobState(id, reply) : null;
-    return answered ?? sendMessagePack(reply, 404, { error: "no such job" });
+    const sentReply = isValidJobId(id) ? await this.answerWithJobState(id, reply) : null;
+    return sentReply ?? sendMessagePack(reply, 404, { error: "no such job" });
   }
 
   private async cancel(id: string, reply: FastifyReply): Promise<FastifyReply> {
     const { options, backend } = this;
     const deadlineAt = options.now() + options.cancellationWaitS;
-    const answered = await this.withConcurrencyLimit(options.mutationLimit, reply, () =>
+    const sentReply = await this.withConcurrencyLimit(options.mutationLimit, reply, () =>
       this.storeCancellation(id, reply),
     );
-    if (answered !== null) return answered;
+    if (sentReply !== null) return sentReply;
     // This wait is outside the concurrency limit: the time to stop tasks does not reflect the load of this node.
     const ended = await backend.waitForEnd(id, Math.max(0, deadlineAt - options.now()));
     if (ended !== null) return sendMessagePack(reply, 200, encodeJobView(ended, false));
@@ -231,16 +242,16 @@
     if (read.job.state === "done" || read.job.state === "cancelled") {
       return sendMessagePack(reply, 200, encodeJobView(read.job, false));
     }
-    const stored = await this.backend.cancel(id);
-    return stored.kind === "unavailable" ? this.refuse(reply, 503, "unavailable") : null;
+    const writeResult = await this.backend.cancel(id);
+    return writeResult.kind === "unavailable" ? this.refuse(reply, 503, "unavailable") : null;
   }
 
   private heartbeat(body: unknown, reply: FastifyReply): FastifyReply {
-    const answer = this.heartbeats.handle(toBuffer(body));
-    if (answer.retryAfterS !== null) {
-      reply.header("retry-after", String(answer.retryAfterS)).header("connection", "close");
+    const heartbeatReply = this.heartbeats.handle(toBuffer(body));
+    if (heartbeatReply.retryAfterS !== null) {
+      reply.header("retry-after", String(heartbeatReply.retryAfterS)).header("connection", "close");
     }
-    reply.code(answer.status).header("content-type", "application/msgpack");
-    return reply.send(answer.body);
+    reply.code(heartbeatReply.status).header("content-type", "application/msgpack");
+    return reply.send(heartbeatReply.body);
   }
 }
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -8,7 +8,7 @@
 
 /**
  * Maximum number of attempts to admit and write a submission before the client is told to retry later. An attempt
- * fails if another node uses up the grant first.
+ * fails if another node uses up the grant of the job's class first.
  */
 const MAX_ATTEMPTS = 4;
 
@@ -43,8 +43,8 @@
 
   /**
    * Returns null if every job that `spec` depends on has been accepted, and otherwise the outcome to answer with. A
-   * job that the replica knows stays known. A dependency counts as never accepted only if the replica still lacks it
-   * after reading everything that was stored when this method was called.
+   * dependency that the replica contains was accepted, even if the replica is out of date. A dependency that it lacks
+   * counts as never accepted only if it is still missing after a linearizable read.
    */
   private async checkDependencies(spec: JobSpec): Promise<SubmissionOutcome | null> {
     const hasUnknownDependency = (): boolean =>
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -1,7 +1,7 @@
 /**
  * Writes submissions and cancellations to the state service by compare-and-swap, so that any node can do it, leader
- * or follower. Writes are batched into transactions. A write whose job is known already is removed from its batch,
- * and its request is answered by a read.
+ * or follower. Writes are batched into transactions. If the job of a write is stored already, the write is removed
+ * from its batch with the outcome "known", and a submission is then answered with the job's state.
  */
 import { assertNever } from "../core/assert-never.js";
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
@@ -99,7 +99,10 @@
     return this.isWithinSubmissionLimit(JSON.stringify(storedSubmission(spec, Date.now())).length);
   }
 
-  /** Resolves once the outcome is known, or after `maxWaitS` with "unavailable". */
+  /**
+   * Resolves once the outcome is known, or after `maxWaitS` with "unavailable". `wallMs` is the time of day in
+   * milliseconds since the Unix epoch, stored as the time of the submission.
+   */
   submit(spec: JobSpec, wallMs: number): Promise<SubmissionWriteResult> {
     const value = storedSubmission(spec, wallMs);
     const bytes = JSON.stringify(value).length;
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -2,11 +2,11 @@
  * Reads the connections over which workers send heartbeats. It accepts all connections before the HTTP server does,
  * on the same port.
  *
- * Most requests to a leader are heartbeats. Node's HTTP server spends twice the processor time of handling a
- * heartbeat on the objects and streams of each request (docs/processor-and-memory.md). Connections whose first
- * request is a heartbeat are therefore parsed here with http-parser-js. All other connections, and those on which
- * another request follows, are passed to the HTTP server. Sockets are read by `data` events, because the overhead of
- * an async iterator would cancel the saving.
+ * Most requests to a leader are heartbeats. For each request, Node's HTTP server creates objects and streams, which
+ * takes twice the processor time of handling the heartbeat itself (docs/processor-and-memory.md). Connections whose
+ * first request is a heartbeat are therefore parsed here with http-parser-js. All other connections, and those on
+ * which another request follows, are passed to the HTTP server. Sockets are read by `data` events, because the
+ * overhead of an async iterator would cancel the saving.
  */
 import { STATUS_CODES } from "node:http";
 import type { Socket } from "node:net";
@@ -16,7 +16,7 @@
 
 /** The request line that marks a new connection as one for heartbeats. */
 const HEARTBEAT_REQUEST_LINE = Buffer.from(`POST ${PATH.heartbeat} HTTP/1.1\r\n`);
-/** Maximum bytes of unread replies to a worker before its connection is closed. */
+/** A worker's connection is closed if more than this many bytes of replies wait to be sent to it. */
 const MAX_UNREAD_BYTES = 64 * 1024;
 
 /** Callbacks for requests, and limits of a connection. */
@@ -32,12 +32,15 @@
 }
 
 /** Headers and body of a response as one Latin-1 string, which Node.js sends in a single write. */
-function responseText({ status, body, retryAfterS }: HeartbeatReply, close: boolean): string {
+function responseText(
+  { status, body, retryAfterS }: HeartbeatReply,
+  closesConnection: boolean,
+): string {
   return (
     `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\n` +
     `Content-Type: application/msgpack\r\nContent-Length: ${body.length}\r\n` +
     (retryAfterS === null ? "" : `Retry-After: ${retryAfterS}\r\n`) +
-    (close ? "Connection: close\r\n\r\n" : "\r\n") +
+    (closesConnection ? "Connection: close\r\n\r\n" : "\r\n") +
     body.toString("latin1")
   );
 }
--- a/src/bundle/bundle.cts
+++ b/src/bundle/bundle.cts
@@ -45,8 +45,8 @@
 }
 
 /**
- * Writes the code cache. It contains all functions, not only those that run at the start, because a failover runs the
- * others within seconds.
+ * Writes the code cache. It contains all functions, not only those that run when the process starts: after a failover
+ * it runs the others within seconds, and would otherwise have to compile them then.
  */
 export function writeCodeCache(): void {
   setFlagsFromString("--no-lazy");
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -27,7 +27,7 @@
     spare_ratio: ratioSchema(1, 0, 10),
     /** Maximum number of machines. */
     max_machines: z.coerce.number().int().min(1).max(100_000).default(100_000),
-    /** Idle time after which machines beyond the spare capacity are released, as a multiple of the worker lease. */
+    /** Idle time, as a multiple of the worker lease, after which a machine beyond the spare capacity is released. */
     idle_leases: ratioSchema(20, 1, 1000),
   }),
   api: z.object({
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -73,30 +73,30 @@
   }
 
   readJob(id: string): Promise<JobReadResult> {
-    return this.node.userRequests.readJob(id);
+    return this.node.userRequestHandler.readJob(id);
   }
 
   checkFeasibility(spec: JobSpec): Feasibility {
-    return this.node.userRequests.checkFeasibility(spec);
+    return this.node.userRequestHandler.checkFeasibility(spec);
   }
 
   submit(spec: JobSpec): Promise<SubmissionOutcome> {
-    return this.node.userRequests.submit(spec);
+    return this.node.userRequestHandler.submit(spec);
   }
 
   cancel(id: string): Promise<WriteResult> {
-    return this.node.userRequests.cancel(id);
+    return this.node.userRequestHandler.cancel(id);
   }
 
   waitForEnd(id: string, withinS: number): Promise<JobView | null> {
-    return this.node.userRequests.waitForEnd(id, withinS);
+    return this.node.userRequestHandler.waitForEnd(id, withinS);
   }
 
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer {
-    return this.node.workerHeartbeats.handleHeartbeat(heartbeat);
+    return this.node.workerHeartbeatHandler.handleHeartbeat(heartbeat);
   }
 
   redirectTarget(): string | null {
-    return this.node.workerHeartbeats.redirectTarget();
+    return this.node.workerHeartbeatHandler.redirectTarget();
   }
 }
--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -32,9 +32,9 @@
    */
   handleLag(lagS: number, isOverloaded: boolean): void {
     const { leadership, load, log } = this.options;
-    const leading = leadership.current;
-    if (leading !== null) leading.scheduler.isOverloaded = isOverloaded;
+    const activeLeadership = leadership.current;
+    if (activeLeadership !== null) activeLeadership.scheduler.isOverloaded = isOverloaded;
     const report = load.takeDueReport(lagS);
-    if (report !== null) log.info({ leads: leading !== null, ...report }, "load");
+    if (report !== null) log.info({ leads: activeLeadership !== null, ...report }, "load");
   }
 }
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -54,22 +54,22 @@
     }
   }
 
-  private performAsLeader(effect: LeaderEffect, leading: ActiveLeadership): void {
+  private performAsLeader(effect: LeaderEffect, activeLeadership: ActiveLeadership): void {
     switch (effect.kind) {
       case "send":
-        this.sendCommands(effect, leading);
+        this.sendCommands(effect, activeLeadership);
         break;
       case "probe":
-        this.probeWorker(effect, leading);
+        this.probeWorker(effect, activeLeadership);
         break;
       case "scale out":
-        this.scaleOut(effect, leading);
+        this.scaleOut(effect, activeLeadership);
         break;
       case "release machines":
-        this.releaseMachines(effect, leading);
+        this.releaseMachines(effect, activeLeadership);
         break;
       case "list machines":
-        this.listMachines(leading);
+        this.listMachines(activeLeadership);
         break;
       case "advance fencing token":
         this.options.leadership.fencingTokenAdvanceRequested = true;
@@ -82,14 +82,14 @@
     }
   }
 
-  private sendCommands(effect: EffectOf<"send">, leading: ActiveLeadership): void {
+  private sendCommands(effect: EffectOf<"send">, activeLeadership: ActiveLeadership): void {
     const { workers, now } = this.options;
-    const { term, scheduler } = leading;
+    const { term, scheduler } = activeLeadership;
     const { machine, address, incarnation, commands } = effect;
     if (!term.mayAct(now())) {
       const notSent = { kind: "lost", mayArrive: false } as const;
       setImmediate(() =>
-        this.handleResult(leading, () =>
+        this.handleResult(activeLeadership, () =>
           scheduler.commandsAnswered(machine, commands, notSent, now()),
         ),
       );
@@ -98,55 +98,60 @@
     void workers
       .send(address, term.epoch, incarnation, commands)
       .then((outcome) =>
-        this.handleResult(leading, () =>
+        this.handleResult(activeLeadership, () =>
           scheduler.commandsAnswered(machine, commands, outcome, now()),
         ),
       );
   }
 
-  private probeWorker({ machine, address }: EffectOf<"probe">, leading: ActiveLeadership): void {
+  private probeWorker(
+    { machine, address }: EffectOf<"probe">,
+    activeLeadership: ActiveLeadership,
+  ): void {
     const { workers, now, heartbeatIntervalS } = this.options;
     const startedAt = now();
     void workers.probe(address).then((heartbeat) => {
       // A result more than 25% later than the request timeout means that this node was stalled; the machine may be
       // healthy.
       const isLate = now() - startedAt > (1.25 * heartbeatIntervalS) / 3;
-      this.handleResult(leading, () =>
-        leading.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
+      this.handleResult(activeLeadership, () =>
+        activeLeadership.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
       );
     });
   }
 
-  private scaleOut(effect: EffectOf<"scale out">, leading: ActiveLeadership): void {
+  private scaleOut(effect: EffectOf<"scale out">, activeLeadership: ActiveLeadership): void {
     const { cloud, now } = this.options;
-    const request = leading.term.mayAct(now())
+    const request = activeLeadership.term.mayAct(now())
       ? cloud.scaleOut(effect)
       : Promise.resolve({ kind: "failed" } as const);
     void request.then((result) =>
-      this.handleResult(leading, () => leading.scheduler.scaleOutAnswered(effect, result, now())),
+      this.handleResult(activeLeadership, () =>
+        activeLeadership.scheduler.scaleOutAnswered(effect, result, now()),
+      ),
     );
   }
 
   private releaseMachines(
     { machines }: EffectOf<"release machines">,
-    leading: ActiveLeadership,
+    activeLeadership: ActiveLeadership,
   ): void {
     const { cloud, now } = this.options;
-    const request = leading.term.mayAct(now())
+    const request = activeLeadership.term.mayAct(now())
       ? cloud.releaseMachines(machines)
       : Promise.resolve(false);
     void request.then((released) =>
-      this.handleResult(leading, () =>
-        leading.scheduler.releaseAnswered(machines, released, now()),
+      this.handleResult(activeLeadership, () =>
+        activeLeadership.scheduler.releaseAnswered(machines, released, now()),
       ),
     );
   }
 
-  private listMachines(leading: ActiveLeadership): void {
+  private listMachines(activeLeadership: ActiveLeadership): void {
     const { cloud, workers, now, sockets } = this.options;
-    const { scheduler } = leading;
+    const { scheduler } = activeLeadership;
     void cloud.listMachines().then((machines) => {
-      this.handleResult(leading, () => scheduler.machineListAnswered(machines, now()));
+      this.handleResult(activeLeadership, () => scheduler.machineListAnswered(machines, now()));
       const addresses = scheduler.workerAddresses();
       workers.closeAllExcept(addresses);
       workers.setMaxConnections(maxWorkerConnections(sockets, addresses.size));
@@ -160,7 +165,7 @@
   }
 
   /** Drops results for a scheduler whose term is no longer current. */
-  private handleResult(leading: ActiveLeadership, handle: () => readonly Effect[]): void {
-    if (this.options.leadership.current === leading) this.options.onResult(handle);
+  private handleResult(activeLeadership: ActiveLeadership, handle: () => readonly Effect[]): void {
+    if (this.options.leadership.current === activeLeadership) this.options.onResult(handle);
   }
 }
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -25,7 +25,7 @@
 const MINIMUM_BURST = 4;
 /** Share, for all followers together, of the changes per second that the state service accepts. */
 const FOLLOWERS_SHARE = 5 / 6;
-/** Largest number of followers that the followers' share is divided by. */
+/** Upper bound on the divisor of `FOLLOWERS_SHARE`: more followers than this do not reduce the share of each. */
 const MAXIMUM_FOLLOWERS = 5;
 /**
  * Burst of a follower's write budget: the changes that the state service accepts from all nodes in this many seconds.
@@ -96,7 +96,7 @@
     if (!this.isTransactionDue(current.scheduler, allowedChanges)) return;
     const transaction = this.compose(current.scheduler, allowedChanges, now);
     if (transaction === null) {
-      // The next indivisible group of changes may exceed the limit that was reduced after a refusal.
+      // A limit that was reduced after a refusal may be too small for the next indivisible group of changes.
       this.raiseChangeLimit();
       return;
     }
@@ -106,8 +106,9 @@
   }
 
   /**
-   * Changes per second that this node may write. `WriteBudget` gives the rate of the leader. The followers divide
-   * `FOLLOWERS_SHARE` evenly, and each gets a burst (`FOLLOWER_BURST_S`), because submissions arrive in bursts. The
+   * Changes per second that this node may write. `WriteBudget` computes the rate of the leader. `FOLLOWERS_SHARE` is
+   * divided evenly among the followers, and each gets a burst (`FOLLOWER_BURST_S`), because submissions arrive in
+   * bursts. The
    * shares of leader and followers may add up to more than the state service accepts; refused writes are retried
    * shortly after.
    */
@@ -158,15 +159,15 @@
 
   private async commit(
     leadership: Leadership,
-    active: ActiveLeadership,
+    activeLeadership: ActiveLeadership,
     transaction: LeaderTransaction,
   ): Promise<void> {
     const { keyValueClient, replica, now, performEffects } = this.options;
     const { preconditions, changes } = transaction;
     const result = await keyValueClient.transact(preconditions, changes);
     const finish = (outcome: TransactionOutcome): void => {
-      if (leadership.current !== active) return;
-      const { scheduler } = active;
+      if (leadership.current !== activeLeadership) return;
+      const { scheduler } = activeLeadership;
       const effects = scheduler.transactionEnded(transaction, outcome, replica, now());
       performEffects(effects);
     };
@@ -176,7 +177,7 @@
         finish({ kind: "committed", revision: result.revision });
         return;
       case "refused":
-        this.handleRefusal(active.scheduler, transaction, result.status);
+        this.handleRefusal(activeLeadership.scheduler, transaction, result.status);
         finish({ kind: "refused" });
         await sleepSeconds(this.options.settings.heartbeatIntervalS / REFUSAL_DELAY_DIVISOR);
         return;
@@ -186,7 +187,7 @@
           { outcome: result },
           "transaction failed or its outcome is unknown; reading the stored state",
         );
-        if (await this.readStoredOutcome(leadership, active)) {
+        if (await this.readStoredOutcome(leadership, activeLeadership)) {
           finish({ kind: result.kind === "failed" ? "conflict" : "unknown" });
         }
         return;
@@ -211,15 +212,16 @@
    */
   private async readStoredOutcome(
     leadership: Leadership,
-    active: ActiveLeadership,
+    activeLeadership: ActiveLeadership,
   ): Promise<boolean> {
     const { watcher, replica, settings } = this.options;
     while (!(await watcher.readLatest())) {
-      if (leadership.current !== active) return false;
+      if (leadership.current !== activeLeadership) return false;
       await sleepSeconds(settings.heartbeatIntervalS / READ_RETRY_DELAY_DIVISOR);
     }
-    if (replica.epoch.modRevision === active.term.epochModRevision) return true;
-    if (leadership.current === active) leadership.stepDown("stored epoch belongs to another term");
+    if (replica.epoch.modRevision === activeLeadership.term.epochModRevision) return true;
+    if (leadership.current === activeLeadership)
+      leadership.stepDown("stored epoch belongs to another term");
     return false;
   }
 
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -36,14 +36,14 @@
   readonly leader: LeaderComposition;
   readonly peers: PeerMesh;
   readonly health: NodeHealth;
-  readonly userRequests: UserRequestHandler;
-  readonly workerHeartbeats: WorkerHeartbeatHandler;
+  readonly userRequestHandler: UserRequestHandler;
+  readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
   private readonly admission: AdmissionControl | null;
   private readonly stateContact: StateContact;
   private readonly leaseExtension: LeaseExtension;
-  private readonly standby: StandbyResponder;
+  private readonly followerResponder: StandbyResponder;
   private readonly completionWaiters: CompletionWaiters;
-  private readonly replicaChanges: ReplicaChangeHandler;
+  private readonly replicaChangeHandler: ReplicaChangeHandler;
 
   constructor(
     private readonly settings: NodeSettings,
@@ -57,13 +57,13 @@
     this.machineTypes = this.createMachineTypeCatalog();
     this.leader = this.createLeader();
     this.leaseExtension = this.createLeaseExtension();
-    this.standby = this.createStandbyResponder();
+    this.followerResponder = this.createFollowerResponder();
     this.completionWaiters = this.createCompletionWaiters();
-    this.replicaChanges = this.createReplicaChanges();
+    this.replicaChangeHandler = this.createReplicaChangeHandler();
     this.peers = this.createPeerMesh();
     this.health = this.createNodeHealth();
-    this.userRequests = this.createUserRequests();
-    this.workerHeartbeats = this.createWorkerHeartbeats();
+    this.userRequestHandler = this.createUserRequestHandler();
+    this.workerHeartbeatHandler = this.createWorkerHeartbeatHandler();
   }
 
   private createAdmissionControl(): AdmissionControl | null {
@@ -96,7 +96,7 @@
 
   private handleReplicaChange(change: ReplicaChange | null): void {
     this.leader.runSchedulerWork("replicaChanges", () => {
-      this.replicaChanges.apply(change);
+      this.replicaChangeHandler.apply(change);
       this.leader.schedulingLoop.requeue();
     });
   }
@@ -147,7 +147,7 @@
   private recordContacts(): void {
     const { keyValueClient, replica } = this.adapters;
     if (this.watcher.isLoaded) this.leaseExtension.recordContact(keyValueClient.lastAnswerAt);
-    if (replica.leader !== null) this.standby.recordLeaderSeen(steadyNowS());
+    if (replica.leader !== null) this.followerResponder.recordLeaderSeen(steadyNowS());
   }
 
   private createLeaseExtension(): LeaseExtension {
@@ -155,11 +155,11 @@
     return new LeaseExtension(this.settings.cluster.leaseS, maximumContactGapS, leaseExtensionS);
   }
 
-  private createStandbyResponder(): StandbyResponder {
+  private createFollowerResponder(): StandbyResponder {
     const { cluster, member, zone } = this.settings;
     const { replica, timing } = this.adapters;
-    const otherNodes = Math.max(1, cluster.nodes - 1);
-    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodes;
+    const otherNodeCount = Math.max(1, cluster.nodes - 1);
+    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodeCount;
     return new StandbyResponder({
       settings: cluster,
       member,
@@ -176,14 +176,14 @@
     return new CompletionWaiters((id) => replica.finalRecords.has(id));
   }
 
-  private createReplicaChanges(): ReplicaChangeHandler {
-    const { standby, completionWaiters, machineTypes } = this;
+  private createReplicaChangeHandler(): ReplicaChangeHandler {
+    const { followerResponder, completionWaiters, machineTypes } = this;
     const { leadership, transactions } = this.leader;
     return new ReplicaChangeHandler({
       now: steadyNowS,
       replica: this.adapters.replica,
       leadership,
-      standby,
+      followerResponder,
       completionWaiters,
       transactions,
       machineTypes,
@@ -211,7 +211,7 @@
     return new NodeHealth({ stateContact, peers, leadership: leader.leadership });
   }
 
-  private createUserRequests(): UserRequestHandler {
+  private createUserRequestHandler(): UserRequestHandler {
     const { settings, watcher, stateContact, machineTypes, completionWaiters, admission } = this;
     const { replica, tracer } = this.adapters;
     const submissionWriter = this.createSubmissionWriter();
@@ -243,8 +243,8 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
-    const { settings, stateContact, health, standby, leader } = this;
+  private createWorkerHeartbeatHandler(): WorkerHeartbeatHandler {
+    const { settings, stateContact, health, followerResponder, leader } = this;
     const { timing, replica, load } = this.adapters;
     return new WorkerHeartbeatHandler({
       member: settings.member,
@@ -254,7 +254,7 @@
       stateContact,
       health,
       leadership: leader.leadership,
-      standby,
+      followerResponder,
       load,
       performEffects: (effects) => leader.performEffects(effects),
       onHeartbeatHandled: () => leader.schedulingLoop.requeue(),
--- a/src/node/node-cycle.ts
+++ b/src/node/node-cycle.ts
@@ -36,20 +36,20 @@
     const { now, watcher, admission, leadership } = this.options;
     const startedAt = now();
     if (watcher.isLoaded) admission?.flushRejections();
-    if (leadership.current === null) this.runAsStandby();
+    if (leadership.current === null) this.runAsFollower();
     else this.runAsLeader(leadership.current, startedAt);
   }
 
-  private runAsStandby(): void {
+  private runAsFollower(): void {
     const { watcher, machineTypes, leadership } = this.options;
     if (watcher.isLoaded && machineTypes.known.length > 0) leadership.campaign();
   }
 
-  private runAsLeader(leading: ActiveLeadership, startedAt: number): void {
+  private runAsLeader(activeLeadership: ActiveLeadership, startedAt: number): void {
     const { performEffects, transactions, leadership } = this.options;
-    if (!leading.term.mayAct(startedAt)) return;
-    performEffects(leading.scheduler.tick(startedAt, Date.now()));
-    this.updateAdmission(leading, startedAt);
+    if (!activeLeadership.term.mayAct(startedAt)) return;
+    performEffects(activeLeadership.scheduler.tick(startedAt, Date.now()));
+    this.updateAdmission(activeLeadership, startedAt);
     transactions.sendNext(leadership);
   }
 
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -4,7 +4,7 @@
 import type { Leadership } from "./leadership.js";
 import type { StateContact } from "./state-contact.js";
 
-/** Number of other nodes that suffices to serve users: if one of them fails, two are left. */
+/** Number of other nodes that suffices to serve users without the leader: if one of them fails, two are left. */
 const SUFFICIENT_PEERS = 3;
 
 /** Dependencies of `NodeHealth`. */
@@ -27,8 +27,9 @@
    */
   isHealthy(): boolean {
     const { stateContact, peers } = this.options;
-    const isUseful = stateContact.reachesStateService() || !peers.anyPeerReachesStateService();
-    return stateContact.isLoaded && isUseful && !this.shedsUsers();
+    const hasContactIfAnyNodeHas =
+      stateContact.reachesStateService() || !peers.anyPeerReachesStateService();
+    return stateContact.isReplicaLoaded && hasContactIfAnyNodeHas && !this.shedsUsers();
   }
 
   /**
@@ -53,7 +54,7 @@
   connectivity(): NodeConnectivity {
     const { stateContact, peers } = this.options;
     return {
-      replicaLoaded: stateContact.isLoaded,
+      replicaLoaded: stateContact.isReplicaLoaded,
       reachesState: stateContact.reachesStateService(),
       peerReachesState: peers.anyPeerReachesStateService(),
       leaderHeartbeatRecent: peers.isLeaderInContact(),
--- a/src/node/node-load.ts
+++ b/src/node/node-load.ts
@@ -5,7 +5,7 @@
 import type { ClusterSettings } from "../core/model/settings.js";
 import { steadyNowS } from "../time/steady-clock.js";
 
-/** Heartbeat intervals between two reports. */
+/** Time between two reports, in heartbeat intervals. */
 const REPORT_INTERVALS = 5;
 
 /**
@@ -36,7 +36,7 @@
   readonly cpu: number;
   /** Share of a core that the settings give this node. */
   readonly cpuShare: number;
-  /** Average timer lag, in milliseconds. */
+  /** Average timer lag (time from when a timer is due until it fires), in milliseconds. */
   readonly lagMs: number;
   readonly heapMb: number;
   readonly residentMb: number;
--- a/src/node/node-timing.ts
+++ b/src/node/node-timing.ts
@@ -9,12 +9,13 @@
   /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
   readonly gracePeriodS: number;
   /**
-   * Like `gracePeriodS`, for machines that run service or gang tasks, whose leases are extended during a partition.
+   * The same time for machines that run service or gang tasks. It is usually longer, because the leases of these
+   * machines are extended during a partition.
    */
   readonly leaseExtensionS: number;
   /** Timeout of requests to the state service and to workers. */
   readonly requestTimeoutMs: number;
-  /** Shortest time between two linearizable reads of the state service, and between two watches. */
+  /** Shortest time between the starts of two linearizable reads of the state service, or of two watches. */
   readonly minimumReadIntervalS: number;
 }
 
@@ -28,7 +29,7 @@
     gracePeriodS: Math.max(operator.graceRatio * leaseS, leaseS / 3 + maximumContactGapS),
     leaseExtensionS: operator.extensionRatio * leaseS,
     requestTimeoutMs: (heartbeatIntervalS * 1000) / 3,
-    // Linearizable reads and watches may each use a quarter of this node's share of requests.
+    // Linearizable reads may use a quarter of this node's share of `stateRps`, and watches another quarter.
     minimumReadIntervalS: (4 * cluster.nodes) / cluster.stateRps,
   };
 }
--- a/src/node/replica-change-handler.ts
+++ b/src/node/replica-change-handler.ts
@@ -12,7 +12,7 @@
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly leadership: Leadership;
-  readonly standby: StandbyResponder;
+  readonly followerResponder: StandbyResponder;
   readonly completionWaiters: CompletionWaiters;
   readonly transactions: LeaderTransactions;
   readonly machineTypes: MachineTypeCatalog;
@@ -24,11 +24,11 @@
 
   /** Handles changes that the replica has applied; null after a full read of the stored state. */
   apply(change: ReplicaChange | null): void {
-    const { now, leadership, standby, completionWaiters, transactions, machineTypes } =
+    const { now, leadership, followerResponder, completionWaiters, transactions, machineTypes } =
       this.options;
     const appliedAt = now();
     if (leadership.current !== null) this.applyAsLeader(leadership.current, change, appliedAt);
-    if (change === null) standby.recordLeaderSeen(appliedAt);
+    if (change === null) followerResponder.recordLeaderSeen(appliedAt);
     completionWaiters.notifyChanged(change === null ? null : change.jobs);
     if (change !== null) transactions.recordUserRequestChanges(change.userRequests);
     machineTypes.loadFromReplica();
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -5,7 +5,7 @@
 import type { ClusterSettings } from "../core/model/settings.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Polls per heartbeat interval when there is no input. */
+/** Number of polls per heartbeat interval. Input causes additional cycles between polls. */
 const POLLS_PER_INTERVAL = 20;
 /** Shortest pause between two cycles, as a share of the heartbeat interval. */
 const MINIMUM_PAUSE_SHARE = 1 / 100;
@@ -14,7 +14,10 @@
  */
 const PAUSE_RATIO = 2;
 const OVERLOADED_PAUSE_RATIO = 8;
-/** Average timer lag above which a node counts as overloaded, as a share of the heartbeat interval. */
+/**
+ * Average timer lag above which a node counts as overloaded, as a share of the heartbeat interval. The lag of a timer
+ * is the time from when it is due until it fires.
+ */
 const OVERLOADED_LAG_SHARE = 1 / 30;
 /** Weight of the latest measurement in the moving average of the timer lag. */
 const LAG_SMOOTHING = 0.3;
@@ -38,7 +41,7 @@
 
 /** Schedules the cycles of a node. */
 export class SchedulingLoop {
-  private isQueued = false;
+  private isCycleRequested = false;
   private nextCycleAt = Number.NEGATIVE_INFINITY;
   private lastCycleEndedAt = 0;
   private lagS = 0;
@@ -68,11 +71,11 @@
 
   /** Requests a cycle for new input; it runs as soon as the pause after the previous cycle ends. */
   requeue(): void {
-    if (this.isQueued) return;
-    this.isQueued = true;
+    if (this.isCycleRequested) return;
+    this.isCycleRequested = true;
     const delayS = Math.max(0, this.nextCycleAt - this.options.now());
     setTimeout(() => {
-      this.isQueued = false;
+      this.isCycleRequested = false;
       if (!this.stopped) this.runCycle();
     }, 1000 * delayS);
   }
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -17,7 +17,7 @@
   constructor(private readonly options: StateContactOptions) {}
 
   /** True if the replica has been loaded; it may be out of date. */
-  get isLoaded(): boolean {
+  get isReplicaLoaded(): boolean {
     return this.options.watcher.isLoaded;
   }
 
--- a/src/node/worker-heartbeat-handler.ts
+++ b/src/node/worker-heartbeat-handler.ts
@@ -15,7 +15,7 @@
 
 /** Dependencies of `WorkerHeartbeatHandler`. */
 export interface WorkerHeartbeatHandlerOptions {
-  /** The name of this node. */
+  /** This node's member name in the settings. */
   readonly member: string;
   readonly timing: NodeTiming;
   /** Current monotonic time, in seconds. */
@@ -24,7 +24,7 @@
   readonly stateContact: StateContact;
   readonly health: NodeHealth;
   readonly leadership: Leadership;
-  readonly standby: StandbyResponder;
+  readonly followerResponder: StandbyResponder;
   readonly load: NodeLoad;
   readonly performEffects: (effects: readonly Effect[]) => void;
   /** Called after the scheduler handled a heartbeat, which may allow new placements. */
@@ -37,13 +37,15 @@
 
   /** Answers a decoded heartbeat. */
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer {
-    const { now, leadership, load, standby, health, replica, member } = this.options;
+    const { now, leadership, load, followerResponder, health, replica, member } = this.options;
     const receivedAt = now();
-    const leading = leadership.current;
-    if (leading !== null) {
-      return load.measure("heartbeats", () => this.handleAsLeader(leading, heartbeat, receivedAt));
+    const activeLeadership = leadership.current;
+    if (activeLeadership !== null) {
+      return load.measure("heartbeats", () =>
+        this.handleAsLeader(activeLeadership, heartbeat, receivedAt),
+      );
     }
-    if (standby.mayAnswer(heartbeat, health.connectivity(), receivedAt, Date.now())) {
+    if (followerResponder.mayAnswer(heartbeat, health.connectivity(), receivedAt, Date.now())) {
       return { kind: "answer", fencingToken: replica.epoch.value, commands: [] };
     }
     const leader = replica.leader?.value.member ?? null;
@@ -51,28 +53,31 @@
   }
 
   /**
-   * The leader's name, if this node is certain that another node leads; otherwise null. Heartbeats can then be
-   * redirected without being decoded. Not certain while a new leader is settling, or without contact to the state
-   * service.
+   * The leader's member name if this node is certain that another node leads, so that heartbeats can be redirected
+   * without being decoded; otherwise null. The node is not certain without contact to the state service. It also
+   * returns null while a new leader is settling (`isLeaderSettling`), because it then answers some
+   * heartbeats itself, and must decode them to select these.
    */
   redirectTarget(): string | null {
-    const { replica, leadership, member, stateContact, standby } = this.options;
+    const { replica, leadership, member, stateContact, followerResponder } = this.options;
     const leader = replica.leader?.value.member;
     if (leadership.current !== null || leader === undefined || leader === member) return null;
-    return stateContact.reachesStateService() && !standby.isLeaderSettling(Date.now())
+    return stateContact.reachesStateService() && !followerResponder.isLeaderSettling(Date.now())
       ? leader
       : null;
   }
 
   private handleAsLeader(
-    leading: ActiveLeadership,
+    activeLeadership: ActiveLeadership,
     heartbeat: WorkerHeartbeat,
     receivedAt: number,
   ): HeartbeatAnswer {
-    const { term, scheduler } = leading;
-    if (!term.mayAct(receivedAt)) return this.handleInGracePeriod(leading, heartbeat, receivedAt);
+    const { term, scheduler } = activeLeadership;
+    if (!term.mayAct(receivedAt))
+      return this.handleAfterTerm(activeLeadership, heartbeat, receivedAt);
     const { commands, effects } = scheduler.handleHeartbeat(heartbeat, receivedAt);
-    // Performing the effects may end the term.
+    // The answer carries the token under which the commands were decided. It is read before the effects are
+    // performed, because they may end the term.
     const fencingToken = term.epoch;
     this.options.performEffects(effects);
     this.options.onHeartbeatHandled();
@@ -80,16 +85,17 @@
   }
 
   /**
-   * A leader whose term has ended may not send commands. For a bounded time, it still extends worker leases by
-   * answering heartbeats without commands.
+   * Answers a heartbeat that arrives after the end of the term, when this node may no longer send commands. During
+   * the grace period, or the lease extension for workers that run service or gang tasks, it answers without commands,
+   * which extends the worker's lease. After that, it is unavailable to the worker.
    */
-  private handleInGracePeriod(
+  private handleAfterTerm(
     { term, scheduler }: ActiveLeadership,
     heartbeat: WorkerHeartbeat,
     receivedAt: number,
   ): HeartbeatAnswer {
-    const { standby, timing } = this.options;
-    const graceS = standby.runsExtendableTasks(heartbeat)
+    const { followerResponder, timing } = this.options;
+    const graceS = followerResponder.runsExtendableTasks(heartbeat)
       ? timing.leaseExtensionS
       : timing.gracePeriodS;
     if (!term.isWithinGracePeriod(receivedAt, graceS) || heartbeat.fencingToken > term.epoch) {
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -6,7 +6,7 @@
 import { parseAddress } from "../net/address.js";
 import { encodePeerHeartbeat, type PeerHeartbeat, PeerHeartbeatReader } from "./codec.js";
 
-/** Number of peer heartbeat intervals after its last heartbeat for which a peer counts as in contact. */
+/** A peer counts as in contact for this many peer heartbeat intervals after its last heartbeat. */
 const CONTACT_INTERVALS = 4;
 /** Timeout for establishing an outbound connection, in peer heartbeat intervals. */
 const CONNECT_INTERVALS = 4;
@@ -42,9 +42,9 @@
   private readonly links: readonly PeerLink[];
   private timer: NodeJS.Timeout | null = null;
   private readonly inbound = new Set<Socket>();
-  /** For each inbound connection: monotonic time of the last heartbeat whose sender reached the state service. */
-  private readonly lastHeartbeatAt = new Map<Socket, number>();
-  /** Monotonic time of the last heartbeat from any peer that reached the state service. */
+  /** Monotonic time of the last heartbeat that reported contact with the state service, by inbound connection. */
+  private readonly lastStateContactBySocket = new Map<Socket, number>();
+  /** Monotonic time of the last heartbeat from any peer that reported contact with the state service. */
   private lastStateContactAt = Number.NEGATIVE_INFINITY;
   /** Monotonic time of the last heartbeat from a leader. */
   private lastLeaderHeartbeatAt = Number.NEGATIVE_INFINITY;
@@ -53,21 +53,21 @@
     this.links = options.peerAddresses.map((address) => ({ address, socket: null }));
   }
 
-  /** True if a peer sent a heartbeat within `CONTACT_INTERVALS` that says that it reaches the state service. */
+  /** True if any heartbeat within the last `CONTACT_INTERVALS` reported that its sender reaches the state service. */
   anyPeerReachesStateService(): boolean {
     return this.isWithinContactTime(this.lastStateContactAt);
   }
 
-  /** Number of peers that sent a heartbeat within `CONTACT_INTERVALS` that says that they reach the state service. */
+  /** Number of peers that reported contact with the state service within the last `CONTACT_INTERVALS`. */
   peersInContact(): number {
     let count = 0;
-    for (const heartbeatAt of this.lastHeartbeatAt.values()) {
+    for (const heartbeatAt of this.lastStateContactBySocket.values()) {
       if (this.isWithinContactTime(heartbeatAt)) count++;
     }
     return count;
   }
 
-  /** True if a leader sent a heartbeat within `CONTACT_INTERVALS`, even if its term no longer allows it to act. */
+  /** True if a leader sent a heartbeat in the last `CONTACT_INTERVALS`, even if its term no longer lets it act. */
   isLeaderInContact(): boolean {
     return this.isWithinContactTime(this.lastLeaderHeartbeatAt);
   }
@@ -113,7 +113,7 @@
       // The connection failed, or the sender is not a controller.
     }
     this.inbound.delete(socket);
-    this.lastHeartbeatAt.delete(socket);
+    this.lastStateContactBySocket.delete(socket);
     socket.destroy();
   }
 
@@ -121,7 +121,7 @@
     const now = this.options.now();
     if (heartbeat.reachesStateService) {
       this.lastStateContactAt = now;
-      this.lastHeartbeatAt.set(socket, now);
+      this.lastStateContactBySocket.set(socket, now);
     }
     if (heartbeat.holdsLeadership) this.lastLeaderHeartbeatAt = now;
   }
--- a/src/time/sleep.ts
+++ b/src/time/sleep.ts
@@ -1,5 +1,5 @@
 /** Delays measured by the monotonic clock. */
-// Tests mock the timers through the default export of this module; a named import is bound before they do.
+// Uses the default import because tests mock the timers on it: a named import would be bound before they do.
 import timers from "node:timers/promises";
 
 /** Resolves after `seconds`, or rejects with an `AbortError` once `signal` aborts. */
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -2,7 +2,7 @@
  * Codecs of worker heartbeats.
  *
  * Most requests to a leader are heartbeats. They are validated field by field, because validation with a zod schema
- * took three quarters of the time that answering a heartbeat took.
+ * took three quarters of the total time for answering a heartbeat.
  */
 import type { ExitCause, TaskStatus, WorkerHeartbeat } from "../core/model/workers.js";
 import { isObject } from "./fields.js";
--- a/src/workers/sockets.ts
+++ b/src/workers/sockets.ts
@@ -10,8 +10,8 @@
 const MIN_CONNECTIONS = 4;
 
 /**
- * The maximum number of connections that a node with `sockets` sockets opens to `machines` workers. With a fixed
- * fifth of the sockets, no sockets were left for users when the number of machines grew by half.
+ * The maximum number of connections that a node with `sockets` sockets opens to `machines` workers. When the
+ * limit was a fixed fifth of the sockets, no sockets were left for users after the number of machines grew by half.
  */
 export function maxWorkerConnections(sockets: number, machines: number): number {
   const remaining = SHARE_FOR_WORKERS * sockets - CONNECTIONS_PER_MACHINE * machines;
