--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -68,7 +68,7 @@
   | { readonly kind: "unavailable" }
   | { readonly kind: "rejected"; readonly retryAfterS: number };
 
-/** Fraction of the size limit of stored values that grants or rejections may fill. */
+/** Largest size of the grants in a window, and of a rejection record, as a fraction of the size limit of a value. */
 const MAX_VALUE_FILL_RATIO = 0.6;
 /** Name of the queue group for cancellations. No team can have this name. */
 const CANCELLATION_GROUP = "";
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -50,9 +50,10 @@
   for (const record of replica.allRejections()) {
     if (record.window !== window.version) continue;
     for (const refused of record.classes) {
-      const isOther = grant.class === null && !namedClasses.has(refused.class);
-      const matches = refused.team === grant.team && refused.lane === lane;
-      if (matches && (refused.class === grant.class || isOther)) jobs += refused.jobs;
+      const isCoveredByGrantForOthers = grant.class === null && !namedClasses.has(refused.class);
+      const isSameTeamAndLane = refused.team === grant.team && refused.lane === lane;
+      if (isSameTeamAndLane && (refused.class === grant.class || isCoveredByGrantForOthers))
+        jobs += refused.jobs;
     }
   }
   return jobs;
@@ -65,8 +66,8 @@
   lane: Lane,
 ): ClassStatus {
   const ledger = replica.ledgerOf(grant.team);
-  const charged = ledger?.window === window.version ? ledger.used : undefined;
-  const used = charged?.get(grant.class ?? OTHER_CLASSES)?.[lane] ?? 0;
+  const usedByClass = ledger?.window === window.version ? ledger.used : undefined;
+  const used = usedByClass?.get(grant.class ?? OTHER_CLASSES)?.[lane] ?? 0;
   return {
     team: grant.team,
     class: grant.class,
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -179,8 +179,9 @@
       if (keys.has(next.change.key)) break;
       if (batch.length > 0) {
         const changes = batch.length + gateBatch.changes.length + 1;
-        const additional = next.spec === null ? 0 : gateBatch.countAdditionalChanges(next.spec);
-        if (changes + additional > maxChanges) break;
+        const additionalChangeCount =
+          next.spec === null ? 0 : gateBatch.countAdditionalChanges(next.spec);
+        if (changes + additionalChangeCount > maxChanges) break;
         if (bytes + next.bytes + WRITE_OVERHEAD_BYTES > maxTransactionBytes) break;
       }
       this.queue.shift();
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -11,7 +11,7 @@
 import { decodeSettings, type NodeSettings } from "./wire/settings.js";
 
 const VERSION = "0.1.0";
-/** Exit code for invalid settings or arguments, and for a state service that does not answer. */
+/** Exit code if the settings or arguments are invalid, or if the state service does not answer. */
 const EXIT_BAD_SETTINGS = 2;
 /** Timeout of requests to the state service. */
 const STATE_TIMEOUT_MS = 5000;
@@ -104,8 +104,8 @@
   .command("admission")
   .description("print the current admission window, with the amounts used and refused in it")
   .option("--json", "print as JSON")
-  .action((own: { json?: boolean }, command: Command) =>
-    printAdmissionStatus(command.optsWithGlobals<Flags>(), own.json ?? false),
+  .action((subcommandOptions: { json?: boolean }, command: Command) =>
+    printAdmissionStatus(command.optsWithGlobals<Flags>(), subcommandOptions.json ?? false),
   );
 
 /** Runs the program with the command-line arguments of this process. */
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -154,7 +154,7 @@
       this.handleResult(activeLeadership, () => scheduler.machineListAnswered(machines, now()));
       const addresses = scheduler.workerAddresses();
       workers.closeAllExcept(addresses);
-      workers.setMaxConnections(maxWorkerConnections(sockets, addresses.size));
+      workers.setMaxConnectedWorkers(maxWorkerConnections(sockets, addresses.size));
     });
   }
 
--- a/src/node/http-server.ts
+++ b/src/node/http-server.ts
@@ -8,8 +8,8 @@
 import type { NodeSettings } from "../wire/settings.js";
 import type { NodeTiming } from "./node-timing.js";
 
-/** Connections per second that one core accepts alongside its other work. */
-export const ACCEPTS_PER_CORE_S = 500;
+/** Number of connections per second that one core can accept alongside its other work. */
+export const ACCEPTS_PER_CORE_PER_S = 500;
 
 /** Settings and logger of the server. */
 export interface HttpServerOptions {
@@ -54,10 +54,10 @@
 ): Promise<void> {
   const [host, port] = listenAddress.split(":") as [string, string];
   // The backlog holds as many connections as are accepted in one second. After a takeover all workers connect at
-  // once, and a worker that is not answered in time closes its connection and retries. With a long backlog the leader
-  // accepted hundreds of connections a second that their workers had already closed, and for a whole lease no
-  // connection lasted.
-  const backlog = Math.ceil(ACCEPTS_PER_CORE_S * cluster.cpuShare);
+  // once, and a worker that is not answered in time closes its connection and retries. With a long backlog, the leader
+  // accepted hundreds of connections per second that their workers had already closed, and for the length of a whole
+  // worker lease no connection stayed open.
+  const backlog = Math.ceil(ACCEPTS_PER_CORE_PER_S * cluster.cpuShare);
   await httpServer.listen({ host, port: Number(port), backlog });
   // Accepting a connection fails if no socket is left; this error must not end the process.
   httpServer.server.on("error", (error) => log.debug({ err: error }, "connection not accepted"));
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -165,7 +165,7 @@
     const { keyValueClient, replica, now, performEffects } = this.options;
     const { preconditions, changes } = transaction;
     const result = await keyValueClient.transact(preconditions, changes);
-    const finish = (outcome: TransactionOutcome): void => {
+    const reportOutcome = (outcome: TransactionOutcome): void => {
       if (leadership.current !== activeLeadership) return;
       const { scheduler } = activeLeadership;
       const effects = scheduler.transactionEnded(transaction, outcome, replica, now());
@@ -174,11 +174,11 @@
     switch (result.kind) {
       case "ok":
         this.raiseChangeLimit();
-        finish({ kind: "committed", revision: result.revision });
+        reportOutcome({ kind: "committed", revision: result.revision });
         return;
       case "refused":
         this.handleRefusal(activeLeadership.scheduler, transaction, result.status);
-        finish({ kind: "refused" });
+        reportOutcome({ kind: "refused" });
         await sleepSeconds(this.options.settings.heartbeatIntervalS / REFUSAL_DELAY_DIVISOR);
         return;
       case "failed":
@@ -188,7 +188,7 @@
           "transaction failed or its outcome is unknown; reading the stored state",
         );
         if (await this.readStoredOutcome(leadership, activeLeadership)) {
-          finish({ kind: result.kind === "failed" ? "conflict" : "unknown" });
+          reportOutcome({ kind: result.kind === "failed" ? "conflict" : "unknown" });
         }
         return;
       default:
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -74,15 +74,15 @@
   }
 
   /**
-   * Stops acting and renewing without revoking the lease, as if the process had ended: the term ends when its lease
-   * expires.
+   * Stops acting as leader and renewing the lease, but does not revoke it, as if the process had ended: the term ends
+   * when its lease expires.
    */
   stop(): void {
     this.state = { kind: "stopped" };
   }
 
   /**
-   * Keeps this node from becoming a candidate for `durationS` seconds, so that another node can acquire leadership.
+   * Prevents this node from becoming a candidate for `durationS` seconds, so that another node can acquire leadership.
    */
   startElectionCooldown(durationS: number): void {
     this.electionCooldownUntil = this.options.now() + durationS;
@@ -122,13 +122,13 @@
     const { log, now, performEffects } = this.options;
     const advancedAt = now();
     this.fencingTokenAdvanceRequested = false;
-    const { epoch: stored, leader } = this.replica;
-    if (stored.value === epoch && leader?.value.leaseId === term.leaseId) {
-      term.advanceEpoch(epoch, stored.modRevision);
+    const { epoch: storedEpoch, leader } = this.replica;
+    if (storedEpoch.value === epoch && leader?.value.leaseId === term.leaseId) {
+      term.advanceEpoch(epoch, storedEpoch.modRevision);
       log.info({ epoch }, "fencing token advanced");
-      const advanced = { epoch, modRevision: stored.modRevision };
-      performEffects(scheduler.fencingTokenAdvanced(advanced, advancedAt));
-    } else if (stored.value > term.epoch) {
+      const advancedEpoch = { epoch, modRevision: storedEpoch.modRevision };
+      performEffects(scheduler.fencingTokenAdvanced(advancedEpoch, advancedAt));
+    } else if (storedEpoch.value > term.epoch) {
       this.stepDown("the epoch was advanced by another controller");
     } else {
       performEffects(scheduler.fencingTokenAdvanced(null, advancedAt));
@@ -149,8 +149,8 @@
       const candidacy = await this.requestLease();
       if (candidacy === null) return;
       const result = await this.storeCandidacy(candidacy.leader);
-      const hasRead = await this.watcher.readLatest();
-      if (!hasRead || !this.isStoredLeader(candidacy.leader)) {
+      const isReplicaCurrent = await this.watcher.readLatest();
+      if (!isReplicaCurrent || !this.isStoredLeader(candidacy.leader)) {
         this.abandonCandidacy(candidacy.leader, result);
       } else if (this.state.kind === "acquiring") {
         this.beginTerm(candidacy);
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -14,7 +14,7 @@
 import { steadyNowS } from "../time/steady-clock.js";
 import type { NodeSettings } from "../wire/settings.js";
 import { createAdmissionControl } from "./admission-composition.js";
-import { ACCEPTS_PER_CORE_S } from "./http-server.js";
+import { ACCEPTS_PER_CORE_PER_S } from "./http-server.js";
 import { LeaderComposition } from "./leader-composition.js";
 import { MAXIMUM_TRANSACTION_BYTES } from "./leader-transactions.js";
 import { MachineTypeCatalog } from "./machine-type-catalog.js";
@@ -43,7 +43,7 @@
   private readonly leaseExtension: LeaseExtension;
   private readonly followerResponder: StandbyResponder;
   private readonly completionWaiters: CompletionWaiters;
-  private readonly replicaChangeHandler: ReplicaChangeHandler;
+  private readonly replicaChanges: ReplicaChangeHandler;
 
   constructor(
     private readonly settings: NodeSettings,
@@ -59,7 +59,7 @@
     this.leaseExtension = this.createLeaseExtension();
     this.followerResponder = this.createFollowerResponder();
     this.completionWaiters = this.createCompletionWaiters();
-    this.replicaChangeHandler = this.createReplicaChangeHandler();
+    this.replicaChanges = this.createReplicaChangeHandler();
     this.peers = this.createPeerMesh();
     this.health = this.createNodeHealth();
     this.userRequestHandler = this.createUserRequestHandler();
@@ -96,7 +96,7 @@
 
   private handleReplicaChange(change: ReplicaChange | null): void {
     this.leader.runSchedulerWork("replicaChanges", () => {
-      this.replicaChangeHandler.apply(change);
+      this.replicaChanges.apply(change);
       this.leader.schedulingLoop.requeue();
     });
   }
@@ -141,7 +141,7 @@
   }
 
   /**
-   * Records the times of the last contact with the state service and of the last stored leader. They decide whether a
+   * Records when the state service last answered and when a stored leader was last seen. These times decide whether a
    * follower may answer heartbeats.
    */
   private recordContacts(): void {
@@ -159,7 +159,7 @@
     const { cluster, member, zone } = this.settings;
     const { replica, timing } = this.adapters;
     const otherNodeCount = Math.max(1, cluster.nodes - 1);
-    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodeCount;
+    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_PER_S * cluster.cpuShare) / otherNodeCount;
     return new StandbyResponder({
       settings: cluster,
       member,
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -163,9 +163,9 @@
 });
 
 /** Uses the smaller of the current and the next limit from the start, so that no change has to be detected later. */
-const stateLimits = ({ next, ...present }: WireClusterSettings["state"]) => ({
-  stateRps: Math.min(present.rps, next?.rps ?? Infinity),
-  stateWriteRps: Math.min(present.write_rps, next?.write_rps ?? Infinity),
-  valueKb: Math.min(present.value_kb, next?.value_kb ?? Infinity),
-  txnOps: Math.min(present.txn_ops, next?.txn_ops ?? Infinity),
+const stateLimits = ({ next, ...current }: WireClusterSettings["state"]) => ({
+  stateRps: Math.min(current.rps, next?.rps ?? Infinity),
+  stateWriteRps: Math.min(current.write_rps, next?.write_rps ?? Infinity),
+  valueKb: Math.min(current.value_kb, next?.value_kb ?? Infinity),
+  txnOps: Math.min(current.txn_ops, next?.txn_ops ?? Infinity),
 });
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -21,12 +21,12 @@
 
   constructor(
     private readonly timeoutMs: number,
-    private maxConnections: number,
+    private maxConnectedWorkers: number,
   ) {}
 
   /** Changes the number of workers to which connections are kept; the least recently used are closed first. */
-  setMaxConnections(maxConnections: number): void {
-    this.maxConnections = maxConnections;
+  setMaxConnectedWorkers(maxConnectedWorkers: number): void {
+    this.maxConnectedWorkers = maxConnectedWorkers;
     this.closeLeastRecentlyUsed();
   }
 
@@ -89,7 +89,7 @@
   }
 
   private closeLeastRecentlyUsed(): void {
-    while (this.pools.size > this.maxConnections) {
+    while (this.pools.size > this.maxConnectedWorkers) {
       const [address, pool] = this.pools.entries().next().value!;
       pool.close();
       this.pools.delete(address);
