--- a/src/node/http-server.ts
+++ b/src/node/http-server.ts
@@ -54,9 +54,9 @@
 ): Promise<void> {
   const [host, port] = listenAddress.split(":") as [string, string];
   // The backlog holds as many connections as are accepted in one second. After a takeover all workers connect at
-  // once, and a worker that is not answered in time closes its connection and retries. With a long backlog, the leader
-  // accepted hundreds of connections per second that their workers had already closed, and for the length of a whole
-  // worker lease no connection stayed open.
+  // once, and a worker that is not answered in time closes its connection and retries. With a long backlog, the
+  // leader accepted hundreds of connections per second that their workers had already closed, and for the length of a
+  // whole worker lease no connection stayed open.
   const backlog = Math.ceil(ACCEPTS_PER_CORE_PER_S * cluster.cpuShare);
   await httpServer.listen({ host, port: Number(port), backlog });
   // Accepting a connection fails if no socket is left; this error must not end the process.
--- a/src/node/leadership.ts
+++ b/src/node/leadership.ts
@@ -82,7 +82,8 @@
   }
 
   /**
-   * Prevents this node from becoming a candidate for `durationS` seconds, so that another node can acquire leadership.
+   * Prevents this node from becoming a candidate for `durationS` seconds, so that another node can acquire
+   * leadership.
    */
   startElectionCooldown(durationS: number): void {
     this.electionCooldownUntil = this.options.now() + durationS;
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -33,8 +33,8 @@
   /** Not executed, because the preconditions on these keys did not hold. */
   | { readonly kind: "failed"; readonly keys: readonly string[] }
   /**
-   * Certainly not executed, because a limit was exceeded or the state service is unavailable to this node. `status` is
-   * the HTTP status, or 0 if no request was sent.
+   * Certainly not executed, because a limit was exceeded or the state service is unavailable to this node. `status`
+   * is the HTTP status, or 0 if no request was sent.
    */
   | { readonly kind: "refused"; readonly status: number }
   /** May have been executed, or may still be executed later. */
