--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -48,7 +48,7 @@
     private readonly maxBytes: number,
   ) {}
 
-  /** Records the rejection of a job in a window, given by its version. Repeated rejections in one window count once. */
+  /** Records the rejection of a job in a window, given by its version. Repeated rejections in a window count once. */
   add(window: number, job: JobSpec): void {
     if (window !== this.window) {
       this.closeRecord();
