--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -14,7 +14,7 @@
 import { steadyNowS } from "../time/steady-clock.js";
 import type { NodeSettings } from "../wire/settings.js";
 import { createAdmissionControl } from "./admission-composition.js";
-import { ACCEPTS_PER_CORE_S } from "./http-server.js";
+import { ACCEPTS_PER_CORE_PER_S } from "./http-server.js";
 import { LeaderComposition } from "./leader-composition.js";
 import { MAXIMUM_TRANSACTION_BYTES } from "./leader-transactions.js";
 import { MachineTypeCatalog } from "./machine-type-catalog.js";
@@ -36,12 +36,12 @@
   readonly leader: LeaderComposition;
   readonly peers: PeerMesh;
   readonly health: NodeHealth;
-  readonly userRequests: UserRequestHandler;
-  readonly workerHeartbeats: WorkerHeartbeatHandler;
+  readonly userRequestHandler: UserRequestHandler;
+  readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
   private readonly admission: AdmissionControl | null;
   private readonly stateContact: StateContact;
   private readonly leaseExtension: LeaseExtension;
-  private readonly standby: StandbyResponder;
+  private readonly followerResponder: StandbyResponder;
   private readonly completionWaiters: CompletionWaiters;
   private readonly replicaChanges: ReplicaChangeHandler;
 
@@ -57,13 +57,13 @@
     this.machineTypes = this.createMachineTypeCatalog();
     this.leader = this.createLeader();
     this.leaseExtension = this.createLeaseExtension();
-    this.standby = this.createStandbyResponder();
+    this.followerResponder = this.createFollowerResponder();
     this.completionWaiters = this.createCompletionWaiters();
-    this.replicaChanges = this.createReplicaChanges();
+    this.replicaChanges = this.createReplicaChangeHandler();
     this.peers = this.createPeerMesh();
     this.health = this.createNodeHealth();
-    this.userRequests = this.createUserRequests();
-    this.workerHeartbeats = this.createWorkerHeartbeats();
+    this.userRequestHandler = this.createUserRequestHandler();
+    this.workerHeartbeatHandler = this.createWorkerHeartbeatHandler();
   }
 
   private createAdmissionControl(): AdmissionControl | null {
@@ -141,13 +141,13 @@
   }
 
   /**
-   * Records the times of the last contact with the state service and of the last stored leader. They decide whether a
+   * Records when the state service last answered and when a stored leader was last seen. These times decide whether a
    * follower may answer heartbeats.
    */
   private recordContacts(): void {
     const { keyValueClient, replica } = this.adapters;
     if (this.watcher.isLoaded) this.leaseExtension.recordContact(keyValueClient.lastAnswerAt);
-    if (replica.leader !== null) this.standby.recordLeaderSeen(steadyNowS());
+    if (replica.leader !== null) this.followerResponder.recordLeaderSeen(steadyNowS());
   }
 
   private createLeaseExtension(): LeaseExtension {
@@ -155,11 +155,11 @@
     return new LeaseExtension(this.settings.cluster.leaseS, maximumContactGapS, leaseExtensionS);
   }
 
-  private createStandbyResponder(): StandbyResponder {
+  private createFollowerResponder(): StandbyResponder {
     const { cluster, member, zone } = this.settings;
     const { replica, timing } = this.adapters;
-    const otherNodes = Math.max(1, cluster.nodes - 1);
-    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_S * cluster.cpuShare) / otherNodes;
+    const otherNodeCount = Math.max(1, cluster.nodes - 1);
+    const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_PER_S * cluster.cpuShare) / otherNodeCount;
     return new StandbyResponder({
       settings: cluster,
       member,
@@ -176,14 +176,14 @@
     return new CompletionWaiters((id) => replica.finalRecords.has(id));
   }
 
-  private createReplicaChanges(): ReplicaChangeHandler {
-    const { standby, completionWaiters, machineTypes } = this;
+  private createReplicaChangeHandler(): ReplicaChangeHandler {
+    const { followerResponder, completionWaiters, machineTypes } = this;
     const { leadership, transactions } = this.leader;
     return new ReplicaChangeHandler({
       now: steadyNowS,
       replica: this.adapters.replica,
       leadership,
-      standby,
+      followerResponder,
       completionWaiters,
       transactions,
       machineTypes,
@@ -211,7 +211,7 @@
     return new NodeHealth({ stateContact, peers, leadership: leader.leadership });
   }
 
-  private createUserRequests(): UserRequestHandler {
+  private createUserRequestHandler(): UserRequestHandler {
     const { settings, watcher, stateContact, machineTypes, completionWaiters, admission } = this;
     const { replica, tracer } = this.adapters;
     const submissionWriter = this.createSubmissionWriter();
@@ -243,8 +243,8 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeatHandler {
-    const { settings, stateContact, health, standby, leader } = this;
+  private createWorkerHeartbeatHandler(): WorkerHeartbeatHandler {
+    const { settings, stateContact, health, followerResponder, leader } = this;
     const { timing, replica, load } = this.adapters;
     return new WorkerHeartbeatHandler({
       member: settings.member,
@@ -254,7 +254,7 @@
       stateContact,
       health,
       leadership: leader.leadership,
-      standby,
+      followerResponder,
       load,
       performEffects: (effects) => leader.performEffects(effects),
       onHeartbeatHandled: () => leader.schedulingLoop.requeue(),
