--- a/src/core/leadership/standby-responder.ts
+++ b/src/core/leadership/follower-responder.ts
@@ -31,8 +31,8 @@
   readonly leaderHeartbeatRecent: boolean;
 }
 
-/** Dependencies and settings of a `StandbyResponder`. */
-export interface StandbyResponderOptions {
+/** Dependencies and settings of a `FollowerResponder`. */
+export interface FollowerResponderOptions {
   readonly settings: ClusterSettings;
   readonly member: string;
   readonly zone: string;
@@ -44,11 +44,11 @@
 }
 
 /** Decides for each worker heartbeat whether this node answers it while it is a follower. */
-export class StandbyResponder {
+export class FollowerResponder {
   /** Monotonic time at which a leader was last seen in the replica, or the replica was last loaded by a full read. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: StandbyResponderOptions) {}
+  constructor(private readonly options: FollowerResponderOptions) {}
 
   recordLeaderSeen(now: number): void {
     this.leaderSeenAt = now;
@@ -79,7 +79,7 @@
    * Whether the machine runs service or gang tasks, according to its worker's heartbeat, and no task of a cancelled
    * job. Cancelled tasks must end soon, so the lease of a worker that runs any of them is not extended.
    */
-  runsExtendableTasks(heartbeat: WorkerHeartbeat): boolean {
+  qualifiesForLeaseExtension(heartbeat: WorkerHeartbeat): boolean {
     if (this.runsCancelledTasks(heartbeat)) return false;
     return heartbeat.tasks.some((status) => {
       if (status.state === "exited") return false;
@@ -158,7 +158,7 @@
       leaseExtension.mayExtendLeases(now) &&
       !connectivity.peerReachesState &&
       !connectivity.leaderHeartbeatRecent &&
-      this.runsExtendableTasks(heartbeat)
+      this.qualifiesForLeaseExtension(heartbeat)
     );
   }
 }
--- a/src/node/leader-composition.ts
+++ b/src/node/leader-composition.ts
@@ -76,7 +76,7 @@
       now: steadyNowS,
       log,
       performEffects: (effects) => this.performEffects(effects),
-      onTransactionEnd: () => this.schedulingLoop.requeue(),
+      onTransactionEnd: () => this.schedulingLoop.requestCycle(),
     });
   }
 
@@ -127,7 +127,7 @@
       sockets,
       onResult: (handle) => {
         this.runSchedulerWork("effectResults", () => this.performEffects(handle()));
-        this.schedulingLoop.requeue();
+        this.schedulingLoop.requestCycle();
       },
     });
   }
--- a/src/node/node-composition.ts
+++ b/src/node/node-composition.ts
@@ -5,8 +5,8 @@
 import { SubmissionService } from "../api/submission-service.js";
 import { SubmissionWriter } from "../api/submission-writer.js";
 import type { OperatorSettings } from "../config/operator.js";
+import { FollowerResponder } from "../core/leadership/follower-responder.js";
 import { LeaseExtension } from "../core/leadership/lease-extension.js";
-import { StandbyResponder } from "../core/leadership/standby-responder.js";
 import { TokenBucket } from "../core/overload/token-bucket.js";
 import type { ReplicaChange } from "../core/state/state-replica.js";
 import { PeerMesh } from "../peers/peer-mesh.js";
@@ -41,7 +41,7 @@
   private readonly admission: AdmissionControl | null;
   private readonly stateContact: StateContact;
   private readonly leaseExtension: LeaseExtension;
-  private readonly followerResponder: StandbyResponder;
+  private readonly followerResponder: FollowerResponder;
   private readonly completionWaiters: CompletionWaiters;
   private readonly replicaChanges: ReplicaChangeHandler;
 
@@ -97,7 +97,7 @@
   private handleReplicaChange(change: ReplicaChange | null): void {
     this.leader.runSchedulerWork("replicaChanges", () => {
       this.replicaChanges.apply(change);
-      this.leader.schedulingLoop.requeue();
+      this.leader.schedulingLoop.requestCycle();
     });
   }
 
@@ -121,7 +121,7 @@
       replica,
       onChange: (types) => {
         this.leader.leadership.current?.scheduler.setMachineTypes(types);
-        this.leader.schedulingLoop.requeue();
+        this.leader.schedulingLoop.requestCycle();
       },
     });
   }
@@ -155,12 +155,12 @@
     return new LeaseExtension(this.settings.cluster.leaseS, maximumContactGapS, leaseExtensionS);
   }
 
-  private createFollowerResponder(): StandbyResponder {
+  private createFollowerResponder(): FollowerResponder {
     const { cluster, member, zone } = this.settings;
     const { replica, timing } = this.adapters;
     const otherNodeCount = Math.max(1, cluster.nodes - 1);
     const redirectsPerS = (1.5 * ACCEPTS_PER_CORE_PER_S * cluster.cpuShare) / otherNodeCount;
-    return new StandbyResponder({
+    return new FollowerResponder({
       settings: cluster,
       member,
       zone,
@@ -257,7 +257,7 @@
       followerResponder,
       load,
       performEffects: (effects) => leader.performEffects(effects),
-      onHeartbeatHandled: () => leader.schedulingLoop.requeue(),
+      onHeartbeatHandled: () => leader.schedulingLoop.requestCycle(),
     });
   }
 }
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -1,5 +1,5 @@
 /** Health of a node, and its connectivity to the state service and to peers. */
-import type { NodeConnectivity } from "../core/leadership/standby-responder.js";
+import type { NodeConnectivity } from "../core/leadership/follower-responder.js";
 import type { PeerMesh } from "../peers/peer-mesh.js";
 import type { Leadership } from "./leadership.js";
 import type { StateContact } from "./state-contact.js";
--- a/src/node/node-timing.ts
+++ b/src/node/node-timing.ts
@@ -25,7 +25,7 @@
   const maximumContactGapS = (2 * heartbeatIntervalS) / 3;
   return {
     maximumContactGapS,
-    // At least the time for which followers may answer heartbeats while there is no leader (`StandbyResponder`).
+    // At least the time for which followers may answer heartbeats while there is no leader (`FollowerResponder`).
     gracePeriodS: Math.max(operator.graceRatio * leaseS, leaseS / 3 + maximumContactGapS),
     leaseExtensionS: operator.extensionRatio * leaseS,
     requestTimeoutMs: (heartbeatIntervalS * 1000) / 3,
--- a/src/node/replica-change-handler.ts
+++ b/src/node/replica-change-handler.ts
@@ -1,6 +1,6 @@
 /** Notifies the components of a node of changes in the stored state. */
 import type { CompletionWaiters } from "../api/completion-waiters.js";
-import type { StandbyResponder } from "../core/leadership/standby-responder.js";
+import type { FollowerResponder } from "../core/leadership/follower-responder.js";
 import type { ReplicaChange, StateReplica } from "../core/state/state-replica.js";
 import type { LeaderTransactions } from "./leader-transactions.js";
 import type { ActiveLeadership, Leadership } from "./leadership.js";
@@ -12,7 +12,7 @@
   readonly now: () => number;
   readonly replica: StateReplica;
   readonly leadership: Leadership;
-  readonly followerResponder: StandbyResponder;
+  readonly followerResponder: FollowerResponder;
   readonly completionWaiters: CompletionWaiters;
   readonly transactions: LeaderTransactions;
   readonly machineTypes: MachineTypeCatalog;
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -70,7 +70,7 @@
   }
 
   /** Requests a cycle for new input; it runs as soon as the pause after the previous cycle ends. */
-  requeue(): void {
+  requestCycle(): void {
     if (this.isCycleRequested) return;
     this.isCycleRequested = true;
     const delayS = Math.max(0, this.nextCycleAt - this.options.now());
--- a/src/node/worker-heartbeat-handler.ts
+++ b/src/node/worker-heartbeat-handler.ts
@@ -4,7 +4,7 @@
 import type { HeartbeatBackend } from "../api/heartbeats.js";
 import type { HeartbeatAnswer } from "../api/outcomes.js";
 import type { Effect } from "../core/effects.js";
-import type { StandbyResponder } from "../core/leadership/standby-responder.js";
+import type { FollowerResponder } from "../core/leadership/follower-responder.js";
 import type { WorkerHeartbeat } from "../core/model/workers.js";
 import type { StateReplica } from "../core/state/state-replica.js";
 import type { ActiveLeadership, Leadership } from "./leadership.js";
@@ -24,7 +24,7 @@
   readonly stateContact: StateContact;
   readonly health: NodeHealth;
   readonly leadership: Leadership;
-  readonly followerResponder: StandbyResponder;
+  readonly followerResponder: FollowerResponder;
   readonly load: NodeLoad;
   readonly performEffects: (effects: readonly Effect[]) => void;
   /** Called after the scheduler handled a heartbeat, which may allow new placements. */
@@ -95,7 +95,7 @@
     receivedAt: number,
   ): HeartbeatAnswer {
     const { followerResponder, timing } = this.options;
-    const graceS = followerResponder.runsExtendableTasks(heartbeat)
+    const graceS = followerResponder.qualifiesForLeaseExtension(heartbeat)
       ? timing.leaseExtensionS
       : timing.gracePeriodS;
     if (!term.isWithinGracePeriod(receivedAt, graceS) || heartbeat.fencingToken > term.epoch) {
--- a/tests/scheduling-loop.test.ts
+++ b/tests/scheduling-loop.test.ts
@@ -72,17 +72,17 @@
 test("inputs during the pause after a cycle cause one cycle once the pause is over", async (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const simulated = new SimulatedLoop(0.5);
-  simulated.loop.requeue();
+  simulated.loop.requestCycle();
   context.mock.timers.tick(0);
   assert.equal(simulated.cycleStarts.length, 1);
-  for (let input = 0; input < 5; input++) simulated.loop.requeue();
+  for (let input = 0; input < 5; input++) simulated.loop.requestCycle();
   simulated.now += 0.9;
   context.mock.timers.tick(900);
   assert.equal(simulated.cycleStarts.length, 1, "the pause lasts for twice the cycle's duration");
   simulated.now += 0.2;
   context.mock.timers.tick(200);
   assert.equal(simulated.cycleStarts.length, 2);
-  simulated.loop.requeue();
+  simulated.loop.requestCycle();
   simulated.loop.stop();
   simulated.now += 5;
   context.mock.timers.tick(5000);
