--- a/tests/admission-windows.test.ts
+++ b/tests/admission-windows.test.ts
@@ -16,17 +16,17 @@
 
 const SMALL: JobSource = {
   job: jobSpec("small", { team: "guest", class: "small", cpus: 10 }),
-  everyS: 0.25,
+  intervalS: 0.25,
 };
 const HUGE: JobSource = {
   job: jobSpec("huge", { team: "bookings", class: "huge", kind: "gang", tasks: 150 }),
-  everyS: 30,
+  intervalS: 30,
 };
 
 test("without overload no window is written and no job is rejected", () => {
   const overload = new OverloadSimulation([
-    { ...SMALL, everyS: 2 },
-    { ...HUGE, everyS: 60 },
+    { ...SMALL, intervalS: 2 },
+    { ...HUGE, intervalS: 60 },
   ]);
   overload.run(0, 300);
   assert.equal(overload.windows.length, 0);
@@ -66,7 +66,7 @@
   const overload = new OverloadSimulation([SMALL, HUGE]);
   overload.run(0, 100);
   // The jobs that arrive in 100 s take 500 s to complete.
-  const lightLoad = [{ ...SMALL, everyS: 5 }];
+  const lightLoad = [{ ...SMALL, intervalS: 5 }];
   overload.run(100, 800, lightLoad);
   assert.equal(overload.windows.at(-1)?.mode, "open");
   const windowCount = overload.windows.length;
--- a/tests/partitions.test.ts
+++ b/tests/partitions.test.ts
@@ -26,7 +26,7 @@
   startController,
 } from "./support/controllers.js";
 import { jobSpec, taskStatus } from "./support/job-builders.js";
-import { freeAddress, freeAddresses } from "./support/ports.js";
+import { findUnusedAddress, findUnusedAddresses } from "./support/ports.js";
 import { StateServiceStandIn } from "./support/state-service-stand-in.js";
 import { waitUntil } from "./support/waiting.js";
 
@@ -71,8 +71,12 @@
  * stopped before its services.
  */
 async function startNode(context: TestContext, { stateService, cloud, leaseS }: NodeEnvironment) {
-  const [address, peerAddress, otherAddress] = (await freeAddresses(3)) as [string, string, string];
-  const cloudAddress = cloud?.address ?? (await freeAddress());
+  const [address, peerAddress, otherAddress] = (await findUnusedAddresses(3)) as [
+    string,
+    string,
+    string,
+  ];
+  const cloudAddress = cloud?.address ?? (await findUnusedAddress());
   const settings = controllerSettingsText({
     node: { member: "n0", zone: "a", address, peerAddress },
     peers: [{ member: "n9", zone: "b", address: "", peerAddress: otherAddress }],
--- a/tests/support/cloud-stand-in.ts
+++ b/tests/support/cloud-stand-in.ts
@@ -35,7 +35,7 @@
     return this.server.start();
   }
 
-  /** Also stops the workers. */
+  /** Stops the server and all workers. */
   stop(): void {
     for (const worker of this.workers.values()) worker.stop();
     this.server.stop();
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -16,7 +16,7 @@
   startController,
 } from "./controllers.js";
 import { clusterJob } from "./job-builders.js";
-import { freeAddresses } from "./ports.js";
+import { findUnusedAddresses } from "./ports.js";
 import type { StateServiceProxy } from "./state-service-proxy.js";
 import { StateServiceStandIn } from "./state-service-stand-in.js";
 import { waitUntil } from "./waiting.js";
@@ -26,7 +26,8 @@
 const REQUEST_TIMEOUT_MS = 5000;
 const TEST_TIMEOUT_MS = 120_000;
 /**
- * The workers send heartbeats more often than the settings require: at this ratio of the interval in the settings.
+ * Ratio of the workers' heartbeat interval to the one in the settings: the workers send heartbeats more often than
+ * required.
  */
 const HEARTBEAT_INTERVAL_RATIO = 0.6;
 
@@ -190,7 +191,7 @@
   private async startAll(): Promise<void> {
     const { nodes, isCatalogUnavailable } = this.options;
     await Promise.all([this.stateService.start(), this.cloud.start()]);
-    const addresses = await freeAddresses(2 * nodes);
+    const addresses = await findUnusedAddresses(2 * nodes);
     const members = addresses.slice(0, nodes).map((address, i) => ({
       member: `n${i}`,
       address,
@@ -231,10 +232,10 @@
 
   private async startWorkers(controllers: readonly ControllerNode[]): Promise<void> {
     const { workers, taskS, heartbeatIntervalS, leaseS } = this.options;
-    for (let i = 0; i < workers; i++) {
+    for (let index = 0; index < workers; index++) {
       const worker = new WorkerStandIn({
-        name: `m-${i}`,
-        zone: zoneOf(i),
+        name: `m-${index}`,
+        zone: zoneOf(index),
         controllers,
         taskMs: () => 1000 * taskS,
         heartbeatIntervalMs: 1000 * HEARTBEAT_INTERVAL_RATIO * heartbeatIntervalS,
--- a/tests/support/job-answers.ts
+++ b/tests/support/job-answers.ts
@@ -21,9 +21,9 @@
 }
 
 /**
- * Sends a cancellation, a query and a submission of a cancelled job to each of the nodes. Once one answer says that
- * the job is cancelled, all later answers must say so, and no task of the job may run on any machine. Returns whether
- * any answer said so.
+ * Sends a cancellation, a query and a repeated submission of a cancelled job to each of the nodes, one after the
+ * other. Once an answer reports the job as cancelled, all later answers must do so too, and no task of the job may
+ * run on any machine. Returns whether any answer reported it as cancelled.
  */
 export async function isCancellationConfirmed(
   cluster: InProcessCluster,
@@ -86,7 +86,10 @@
     this.highestRank = Math.max(this.highestRank, rank);
   }
 
-  /** In each round, sends a query and a submission to every node and the other requests, all at once. */
+  /**
+   * In each round, sends a query and a submission to every node, together with `otherRequests`, and checks all
+   * answers.
+   */
   async checkAll(
     rounds: number,
     otherRequests: readonly (() => Promise<JobAnswer>)[] = [],
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -15,7 +15,7 @@
 import { startControllerProcess } from "./controller-process.js";
 import { type ControllerNode, controllerSettingsText, FAST_STATE_SERVICE } from "./controllers.js";
 import { clusterJob } from "./job-builders.js";
-import { freeAddresses } from "./ports.js";
+import { findUnusedAddresses } from "./ports.js";
 import { ProtocolRuleChecker } from "./protocol-rule-checker.js";
 import { StateServiceStandIn } from "./state-service-stand-in.js";
 import { waitForProcesses } from "./waiting.js";
@@ -37,7 +37,7 @@
 const MAX_ATTEMPTS = 200;
 const RETRY_INTERVAL_S = 0.1;
 
-/** Settings of the cluster, and callbacks for what its processes and workers do. */
+/** Settings of the cluster, and callbacks for task exits and log lines. */
 export interface MultiProcessClusterOptions {
   /** Returns the run time of each task of a job, in milliseconds. */
   readonly taskMs: (job: string) => number;
@@ -86,7 +86,7 @@
   static async open(options: MultiProcessClusterOptions): Promise<MultiProcessCluster> {
     const cluster = new MultiProcessCluster(options);
     await Promise.all([cluster.stateService.start(), cluster.cloud.start()]);
-    const addresses = await freeAddresses(2 * NODE_COUNT);
+    const addresses = await findUnusedAddresses(2 * NODE_COUNT);
     for (const [i, address] of addresses.slice(0, NODE_COUNT).entries()) {
       const peerAddress = addresses[NODE_COUNT + i]!;
       cluster.members.push({ member: `n${i}`, zone: ZONE, address, peerAddress });
@@ -235,10 +235,10 @@
   private async startWorkers(): Promise<void> {
     const { heartbeat, taskMs, onTaskExit, workers = DEFAULT_WORKER_COUNT } = this.options;
     const { leaseS } = heartbeat ?? DEFAULT_HEARTBEAT;
-    for (let i = 0; i < workers; i++) {
+    for (let index = 0; index < workers; index++) {
       const worker = new WorkerStandIn({
-        name: `m-${i}`,
-        zone: i % 2 === 0 ? "a" : "b",
+        name: `m-${index}`,
+        zone: index % 2 === 0 ? "a" : "b",
         controllers: this.members,
         taskMs,
         heartbeatIntervalMs:
--- a/tests/support/overload-simulation.ts
+++ b/tests/support/overload-simulation.ts
@@ -30,7 +30,7 @@
 export interface JobSource {
   readonly job: JobSpec;
   /** Seconds between two submissions; if below 1, several jobs are submitted in each second. */
-  readonly everyS: number;
+  readonly intervalS: number;
 }
 
 /** A submitted job with its time of admission and the CPU time that it still needs. */
@@ -87,8 +87,8 @@
   }
 
   private submitFrom(source: JobSource, index: number, now: number): void {
-    if (now % source.everyS >= 1) return;
-    const perSecond = Math.max(1, Math.round(1 / source.everyS));
+    if (now % source.intervalS >= 1) return;
+    const perSecond = Math.max(1, Math.round(1 / source.intervalS));
     for (let copy = 0; copy < perSecond; copy++) {
       const spec = { ...source.job, id: `${index}-${now}-${copy}` };
       const remainingCpuSeconds = spec.cpus * spec.tasks * TASK_DURATION_S;
--- a/tests/support/overload/overload-run.ts
+++ b/tests/support/overload/overload-run.ts
@@ -25,7 +25,7 @@
 } from "./workload.js";
 
 const OPERATOR_INI = "[admission]\nenabled = true\n";
-/** Intervals within this time after a disturbance are excluded from the minimum CPU usage. */
+/** Seconds after a disturbance during which intervals do not count for the minimum CPU usage. */
 const RECOVERY_S = 10;
 const REQUEST_TIMEOUT_MS = 5000;
 
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Checks of every twentieth accepted job that it completes, and that a repeated submission is answered with 200.
+   * For every twentieth accepted job, checks that it completes and that a repeated submission is answered with 200.
    */
   private async checkAccepted(): Promise<void> {
     for (const [number, id] of [...this.acceptedJobs.keys()].entries()) {
@@ -166,20 +166,20 @@
   }
 
   private async submitJobs(load: ClassLoad): Promise<void> {
-    const perSecond = (load.demand * TOTAL_CPUS) / (load.tasks * TASK_S);
+    const jobsPerSecond = (load.demand * TOTAL_CPUS) / (load.tasks * TASK_S);
     const users: Promise<void>[] = [];
-    for (let number = 0; ; number++) {
-      const submitAtS = number / perSecond;
+    for (let jobNumber = 0; ; jobNumber++) {
+      const submitAtS = jobNumber / jobsPerSecond;
       if (submitAtS >= this.seconds) break;
       await sleepSeconds(Math.max(0, submitAtS - this.elapsedS()));
-      users.push(this.submitUntilAccepted(load, number));
+      users.push(this.submitUntilAccepted(load, jobNumber));
     }
     await Promise.all(users);
   }
 
-  /** Submits a job as a user does: until it is accepted, the user gives up, or the run ends. */
-  private async submitUntilAccepted(load: ClassLoad, number: number): Promise<void> {
-    const id = `${load.class}-${number}`;
+  /** Repeats the submission of a job, as a user does, until it is accepted, the user gives up, or the run ends. */
+  private async submitUntilAccepted(load: ClassLoad, jobNumber: number): Promise<void> {
+    const id = `${load.class}-${jobNumber}`;
     const counters = this.countersByClass.get(load.class)!;
     counters.submitted++;
     const spec = buildJob(load, id);
@@ -188,7 +188,7 @@
     const firstAttemptAtS = this.elapsedS();
     const shouldRetry = (): boolean =>
       this.elapsedS() - firstAttemptAtS < USER_TIMEOUT_S && this.elapsedS() < this.seconds;
-    for (let attempt = number; shouldRetry(); attempt++) {
+    for (let attempt = jobNumber; shouldRetry(); attempt++) {
       const retryAfterS = await this.submitOnce(attempt % CONTROLLER_COUNT, id, body);
       if (retryAfterS === null) {
         counters.accepted++;
--- a/tests/support/overload/report.ts
+++ b/tests/support/overload/report.ts
@@ -75,7 +75,8 @@
       `${name}: ${classReport.cpus} of ${guaranteedCpus} CPUs`,
     );
     assert.ok(classReport.accepted > 0, `no job of ${name} was accepted`);
-    // Every job must start within START_LATENCY_BOUND_S. In a shorter run a gang of half the cluster need not have started.
+    // Every job must start within START_LATENCY_BOUND_S. In a shorter run, a gang that needs half of the CPUs may not
+    // have started yet.
     const hasStarted =
       report.seconds < START_LATENCY_BOUND_S || classReport.cpus > 0.01 * totalCpus;
     assert.ok(hasStarted, `${name} was starved: ${classReport.cpus} CPUs`);
--- a/tests/support/placement-checker.ts
+++ b/tests/support/placement-checker.ts
@@ -4,8 +4,8 @@
  */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 
-/** The machine of a task, with the attributes that placement constraints refer to, as its worker reports them. */
-export interface Place {
+/** A machine's name and the attributes that placement constraints refer to, as its worker reports them. */
+export interface MachineDescriptor {
   readonly machine: string;
   readonly type: string;
   readonly zone: string;
@@ -23,31 +23,34 @@
   readonly description: string;
 }
 
-/** The constraints that a task at `place` violates, given the places of the job's other tasks at the same time. */
+/**
+ * The constraints that a task on the machine violates, given the machines of the job's other tasks at the same time.
+ * `descriptor`: the task's machine; `others`: one entry for each other task.
+ */
 export function placementViolations(
   spec: JobSpec,
-  place: Place,
-  others: readonly Place[],
+  descriptor: MachineDescriptor,
+  others: readonly MachineDescriptor[],
 ): PlacementViolation[] {
   const violations: PlacementViolation[] = [];
   const add = (constraint: PlacementConstraint, description: string): void => {
     violations.push({
       constraint,
-      description: `on ${place.machine} (${place.type}, ${place.zone}): ${description}`,
+      description: `on ${descriptor.machine} (${descriptor.type}, ${descriptor.zone}): ${description}`,
     });
   };
-  if (spec.types !== null && !spec.types.includes(place.type)) {
+  if (spec.types !== null && !spec.types.includes(descriptor.type)) {
     add("types", `machine type is not one of ${spec.types}`);
   }
-  if (spec.zone !== null && spec.zone !== place.zone)
+  if (spec.zone !== null && spec.zone !== descriptor.zone)
     add("zone", `the required zone is ${spec.zone}`);
-  if (!spec.spot && place.spot) add("spot", "the job does not allow spot machines");
+  if (!spec.spot && descriptor.spot) add("spot", "the job does not allow spot machines");
   if (spec.oneZone) {
-    const elsewhere = others.find((other) => other.zone !== place.zone);
+    const elsewhere = others.find((other) => other.zone !== descriptor.zone);
     if (elsewhere !== undefined) add("oneZone", `another task is in ${elsewhere.zone}`);
   }
   if (spec.spread) {
-    const tasksInZone = 1 + others.filter((other) => other.zone === place.zone).length;
+    const tasksInZone = 1 + others.filter((other) => other.zone === descriptor.zone).length;
     if (tasksInZone > Math.ceil(spec.tasks / 2))
       add("spread", `${tasksInZone} of ${spec.tasks} tasks are in one zone`);
   }
--- a/tests/support/ports.ts
+++ b/tests/support/ports.ts
@@ -1,4 +1,4 @@
-/** Finds free loopback ports for servers that are started later. */
+/** Finds unused loopback ports for servers that are started later. */
 import { createServer } from "node:net";
 
 /** The ports are below the range from which the operating system allocates ports for outgoing connections. */
@@ -22,7 +22,7 @@
  * Returns addresses (host and port) on which nothing listens. Ports that the operating system chooses are unsuitable:
  * outgoing connections of other tests took them before the server listened.
  */
-export async function freeAddresses(count: number): Promise<string[]> {
+export async function findUnusedAddresses(count: number): Promise<string[]> {
   const addresses: string[] = [];
   while (addresses.length < count) {
     const port = nextPort++;
@@ -33,7 +33,7 @@
 }
 
 /** Returns an address (host and port) on which nothing listens. */
-export async function freeAddress(): Promise<string> {
-  const [address] = await freeAddresses(1);
+export async function findUnusedAddress(): Promise<string> {
+  const [address] = await findUnusedAddresses(1);
   return address!;
 }
--- a/tests/support/profile-load.ts
+++ b/tests/support/profile-load.ts
@@ -5,7 +5,7 @@
 const NODE_COUNT = 3;
 const CPUS_PER_MACHINE = 4;
 const TASKS_PER_JOB = 40;
-/** Each query is for the job that was submitted this many after the previously queried one. */
+/** Each query is for the job this many positions after the previous one in the list of submitted jobs. */
 const QUERY_STRIDE = 7;
 
 /** Size of the cluster and rate of the load. */
@@ -13,7 +13,7 @@
   readonly machines: number;
   /** Run time of a task, in seconds. */
   readonly taskSeconds: number;
-  /** Number of queries per second. */
+  /** Number of queries per second; named after the command-line option. */
   readonly questions: number;
 }
 
--- a/tests/support/protocol-rule-checker.ts
+++ b/tests/support/protocol-rule-checker.ts
@@ -1,7 +1,7 @@
 /** Checks the answers to users and the starts and ends of tasks against the rules of the protocol. */
 import type { JobSpec } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
-import { type Place, placementViolations } from "./placement-checker.js";
+import { type MachineDescriptor, placementViolations } from "./placement-checker.js";
 
 /** Response statuses by which a node denies that a job was accepted. */
 const DENIAL_STATUSES: ReadonlySet<number> = new Set([400, 404, 422]);
@@ -28,11 +28,11 @@
   /** Number of task starts, including repeated ones. */
   startCount = 0;
   private readonly jobs = new Map<string, ObservedJob>();
-  private readonly placesByMachine = new Map<string, Place>();
+  private readonly descriptorsByMachine = new Map<string, MachineDescriptor>();
 
   /** Adds a machine with its type and zone. */
-  addMachine(place: Place): void {
-    this.placesByMachine.set(place.machine, place);
+  addMachine(descriptor: MachineDescriptor): void {
+    this.descriptorsByMachine.set(descriptor.machine, descriptor);
   }
 
   /** Records that a user submits a job; repeated submissions are ignored. */
@@ -145,20 +145,20 @@
     }
   }
 
-  /** Checks the placement of a starting task, given the places of the job's other tasks at this time. */
+  /** Checks the placement of a starting task, given the machines of the job's other tasks at this time. */
   private checkPlacement(
     { spec, machinesByTask }: ObservedJob,
     task: number,
     machine: string,
   ): void {
-    const others: Place[] = [];
+    const others: MachineDescriptor[] = [];
     for (const [other, machines] of machinesByTask) {
       if (other === task) continue;
-      for (const name of machines) others.push(this.placesByMachine.get(name)!);
+      for (const name of machines) others.push(this.descriptorsByMachine.get(name)!);
     }
     for (const { description } of placementViolations(
       spec,
-      this.placesByMachine.get(machine)!,
+      this.descriptorsByMachine.get(machine)!,
       others,
     )) {
       this.violations.push(`wrong_place: ${spec.id}/${task} ${description}`);
--- a/tests/support/simulated-clusters.ts
+++ b/tests/support/simulated-clusters.ts
@@ -22,7 +22,7 @@
   readonly jobs: readonly Partial<JobSpec>[];
 }
 
-/** Jobs of every kind with few placement constraints, the original job set of the searches. */
+/** Jobs of every kind with few placement constraints. */
 const BASIC_JOBS: readonly Partial<JobSpec>[] = [
   { tasks: 1 },
   { tasks: 3 },
@@ -62,7 +62,7 @@
   { kind: "service", tasks: 6, oneZone: true, spot: false },
 ];
 
-/** Maximum size of stored values at which jobs of some tens of tasks are divided into shards. */
+/** Maximum size of stored values, low enough that jobs of some tens of tasks are divided into shards. */
 const SHARDING_VALUE_KB = 2;
 
 function clusterSettings(zones: readonly string[], valueKb: number): ClusterSettings {
--- a/tests/support/simulated-heartbeats.ts
+++ b/tests/support/simulated-heartbeats.ts
@@ -71,8 +71,9 @@
   }
 
   /**
-   * Answers as the nodes do: the leader answers, or a former leader that does not know of a later one (always if the
-   * machine is partitioned with it or there is no leader), or, while there is no leader, any node. Null: no answer.
+   * Answers a heartbeat as the nodes do. Instead of the leader, a former leader that does not know of a later one may
+   * answer; it always does if a partition separates the machine from the leader, or if there is no leader. Without a
+   * leader and such a former leader, any node answers. Null: no answer.
    */
   private answer(heartbeat: WorkerHeartbeat): HeartbeatAnswer | null {
     const { random, clock } = this.context;
--- a/tests/support/simulated-jobs.ts
+++ b/tests/support/simulated-jobs.ts
@@ -4,7 +4,7 @@
 /** A job's final state, as reported to a user. */
 export type FinalState = "done" | "cancelled";
 
-/** The jobs of a simulation as users and workers know them, independent of the scheduler's state. */
+/** What users and workers know about the jobs of a simulation, independent of the scheduler's state. */
 export class SimulatedJobs {
   /** All submitted jobs, including those whose submission was not answered yet. */
   readonly submitted = new Map<string, JobSpec>();
--- a/tests/support/simulated-leadership.ts
+++ b/tests/support/simulated-leadership.ts
@@ -6,7 +6,9 @@
 import type { StateReplica } from "../../src/core/state/state-replica.js";
 import type { SimulationContext } from "./simulation-context.js";
 
-/** Seconds after its term for which a former leader may answer heartbeats of machines that run only array tasks. */
+/**
+ * For this many seconds after its term, a former leader may answer heartbeats of machines that run only array tasks.
+ */
 export const GRACE_PERIOD_S = 21;
 /** Like `GRACE_PERIOD_S`, for machines that run service or gang tasks. */
 export const LEASE_EXTENSION_S = 42;
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Returns a former leader that may still answer this heartbeat, if there is one. */
+  /** Returns a former leader that may still answer this heartbeat; undefined if there is none. */
   formerLeaderFor(heartbeat: WorkerHeartbeat): SimulatedLeader | undefined {
     return this.formerLeaders.find(({ epoch, termEndedAt, replica }) => {
       if (heartbeat.fencingToken > epoch) return false;
--- a/tests/support/simulated-machine.ts
+++ b/tests/support/simulated-machine.ts
@@ -1,6 +1,6 @@
 /** A simulated machine with its worker: incarnation, lease, tasks and heartbeats. Times are in simulated seconds. */
 import type { TaskStatus, WorkerHeartbeat } from "../../src/core/model/workers.js";
-import type { Place } from "./placement-checker.js";
+import type { MachineDescriptor } from "./placement-checker.js";
 
 /** A worker's lease, in seconds. */
 export const WORKER_LEASE_S = 21;
@@ -30,22 +30,22 @@
   /** Until this time the machine is unresponsive: its worker is paused. */
   hungUntil = 0;
   /**
-   * Until this time a network partition separates the machine and the former leaders from the current leader: no
-   * message passes between the machine and the current leader.
+   * Until this time, messages between the machine and the current leader are lost because of a network partition.
+   * Former leaders are on the machine's side of the partition.
    */
   partitionedUntil = 0;
   readonly tasks = new Map<string, SimulatedTask>();
   private sequence = 0;
 
-  /** `place`: the machine's name and the attributes that placement constraints refer to. */
+  /** `descriptor`: the machine's name and the attributes that placement constraints refer to. */
   constructor(
-    readonly place: Place,
+    readonly descriptor: MachineDescriptor,
     now: number,
   ) {
-    this.name = place.machine;
-    this.type = place.type;
-    this.zone = place.zone;
-    this.spot = place.spot;
+    this.name = descriptor.machine;
+    this.type = descriptor.type;
+    this.zone = descriptor.zone;
+    this.spot = descriptor.spot;
     this.leaseExpiresAt = now + WORKER_LEASE_S;
     this.nextHeartbeatAt = now;
   }
--- a/tests/support/simulated-machines.ts
+++ b/tests/support/simulated-machines.ts
@@ -1,5 +1,6 @@
 /**
- * The machines of a simulation and the tasks on them. Task starts and placements are checked by the protocol rules.
+ * The machines of a simulation and the tasks on them. Task starts and placements are checked against the protocol
+ * rules.
  */
 import type { ListedMachine } from "../../src/core/model/machines.js";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../src/core/model/workers.js";
@@ -144,7 +145,10 @@
     if (cpus > type.cpus) exitTask(task, "no_room");
   }
 
-  /** Sets tasks with a completed image pull to running: placement checks now count them as on their machine. */
+  /**
+   * Sets tasks whose image pull is complete to running, and checks their placement among the tasks that have also
+   * completed theirs.
+   */
   private completeImagePulls(machine: SimulatedMachine): void {
     for (const task of machine.tasks.values()) {
       const isPulled = this.context.clock.now >= task.imagePulledAt;
--- a/tests/support/simulated-users.ts
+++ b/tests/support/simulated-users.ts
@@ -86,7 +86,10 @@
     }
   }
 
-  /** Accepted jobs that no user cancelled, and that are not done or, for services, do not run all their tasks. */
+  /**
+   * Accepted jobs that no user cancelled and that are unfinished: services that do not run all their tasks, and other
+   * jobs that are not done.
+   */
   unfinishedJobs(): string[] {
     const { jobs } = this.context;
     return [...jobs.accepted]
--- a/tests/support/simulation-rules.ts
+++ b/tests/support/simulation-rules.ts
@@ -1,7 +1,7 @@
 /** Checks the protocol rules of a simulation against the state of its workers. */
 import type { JobView } from "../../src/core/model/jobs.js";
 import type { TaskStatus } from "../../src/core/model/workers.js";
-import { type Place, placementViolations } from "./placement-checker.js";
+import { type MachineDescriptor, placementViolations } from "./placement-checker.js";
 import type { SimulatedMachine, SimulatedTask } from "./simulated-machine.js";
 import type { SimulationContext } from "./simulation-context.js";
 
@@ -64,14 +64,14 @@
   { machine, placedTask, event, isCounted }: PlacementEvent,
 ): void {
   const { job, task, attempt } = placedTask.status;
-  const others: Place[] = [];
+  const others: MachineDescriptor[] = [];
   for (const [machineName, other] of machines.tasksOf(job)) {
     if (other !== placedTask.status && isCounted(other))
-      others.push(machines.byName.get(machineName)!.place);
+      others.push(machines.byName.get(machineName)!.descriptor);
   }
   for (const { description } of placementViolations(
     jobs.submitted.get(job)!,
-    machine.place,
+    machine.descriptor,
     others,
   )) {
     trace.addViolation("wrong_place", `${job}/${task}#${attempt} ${event} ${description}`);
--- a/tests/support/simulation.ts
+++ b/tests/support/simulation.ts
@@ -24,7 +24,7 @@
   SimulationTrace,
 } from "./simulation-context.js";
 
-/** Steps after the end of the faults in which delayed messages arrive. */
+/** Number of steps after the end of the faults in which delayed messages arrive. */
 const SETTLING_STEPS = 100;
 
 /** One simulation run. The same seed gives the same trace. */
@@ -104,7 +104,10 @@
     }
   }
 
-  /** Accepted jobs that no user cancelled, and that are not done or, for services, do not run all their tasks. */
+  /**
+   * Accepted jobs that no user cancelled and that are unfinished: services that do not run all their tasks, and other
+   * jobs that are not done.
+   */
   unfinishedJobs(): string[] {
     return this.users.unfinishedJobs();
   }
--- a/tests/support/test-leader-options.ts
+++ b/tests/support/test-leader-options.ts
@@ -11,7 +11,7 @@
   /** Start time, in simulated seconds. */
   readonly now?: number;
   readonly gracePeriodS?: number;
-  /** By default, equal to the grace period. */
+  /** Equal to `gracePeriodS` by default. */
   readonly leaseExtensionS?: number;
   readonly controllersPerZone?: ReadonlyMap<string, number>;
   /** Limits of the state service, by their names in the settings. */
--- a/tests/support/test-leader.ts
+++ b/tests/support/test-leader.ts
@@ -123,7 +123,8 @@
   }
 
   /**
-   * Advances the time, because scheduling cycles over all waiting jobs are spaced in time, and runs the scheduler.
+   * Advances the time and runs the scheduler. The time must advance because scheduling cycles over all waiting jobs
+   * are spaced in time.
    */
   tick(seconds = 0.15): void {
     this.now += seconds;
