--- a/tests/admission-control.test.ts
+++ b/tests/admission-control.test.ts
@@ -105,7 +105,8 @@
     const { version, periods } = control.replica.window!.value;
     assert.deepEqual([version, periods], [firstWindow.version + 1, []]);
   }
-  // The former leader has not noticed the change of leadership, and can no longer write under its own epoch.
+  // The former leader does not know of its successor yet. A window that it writes under its own epoch is not
+  // committed.
   const staleView = { ...currentView(), epoch: 1, epochModRevision: 1 };
   const { revision } = model.store;
   former.control.updateWindow(staleView);
--- a/tests/admission-decisions.test.ts
+++ b/tests/admission-decisions.test.ts
@@ -85,7 +85,7 @@
   model.check();
 });
 
-test("a controller that restarts within a window logs no rejection of it, as some may be logged already", () => {
+test("a controller logs no rejections of the window in which it restarts, because some may be logged already", () => {
   const model = limitedModel(0);
   const refused = floodJob("refused");
   assert.equal(model.submit(0, refused, "answered"), "rejected");
@@ -111,7 +111,7 @@
   model.check();
 });
 
-test("a window stays in force without a leader, but not under a new epoch until the new leader writes it", () => {
+test("a window stays in force while there is no leader, and ends when a new epoch begins", () => {
   const model = limitedModel(0);
   const firstJob = floodJob("first");
   assert.equal(model.submit(0, firstJob, "answered"), "rejected");
@@ -123,7 +123,7 @@
   model.check();
 });
 
-test("a class that has used its grant still gets follower jobs admitted, and a job may exceed its grant", () => {
+test("followers are admitted after their class has used up its grant, and one job may exceed the rest of a grant", () => {
   const model = limitedModel(2);
   for (let number = 0; number < 5; number++) {
     model.submit(0, floodJob(`flood-${number}`), "answered");
--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -28,7 +28,7 @@
       readonly kind: "submit";
       readonly controller: number;
       readonly job: number;
-      readonly fate: TransactionDelivery;
+      readonly delivery: TransactionDelivery;
     }
   | { readonly kind: "read"; readonly controller: number }
   | { readonly kind: "flush"; readonly controller: number }
@@ -39,7 +39,7 @@
   | { readonly kind: "open" };
 
 const anyController = fc.integer({ min: 0, max: CONTROLLER_COUNT - 1 });
-const anyFate = fc.constantFrom<TransactionDelivery>(
+const anyDelivery = fc.constantFrom<TransactionDelivery>(
   "answered",
   "answered",
   "answered",
@@ -53,7 +53,7 @@
       kind: fc.constant("submit"),
       controller: anyController,
       job: fc.nat(30),
-      fate: anyFate,
+      delivery: anyDelivery,
     }),
   },
   {
@@ -92,7 +92,7 @@
 function perform(model: AdmissionModel, action: Action): void {
   switch (action.kind) {
     case "submit":
-      model.submit(action.controller, jobWithNumber(action.job), action.fate);
+      model.submit(action.controller, jobWithNumber(action.job), action.delivery);
       return;
     case "read":
       model.read(action.controller);
--- a/tests/admission-site.test.ts
+++ b/tests/admission-site.test.ts
@@ -73,7 +73,8 @@
       "the cancellation is accepted",
       async () => (await cluster.cancelJob(2, cancelled)).status === 200,
     );
-    // The first job of another class of the team is admitted under the grant for classes without one of their own.
+    // The first job of another class of the team is admitted under the grant for classes without a grant of their
+    // own.
     await waitUntil(
       "another class is admitted",
       async () => (await cluster.submitJob(2, "other", { class: "web", tasks: 1 })).status <= 201,
--- a/tests/algebra.test.ts
+++ b/tests/algebra.test.ts
@@ -1,4 +1,6 @@
-/** The event algebra: examples of the paper that its source cites, and a comparison with all admissible traces. */
+/**
+ * The event algebra: examples of the paper that the source code cites, and a comparison with all admissible traces.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -1,6 +1,6 @@
 /**
- * Network failures in one direction or one zone: machines that only send or only receive, late copies of heartbeats,
- * and zones that are cut off from the leader.
+ * Network failures: machines whose messages pass in one direction only, late copies of heartbeats, and zones that are
+ * cut off from the leader.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -96,7 +96,7 @@
   assert.equal(/d\/j/.test(leader.takeTrace()), false);
 });
 
-test("a late copy with an older token makes a successor neither free a placement nor send a start", () => {
+test("a successor neither frees a placement nor sends a start because of a late copy with an older token", () => {
   const former = leaderWithTwoMachines();
   former.submit(jobSpec("j"));
   former.answerRequest([taskStatus("j", 0, 1)]);
@@ -142,18 +142,18 @@
 test("a node that is cut off with its zone extends leases for a bounded time, and only after long contact", () => {
   // A lease of 21 s, contact at least every 2 s, and extensions for at most 126 s.
   const extension = new LeaseExtension(21, 2, 126);
-  const noteContacts = (from: number, to: number): void => {
+  const recordContacts = (from: number, to: number): void => {
     for (let second = from; second <= to; second++) extension.recordContact(second);
   };
-  noteContacts(0, 15);
+  recordContacts(0, 15);
   assert.equal(extension.mayExtendLeases(20), false, "the contact was too short");
-  noteContacts(20, 60);
+  recordContacts(20, 60);
   assert.equal(extension.mayExtendLeases(61), false, "still in contact");
   assert.equal(extension.mayExtendLeases(63), true);
   assert.equal(extension.mayExtendLeases(185), true);
   assert.equal(extension.mayExtendLeases(187), false, "cut off for longer than the limit");
   // After a short contact no leases are extended, so that a worker that cannot reach the leader loses its lease.
-  noteContacts(190, 200);
+  recordContacts(190, 200);
   assert.equal(extension.mayExtendLeases(205), false);
 });
 
--- a/tests/end-to-end.test.ts
+++ b/tests/end-to-end.test.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Pauses the leader, while its clocks advance, until another node has acquired leadership. When the former leader
- * continues, the events in its buffers (due timers, heartbeats, answers) must not start any task.
+ * Suspends the leader's process until another node has acquired leadership; its clocks advance meanwhile. When the
+ * process continues, its due timers and the buffered heartbeats and answers must not start any task.
  */
 async function pauseLeader(cluster: MultiProcessCluster): Promise<void> {
   const jobIds = Array.from({ length: 4 }, (_, index) => `held-${index}`);
@@ -48,9 +48,9 @@
 }
 
 /**
- * Restarts all processes, and again during the election that follows. Each process starts immediately after its
- * predecessor was killed, while requests of the predecessor are still in flight. After the election, every node must
- * know the state of every job.
+ * Kills and restarts all processes twice, the second time during the election that follows the first. Each process
+ * starts while requests of the killed one are still in flight. After the election, every node must know the state of
+ * every job.
  */
 async function restartAllProcesses(
   cluster: MultiProcessCluster,
--- a/tests/faults.test.ts
+++ b/tests/faults.test.ts
@@ -11,13 +11,13 @@
 function startCluster(
   smallCount: number,
   bigCount: number,
-  fateOf: TaskOutcomeOf,
+  outcomeOf: TaskOutcomeOf,
 ): { leader: TestLeader; workers: SimulatedWorkers } {
   const leader = new TestLeader();
   const types = new Map<string, string>();
   for (let index = 1; index <= smallCount; index++) types.set(`m${index}a`, "small");
   for (let index = 1; index <= bigCount; index++) types.set(`g${index}b`, "big");
-  const workers = new SimulatedWorkers(leader, types, fateOf);
+  const workers = new SimulatedWorkers(leader, types, outcomeOf);
   workers.runFor(4);
   return { leader, workers };
 }
--- a/tests/gang-sizes.test.ts
+++ b/tests/gang-sizes.test.ts
@@ -7,7 +7,7 @@
 
 const SIZES = [1, 2, 4];
 const MACHINES = 32;
-const RUN_S = 20;
+const TASK_DURATION_S = 20;
 const BURST_S = 120;
 const SIMULATED_S = 260;
 
@@ -28,7 +28,7 @@
   const workers = new SimulatedWorkers(
     leader,
     new Map(names.map((name) => [name, "big"])),
-    () => RUN_S,
+    () => TASK_DURATION_S,
   );
   workers.runFor(4);
   const submittedAt = new Map<string, { size: number; at: number }>();
@@ -41,8 +41,14 @@
         const id = `gang-${size}-${arrivals}`;
         submittedAt.set(id, { size, at: leader.now });
         const gang = { kind: "gang", tasks: size, oneZone: true, priority: "high" } as const;
-        const shape = { cpus: 6, gpus: 4, types: ["big"], imageGb: 0.1, estimateS: RUN_S };
-        leader.submit(jobSpec(id, { ...gang, ...shape, team: "maps", class: "gpu" }));
+        const requirements = {
+          cpus: 6,
+          gpus: 4,
+          types: ["big"],
+          imageGb: 0.1,
+          estimateS: TASK_DURATION_S,
+        };
+        leader.submit(jobSpec(id, { ...gang, ...requirements, team: "maps", class: "gpu" }));
       }
     }
     if (elapsedS >= BURST_S / 2)
--- a/tests/heartbeats.test.ts
+++ b/tests/heartbeats.test.ts
@@ -61,7 +61,7 @@
 let worker: HttpConnectionPool;
 
 before(async () => {
-  // Some answers close their connection, and the next one may be opened before the close completes.
+  // Some answers close their connection, and the next request may open another one before the close completes.
   worker = new HttpConnectionPool((await app.listen({ host: "127.0.0.1", port: 0 })).slice(7), 4);
 });
 after(async () => {
@@ -100,14 +100,14 @@
 /** A connection that sends raw text and collects the received text. */
 class RawConnection {
   private readonly socket: Socket;
-  output = "";
+  receivedText = "";
   closed = false;
 
   constructor() {
     const [host, port] = worker.address.split(":") as [string, string];
     this.socket = connect({ host, port: Number(port), noDelay: true });
     this.socket.on("data", (chunk) => {
-      this.output += chunk.toString("latin1");
+      this.receivedText += chunk.toString("latin1");
     });
     this.socket.on("error", () => {});
     this.socket.on("close", () => {
@@ -125,7 +125,8 @@
     }
   }
   async statuses(count: number): Promise<string[]> {
-    const found = () => [...this.output.matchAll(/HTTP\/1\.1 (\d+) /g)].map((match) => match[1]!);
+    const found = () =>
+      [...this.receivedText.matchAll(/HTTP\/1\.1 (\d+) /g)].map((match) => match[1]!);
     await waitUntil(`${count} answers`, () => found().length >= count);
     return found();
   }
@@ -222,7 +223,7 @@
   const malformed = new RawConnection();
   malformed.write(requestHead("no field\r\n\0: x\r\n"), body);
   await waitUntil("the connection with malformed HTTP is closed", () => malformed.closed);
-  assert.match(malformed.output, /^HTTP\/1\.1 400 /);
+  assert.match(malformed.receivedText, /^HTTP\/1\.1 400 /);
 });
 
 test("a node that knows another leader redirects without reading the body, and keeps the connection", async () => {
--- a/tests/job-shards.test.ts
+++ b/tests/job-shards.test.ts
@@ -25,7 +25,7 @@
   return Math.max(...values.map((value) => JSON.stringify(value).length));
 }
 
-/** Starts a new leader from the stored state. The state in the former leader's memory is lost. */
+/** Starts a new leader from the stored state only: what the former leader had in memory is lost. */
 function takeOver(former: TestLeader, workers: SimulatedWorkers, epoch: number): TestLeader {
   const leader = new TestLeader({ replica: former.replica, epoch, now: former.now });
   leader.epoch = epoch;
@@ -113,7 +113,8 @@
   const submittedAt = leader.now;
   workers.runFor(20);
   const guestStarts = workers.starts.filter((start) => start.job === "guest");
-  // A quarter of a core allows a hundred placements per second, after an initial burst of four seconds' worth.
+  // A quarter of a core allows a hundred placements per second, after an initial burst of as many as four seconds
+  // allow.
   const startsAt = (at: number) => guestStarts.filter((start) => start.at === at).length;
   const peakStarts = Math.max(...guestStarts.map((start) => startsAt(start.at)));
   const { length } = guestStarts;
--- a/tests/limits.test.ts
+++ b/tests/limits.test.ts
@@ -13,7 +13,7 @@
 const LOW_LIMITS = { next: { value_kb: 2, txn_ops: 8, write_rps: 21 } };
 const LOW_VALUE_BYTES = 2048;
 const LOW_TXN_OPS = 8;
-/** Numbers of machines and of tasks of the job that a leader under the former limits stored. */
+/** Number of machines, and number of tasks of one job, that a leader stores under the original limits. */
 const MACHINES = 100;
 const TASKS = 400;
 
@@ -33,7 +33,7 @@
   return bytes <= limits.bytes && ops <= limits.ops;
 }
 
-test("the smaller of a present and an announced limit applies, and invalid limits are named in the faults", () => {
+test("the smaller of the current and the announced limit applies, and invalid limits are named in the faults", () => {
   const low = decodeWithState(LOW_LIMITS);
   assert.ok("settings" in low);
   const { valueKb, txnOps, stateWriteRps, stateRps } = low.settings.cluster;
@@ -49,8 +49,8 @@
   );
 });
 
-/** A leader under the former limits that has stored machines and an active job. */
-function leaderUnderFormerLimits(tasks: number, machines: number): TestLeader {
+/** Creates a leader under the original limits, which has stored the machines and an active job. */
+function leaderUnderOriginalLimits(tasks: number, machines: number): TestLeader {
   const leader = new TestLeader();
   const heartbeatRound = () => {
     for (let index = 0; index < machines; index++)
@@ -84,7 +84,7 @@
   new TestLeader({ replica: former.replica, epoch, now: former.now + 5, state: state as never });
 
 test("a job in one oversized value is resharded in one transaction, and every placement is kept", () => {
-  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const former = leaderUnderOriginalLimits(TASKS, MACHINES);
   const stored = former.replica.activeJobs.get("big")!;
   assert.equal(stored.value.shardSize, null);
   assert.ok(
@@ -103,7 +103,7 @@
   const { shardSize } = leader.replica.activeJobs.get("big")!.value;
   assert.equal(leader.replica.shardsOf("big").size, Math.ceil(TASKS / shardSize!));
 
-  // A leader with the former limits reads the shards, and so does the next leader with the low limits.
+  // Leaders with the original limits and with the low limits both load the placements from the shards.
   for (const [epoch, state] of [
     [3, {}],
     [4, LOW_LIMITS],
@@ -135,7 +135,7 @@
 }
 
 test("until resharding is stored the old value remains valid, and a task that ends meanwhile is not lost", () => {
-  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const former = leaderUnderOriginalLimits(TASKS, MACHINES);
   const leader = takeOver(former, 2, LOW_LIMITS);
   leader.epoch = 2;
   leader.isStoreAvailable = false;
@@ -153,7 +153,7 @@
 });
 
 test("oversized shards of machine records are split, and every write leaves each machine in a shard", () => {
-  const former = leaderUnderFormerLimits(1, 90);
+  const former = leaderUnderOriginalLimits(1, 90);
   const storedMachines = (owner: TestLeader) =>
     new Set([...owner.replica.machineShards.values()].flatMap(({ value }) => Object.keys(value)));
   assert.equal(storedMachines(former).size, 90);
@@ -273,7 +273,7 @@
 });
 
 test("actual limits below the configured ones are respected in a takeover and while a job is being resharded", () => {
-  const former = leaderUnderFormerLimits(TASKS, MACHINES);
+  const former = leaderUnderOriginalLimits(TASKS, MACHINES);
   const leader = takeOver(former, 2, LOW_LIMITS);
   leader.epoch = 2;
   leader.storeLimits = { bytes: 1000, ops: LOW_TXN_OPS };
--- a/tests/pipeline-faults.test.ts
+++ b/tests/pipeline-faults.test.ts
@@ -42,7 +42,7 @@
   ["the last", 2],
 ] as const) {
   clusterTest(
-    `${position} job is cancelled while the state service refuses only the leader, and earlier jobs continue`,
+    `${position} job of a chain can be cancelled while the state service refuses only the leader; earlier jobs continue`,
     {},
     async (cluster) => {
       const chain = ["first", "middle", "last"];
@@ -86,8 +86,8 @@
       );
       await sleepSeconds(0.12 * round);
       // The write is applied but its answer is lost, and the user repeats the submission on another node.
-      proxy.handlingOf = (tx) =>
-        JSON.stringify(tx).includes(dependent) ? "answer lost" : "answered";
+      proxy.handlingOf = (transaction) =>
+        JSON.stringify(transaction).includes(dependent) ? "answer lost" : "answered";
       const unanswered = cluster.submitJob(1, dependent, { after: [first] }).catch(() => null);
       await waitUntil("the write is carried out", () =>
         cluster.stateService.entries.has(`p/${dependent}`),
@@ -118,8 +118,8 @@
   async (cluster) => {
     await cluster.submitAndAwaitRunning("first");
     const proxy = cluster.nodes[1]!.stateProxy;
-    proxy.handlingOf = (tx) =>
-      JSON.stringify(tx).includes("follower") ? "answer lost" : "answered";
+    proxy.handlingOf = (transaction) =>
+      JSON.stringify(transaction).includes("follower") ? "answer lost" : "answered";
     const unanswered = cluster.submitJob(1, "follower", { after: ["first"] }).catch(() => null);
     await cancelUntilConfirmed(cluster, 0, "first");
     proxy.handlingOf = () => "answered";
--- a/tests/pipelines.test.ts
+++ b/tests/pipelines.test.ts
@@ -16,7 +16,7 @@
 import { jobSpec, taskStatus } from "./support/job-builders.js";
 import { leaderWithTwoMachines, type TestLeader } from "./support/test-leader.js";
 
-const start = (job: string) => eventName("start", job);
+const startEvent = (job: string) => eventName("start", job);
 
 test("a job may start only after all its dependencies are done, and never after one has failed", () => {
   assert.deepEqual(afterDependencies("b", "a").map(formatExpression), [
@@ -24,41 +24,47 @@
     "~s:b + ~f:a",
   ]);
   let residuals = dependenciesOf("b", ["a", "c"]);
-  assert.equal(isEventAcceptable(residuals, start("b")), false);
+  assert.equal(isEventAcceptable(residuals, startEvent("b")), false);
   assert.equal(
-    isEventExcluded(residuals, start("b")),
+    isEventExcluded(residuals, startEvent("b")),
     false,
     "not acceptable yet, but not excluded either",
   );
   residuals = residuateByOutcome(residuals, "a", "done");
-  assert.equal(isEventAcceptable(residuals, start("b")), false);
+  assert.equal(isEventAcceptable(residuals, startEvent("b")), false);
   const done = residuateByOutcome(residuals, "c", "done");
-  assert.equal(isEventAcceptable(done, start("b")), true);
+  assert.equal(isEventAcceptable(done, startEvent("b")), true);
   const failed = residuateByOutcome(residuals, "c", "failed");
-  assert.equal(isEventAcceptable(failed, start("b")), false);
-  assert.equal(isEventExcluded(failed, start("b")), true);
+  assert.equal(isEventAcceptable(failed, startEvent("b")), false);
+  assert.equal(isEventExcluded(failed, startEvent("b")), true);
   // Applying an outcome a second time, after another one, changes nothing.
   assert.deepEqual(residuateByOutcome(done, "a", "done"), done);
 });
 
 test("job names that contain operators of the algebra are treated as plain names", () => {
   const residuals = residuateByOutcome(dependenciesOf("b+1", ["a.1", "~a"]), "a.1", "done");
-  assert.equal(isEventAcceptable(residuals, start("b+1")), false);
-  assert.equal(isEventAcceptable(residuateByOutcome(residuals, "~a", "done"), start("b+1")), true);
-  assert.equal(isEventExcluded(residuateByOutcome(residuals, "~a", "failed"), start("b+1")), true);
+  assert.equal(isEventAcceptable(residuals, startEvent("b+1")), false);
+  assert.equal(
+    isEventAcceptable(residuateByOutcome(residuals, "~a", "done"), startEvent("b+1")),
+    true,
+  );
+  assert.equal(
+    isEventExcluded(residuateByOutcome(residuals, "~a", "failed"), startEvent("b+1")),
+    true,
+  );
 });
 
-/** The records of a node, to which changes are applied one at a time. */
-class NodeRecords {
-  readonly records = new StateReplica();
+/** A node's replica of the stored state, to which changes are applied one at a time. */
+class NodeReplica {
+  readonly replica = new StateReplica();
   private revision = 1;
   constructor() {
-    this.records.reset([], 1);
+    this.replica.reset([], 1);
   }
   put(key: string, value: unknown): void {
     this.revision++;
     const change = { key, value, removed: value === null, modRevision: this.revision };
-    this.records.apply([change], this.revision);
+    this.replica.apply([change], this.revision);
   }
   submit(id: string, after: string[]): void {
     const r = dependenciesOf(id, after).map(formatExpression);
@@ -70,12 +76,12 @@
     this.put(KEY.activeJob(id), null);
   }
   states(...ids: string[]): string {
-    return ids.map((id) => this.records.view(id)?.state ?? "unknown").join(" ");
+    return ids.map((id) => this.replica.view(id)?.state ?? "unknown").join(" ");
   }
 }
 
 test("the stored end of a cancelled job cancels all direct and indirect dependents at once, on every node", () => {
-  const node = new NodeRecords();
+  const node = new NodeReplica();
   node.submit("first", []);
   for (let i = 0; i < 1000; i++) {
     node.submit(`chain${i}`, [i === 0 ? "first" : `chain${i - 1}`]);
@@ -95,17 +101,17 @@
     "cancelled ".repeat(4).trim(),
   );
   assert.equal(node.states("apart"), "queued");
-  // A job is submitted later, and one of its dependencies is cancelled only through other jobs.
+  // A job that is submitted later depends on a job that was cancelled only through its own dependencies.
   node.submit("late", ["chain500", "apart"]);
   assert.equal(node.states("late"), "cancelled");
   // The ends of the dependents are stored later, in any order. A node that starts meanwhile derives the same states.
   node.end("chain500", "cancelled");
-  const items = [...node.records.activeJobs].map(([id, { value, modRevision }]) => ({
+  const items = [...node.replica.activeJobs].map(([id, { value, modRevision }]) => ({
     key: `p/${id}`,
     value: encodeJobRecord(value) as unknown,
     modRevision,
   }));
-  for (const [id, record] of node.records.finalRecords)
+  for (const [id, record] of node.replica.finalRecords)
     items.push({ key: `d/${id}`, value: encodeFinalRecord(record), modRevision: 5 });
   for (const order of [items, [...items].reverse()]) {
     const fresh = new StateReplica();
@@ -118,7 +124,7 @@
 });
 
 test("a job that ends as done does not cancel its dependents", () => {
-  const node = new NodeRecords();
+  const node = new NodeReplica();
   node.submit("a", []);
   node.submit("b", ["a"]);
   node.end("a", "done");
--- a/tests/placement-rules.test.ts
+++ b/tests/placement-rules.test.ts
@@ -13,7 +13,7 @@
 
 const ZONES = ["a", "b", "c"];
 
-const placeIn = (zone: string) => ({ machine: "m", type: "small", zone, spot: false });
+const machineIn = (zone: string) => ({ machine: "m", type: "small", zone, spot: false });
 
 /** All lists of `length` zones. */
 function zoneLists(zones: readonly string[], length: number): string[][] {
@@ -36,7 +36,7 @@
   if (unknown >= 0) {
     return ZONES.every((real) => isAllowedIn(job, zone, others.with(unknown, real)));
   }
-  return placementViolations(job, placeIn(zone), others.map(placeIn)).length === 0;
+  return placementViolations(job, machineIn(zone), others.map(machineIn)).length === 0;
 }
 
 for (const oneZone of [false, true]) {
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -76,7 +76,7 @@
     leader.receiveHeartbeat("m2b", []);
     if (leader.takeTrace().includes("start j/0#2")) movedAfterS = leader.now - startedAt;
   }
-  // A former leader may have answered heartbeats for 21 s, and the lease lasts 21 s after the last answer.
+  // The worker's lease lasts 21 s after the last answer, and a former leader may have answered heartbeats for 21 s.
   assert.ok(movedAfterS > 42 && movedAfterS < 50, `moved after ${movedAfterS} s`);
 });
 
@@ -133,7 +133,7 @@
   const first = leader.unansweredRequests[0]!.machine;
   leader.answerRequest([taskStatus("g", 0, 1), taskStatus("g", 1, 1)]);
   leader.takeTrace();
-  // One task has exited because of its lost peer, and the other still saves: nothing starts in either zone.
+  // One task has exited because it lost its peer, and the other has not exited yet: nothing starts in either zone.
   leader.receiveHeartbeat(first, [
     taskStatus("g", 0, 1, "exited", "peers"),
     taskStatus("g", 1, 1, "running"),
@@ -208,7 +208,7 @@
   assert.match(leader.takeTrace(), /write d\/j done; remove p\/j/);
 });
 
-test("takeover: a placement counts until its machine is fenced, then its start is repeated there", () => {
+test("takeover: a placement is kept until its machine is fenced, and a start that never arrived is sent again", () => {
   const former = leaderWithTwoMachines();
   former.submit(jobSpec("j"));
   former.submit(jobSpec("k"));
@@ -376,9 +376,9 @@
   assert.ok(largest < 8 * 1024, `value of ${largest} bytes`);
 });
 
-test("a successor replaces a task of an earlier incarnation although records name the next one too", () => {
-  // The former leader saw the new incarnation and placed another job under it. It failed before it had stored that
-  // the task of the first job was lost.
+test("a successor places a task of an ended incarnation again, although another job is on the next incarnation", () => {
+  // The former leader received a heartbeat of incarnation 2 and placed job `late` there. It failed before it had
+  // stored that the task of job `early` was lost with incarnation 1.
   const records = new StateReplica();
   const stored = (id: string, incarnation: number) => ({
     j: jobSpec(id),
--- a/tests/search.test.ts
+++ b/tests/search.test.ts
@@ -6,10 +6,10 @@
 const SEED_COUNT = Number(process.env.SEARCH_SEEDS ?? 100);
 const FIRST_SEED = Number(process.env.SEARCH_FIRST ?? 1);
 
-/** Events in which messages are lost, repeated and delayed, and machines and leaders fail. */
+/** Number of steps in which messages are lost, repeated and delayed, and machines and leaders fail. */
 const FAULTY_STEPS = 700;
 
-/** Every job must finish within this number of further events without faults. */
+/** Every job must finish within this number of further steps without faults. */
 const MAX_STEPS_TO_FINISH = 2500;
 
 test(`the protocol rules hold in any order of events: ${SEED_COUNT} seeds from ${FIRST_SEED}`, () => {
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade.test.ts
@@ -55,7 +55,7 @@
   return new TestLeader({ replica, epoch: 2, state });
 }
 
-test("values stored by the version in production match the schemas that the tests of this version's values use", () => {
+test("the schemas match the values that the version in production stored, and cover all their key prefixes", () => {
   const prefixes = new Set<string>();
   for (const item of traceItems()) {
     prefixes.add(item.key.split("/")[0]!);
--- a/tests/wrong-place.test.ts
+++ b/tests/wrong-place.test.ts
@@ -1,4 +1,6 @@
-/** Protocol rule `wrong_place`: a task is only where its job's constraints allow it, given the job's other tasks. */
+/**
+ * Protocol rule `wrong_place`: a task runs only where its job's constraints allow it, given the job's other tasks.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { JobKind, JobSpec } from "../src/core/model/jobs.js";
@@ -16,7 +18,7 @@
 import { Simulation } from "./support/simulation.js";
 import { leaderWithTwoMachines, TestLeader } from "./support/test-leader.js";
 
-/** Changes to a job that make each constraint restrict its placement. */
+/** For each constraint, fields of a job whose placement it restricts. */
 const CONSTRAINED_JOBS: Record<PlacementConstraint, Partial<JobSpec>> = {
   types: { types: ["big"], tasks: 3 },
   zone: { zone: "c", tasks: 3 },
@@ -32,9 +34,9 @@
   job: Partial<JobSpec>,
   ignored: PlacementConstraint | null,
 ): Simulation {
-  const received = (spec: JobSpec): JobSpec =>
+  const specSeenByLeader = (spec: JobSpec): JobSpec =>
     ignored === null ? spec : withoutConstraint(spec, ignored);
-  const simulation = new Simulation(seed, received, clusterForJob(job));
+  const simulation = new Simulation(seed, specSeenByLeader, clusterForJob(job));
   for (let step = 0; step < 300 && simulation.violations.length === 0; step++) simulation.step();
   return simulation;
 }
@@ -61,7 +63,7 @@
 }
 
 test("the placement checker names each violated constraint", () => {
-  const placeIn = (zone: string, type = "small", spot = false) => ({
+  const machineIn = (zone: string, type = "small", spot = false) => ({
     machine: "m",
     type,
     zone,
@@ -69,24 +71,28 @@
   });
   const violatedConstraints = (
     change: Partial<JobSpec>,
-    place: ReturnType<typeof placeIn>,
-    others = [placeIn("a")],
+    machine: ReturnType<typeof machineIn>,
+    others = [machineIn("a")],
   ): string[] =>
-    placementViolations(jobSpec("j", { tasks: 5, ...change }), place, others).map(
+    placementViolations(jobSpec("j", { tasks: 5, ...change }), machine, others).map(
       (fault) => fault.constraint,
     );
-  assert.deepEqual(violatedConstraints({}, placeIn("b")), []);
-  assert.deepEqual(violatedConstraints({ types: ["big"] }, placeIn("a")), ["types"]);
-  assert.deepEqual(violatedConstraints({ zone: "b" }, placeIn("a")), ["zone"]);
-  assert.deepEqual(violatedConstraints({ spot: false }, placeIn("a", "small", true)), ["spot"]);
-  assert.deepEqual(violatedConstraints({ oneZone: true }, placeIn("b")), ["oneZone"]);
-  assert.deepEqual(violatedConstraints({ oneZone: true }, placeIn("a")), []);
+  assert.deepEqual(violatedConstraints({}, machineIn("b")), []);
+  assert.deepEqual(violatedConstraints({ types: ["big"] }, machineIn("a")), ["types"]);
+  assert.deepEqual(violatedConstraints({ zone: "b" }, machineIn("a")), ["zone"]);
+  assert.deepEqual(violatedConstraints({ spot: false }, machineIn("a", "small", true)), ["spot"]);
+  assert.deepEqual(violatedConstraints({ oneZone: true }, machineIn("b")), ["oneZone"]);
+  assert.deepEqual(violatedConstraints({ oneZone: true }, machineIn("a")), []);
   assert.deepEqual(
-    violatedConstraints({ spread: true }, placeIn("a"), [placeIn("a"), placeIn("a")]),
+    violatedConstraints({ spread: true }, machineIn("a"), [machineIn("a"), machineIn("a")]),
     [],
   );
   assert.deepEqual(
-    violatedConstraints({ spread: true }, placeIn("a"), [placeIn("a"), placeIn("a"), placeIn("a")]),
+    violatedConstraints({ spread: true }, machineIn("a"), [
+      machineIn("a"),
+      machineIn("a"),
+      machineIn("a"),
+    ]),
     ["spread"],
   );
 });
