--- a/tests/admission-replicas.test.ts
+++ b/tests/admission-replicas.test.ts
@@ -33,10 +33,10 @@
   | { readonly kind: "read"; readonly controller: number }
   | { readonly kind: "flush"; readonly controller: number }
   | { readonly kind: "restart"; readonly controller: number }
-  | { readonly kind: "arrive"; readonly choice: number }
-  | { readonly kind: "term" }
-  | { readonly kind: "window"; readonly grants: readonly number[] }
-  | { readonly kind: "open" };
+  | { readonly kind: "deliver delayed"; readonly selector: number }
+  | { readonly kind: "acquire leadership" }
+  | { readonly kind: "write limited window"; readonly grants: readonly number[] }
+  | { readonly kind: "write open window" };
 
 const anyController = fc.integer({ min: 0, max: CONTROLLER_COUNT - 1 });
 const anyDelivery = fc.constantFrom<TransactionDelivery>(
@@ -60,17 +60,20 @@
     weight: 3,
     arbitrary: fc.record({ kind: fc.constantFrom("read", "flush"), controller: anyController }),
   },
-  { weight: 2, arbitrary: fc.record({ kind: fc.constant("arrive"), choice: fc.nat(5) }) },
-  { weight: 1, arbitrary: fc.constant({ kind: "term" } as const) },
+  {
+    weight: 2,
+    arbitrary: fc.record({ kind: fc.constant("deliver delayed"), selector: fc.nat(5) }),
+  },
+  { weight: 1, arbitrary: fc.constant({ kind: "acquire leadership" } as const) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("restart"), controller: anyController }) },
   {
     weight: 2,
     arbitrary: fc.record({
-      kind: fc.constant("window"),
+      kind: fc.constant("write limited window"),
       grants: fc.array(fc.nat(6), { minLength: 4, maxLength: 4 }),
     }),
   },
-  { weight: 1, arbitrary: fc.constant({ kind: "open" } as const) },
+  { weight: 1, arbitrary: fc.constant({ kind: "write open window" } as const) },
 ) as fc.Arbitrary<Action>;
 
 /** Returns the job with the given number, always of the same team, class and size. */
@@ -100,19 +103,19 @@
     case "flush":
       model.flushRejections(action.controller);
       return;
-    case "arrive":
-      model.deliverDelayed(action.choice);
+    case "deliver delayed":
+      model.deliverDelayed(action.selector);
       return;
-    case "term":
+    case "acquire leadership":
       model.acquireLeadership();
       return;
     case "restart":
       model.restart(action.controller);
       return;
-    case "open":
+    case "write open window":
       model.writeWindow((version, epoch) => openWindow({ version, epoch }));
       return;
-    case "window":
+    case "write limited window":
       writeGrants(model, action.grants);
       return;
     default:
--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -17,7 +17,7 @@
   leader.submit(jobSpec("k"));
   assert.match(leader.takeTrace(), /write p\/k done= at=\[\["m2b"/);
   leader.answerRequest([taskStatus("k", 0, 1)]);
-  for (let i = 0; i < 8; i++) {
+  for (let step = 0; step < 8; step++) {
     leader.receiveHeartbeat("m1a", []);
     leader.receiveHeartbeat("m2b", [taskStatus("k", 0, 1)]);
     while (leader.unansweredRequests.length > 0) leader.answerRequest(null);
@@ -35,7 +35,7 @@
 test("a machine that answers direct requests but whose heartbeats reach no controller gets no new tasks", () => {
   // Without this rule each task on the machine ran until the worker's lease expired, and was placed there again.
   const leader = leaderWithTwoMachines();
-  for (let i = 0; i < 16; i++) {
+  for (let step = 0; step < 16; step++) {
     leader.performEffects(
       leader.scheduler.probeAnswered("m1a", leader.makeHeartbeat("m1a", []), leader.now),
     );
@@ -131,7 +131,7 @@
   const live = names.filter((machine) => machine.endsWith("a") && machine !== "m1a");
   leader.unreachableMachines.add("m1a");
   for (const machine of names) if (machine.endsWith("b")) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 8; i++) {
+  for (let step = 0; step < 8; step++) {
     for (const machine of live) leader.receiveHeartbeat(machine, []);
     leader.tick(1);
   }
@@ -176,7 +176,7 @@
   const startedAt = leader.now;
   const moveTimes = new Map<string, number>();
   for (const machine of ["m3b", "m4b", "m5b"]) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 400 && moveTimes.size < 2; i++) {
+  for (let step = 0; step < 400 && moveTimes.size < 2; step++) {
     for (const machine of ["m1a", "m2a"]) leader.receiveHeartbeat(machine, []);
     leader.tick(0.7);
     if (machineOf("web") !== webMachine && !moveTimes.has("web"))
@@ -207,14 +207,14 @@
   const taskMachine = [...leader.scheduler.cluster.jobs.get("web")!.placements.values()][0]!.machine
     .name;
   for (const machine of unreachable) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 5; i++) {
+  for (let step = 0; step < 5; step++) {
     for (const machine of reachable) leader.receiveHeartbeat(machine, []);
     leader.tick(0.8);
   }
   assert.equal(/cloud return/.test(leader.takeTrace()), false);
   leader.cancel("web");
   while (leader.unansweredRequests.length > 0) leader.answerRequest(null);
-  for (let i = 0; i < 2; i++) {
+  for (let step = 0; step < 2; step++) {
     for (const machine of reachable) leader.receiveHeartbeat(machine, []);
     leader.tick(0.8);
   }
--- a/tests/pipelines.test.ts
+++ b/tests/pipelines.test.ts
@@ -83,9 +83,9 @@
 test("the stored end of a cancelled job cancels all direct and indirect dependents at once, on every node", () => {
   const node = new NodeReplica();
   node.submit("first", []);
-  for (let i = 0; i < 1000; i++) {
-    node.submit(`chain${i}`, [i === 0 ? "first" : `chain${i - 1}`]);
-    node.submit(`wide${i}`, ["first"]);
+  for (let index = 0; index < 1000; index++) {
+    node.submit(`chain${index}`, [index === 0 ? "first" : `chain${index - 1}`]);
+    node.submit(`wide${index}`, ["first"]);
   }
   node.submit("apart", []);
   assert.equal(node.states("chain999", "wide999", "apart"), "queued queued queued");
@@ -153,7 +153,7 @@
   // A heartbeat reports that a is done. Until this is stored, no dependent job starts.
   leader.isStoreAvailable = false;
   leader.receiveHeartbeat("m1a", [taskStatus("a", 0, 1, "exited", "done")]);
-  for (let i = 0; i < 10; i++) leader.tick(0.4);
+  for (let index = 0; index < 10; index++) leader.tick(0.4);
   assert.deepEqual(
     ["b", "c"].map((id) => machinesOf(leader, id).length),
     [0, 0],
@@ -234,10 +234,10 @@
   submit(leader, "first");
   leader.answerRequest([taskStatus("first", 0, 1)]);
   leader.isStoreAvailable = false;
-  const ids = Array.from({ length: 1000 }, (_, i) => `wide-${i}`);
-  for (const [i, id] of ids.entries()) {
+  const ids = Array.from({ length: 1000 }, (_, index) => `wide-${index}`);
+  for (const [index, id] of ids.entries()) {
     submit(leader, id, { after: ["first"] });
-    if (i % 10 !== 0) continue;
+    if (index % 10 !== 0) continue;
     leader.receiveHeartbeatOnly("m1a", [taskStatus("first", 0, 1)]);
     leader.receiveHeartbeatOnly("m2b", []);
   }
@@ -249,7 +249,7 @@
     ids.every((id) => leader.replica.view(id)?.state === "cancelled"),
     "cancelled as soon as the end of the first job is stored",
   );
-  for (let i = 0; i < 10; i++) leader.tick();
+  for (let index = 0; index < 10; index++) leader.tick();
   assert.equal(leader.scheduler.cluster.jobs.size, 0);
   assert.ok(ids.every((id) => leader.replica.finalRecords.get(id)?.outcome === "cancelled"));
   assert.doesNotMatch(leader.takeTrace(), /start wide/);
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -47,7 +47,7 @@
   leader.submit(jobSpec("j"));
   leader.answerRequest([taskStatus("j", 0, 1)]);
   leader.takeTrace();
-  for (let i = 0; i < 7; i++) {
+  for (let step = 0; step < 7; step++) {
     leader.receiveHeartbeat("m2b", []);
     leader.tick(1);
   }
@@ -71,7 +71,7 @@
   leader.answerRequest([taskStatus("j", 0, 1)]);
   const startedAt = leader.now;
   let movedAfterS = 0;
-  for (let i = 0; i < 60 && movedAfterS === 0; i++) {
+  for (let step = 0; step < 60 && movedAfterS === 0; step++) {
     leader.now += 1;
     leader.receiveHeartbeat("m2b", []);
     if (leader.takeTrace().includes("start j/0#2")) movedAfterS = leader.now - startedAt;
@@ -87,7 +87,7 @@
   leader.answerRequest([taskStatus("j", 1, 1)]);
   leader.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
   leader.takeTrace();
-  for (let i = 0; i < 4; i++) {
+  for (let step = 0; step < 4; step++) {
     leader.now += 3;
     leader.receiveHeartbeat("m1a", [taskStatus("j", 0, 1, "exited", "done")]);
     leader.receiveHeartbeat("m2b", [taskStatus("j", 1, 1)]);
@@ -218,7 +218,7 @@
   leader.tick();
   // Workers usually contact the new leader themselves. Those without service tasks get a third of their lease to
   // do so.
-  for (let i = 0; i < 4; i++) leader.tick(1.5);
+  for (let step = 0; step < 4; step++) leader.tick(1.5);
   assert.equal(leader.takeTrace(), "\n\n");
   leader.tick(1.5);
   assert.equal(leader.takeTrace(), "\nsend m1a: fence\nsend m2b: fence\n");
@@ -255,7 +255,7 @@
   const task = victim.commands[0]!.task;
   leader.answerRequest([taskStatus("low", task, 1, "exited", "stopped")]);
   assert.match(leader.takeTrace(), new RegExp(`send ${victim.machine}: .*start web/0#1`));
-  for (let i = 0; i < 5; i++) leader.tick(0.5);
+  for (let step = 0; step < 5; step++) leader.tick(0.5);
   assert.equal(/stop web/.test(leader.takeTrace()), false);
 });
 
@@ -264,7 +264,7 @@
   leader.receiveHeartbeat("m3a", []);
   leader.receiveHeartbeat("m4b", []);
   leader.takeTrace();
-  for (let i = 0; i < 12; i++) {
+  for (let step = 0; step < 12; step++) {
     leader.receiveHeartbeat("m1a", []);
     leader.tick(1);
   }
@@ -291,11 +291,11 @@
     "m2b",
     slow.map((task) => taskStatus("j", task, 1)),
   );
-  for (let i = 0; i < 40; i++) {
+  for (let step = 0; step < 40; step++) {
     leader.tick(1);
     leader.receiveHeartbeat(
       "m1a",
-      i < 9
+      step < 9
         ? fast.map((task) => taskStatus("j", task, 1))
         : fast.map((task) => taskStatus("j", task, 1, "exited", "done")),
     );
@@ -315,7 +315,7 @@
   leader.receiveHeartbeat("m1a", [], { type: "big" });
   leader.submit(jobSpec("web", { priority: "production", kind: "service" }));
   assert.equal(/start web/.test(leader.takeTrace()), false);
-  for (let i = 0; i < 8; i++) {
+  for (let step = 0; step < 8; step++) {
     leader.tick(1);
     leader.receiveHeartbeat("m1a", [], { type: "big" });
   }
@@ -327,7 +327,7 @@
   leader.unreachableMachines.add("m1a");
   const startedAt = leader.now;
   let releasedAfterS = 0;
-  for (let i = 0; i < 60 && releasedAfterS === 0; i++) {
+  for (let step = 0; step < 60 && releasedAfterS === 0; step++) {
     leader.tick(0.15);
     leader.receiveHeartbeat("m2b", []);
     if (leader.takeTrace().includes("cloud return m1a")) releasedAfterS = leader.now - startedAt;
@@ -343,7 +343,7 @@
   leader.takeTrace();
   const startedAt = leader.now;
   let releasedAfterS = 0;
-  for (let i = 1; i < 40 && releasedAfterS === 0; i++) {
+  for (let step = 1; step < 40 && releasedAfterS === 0; step++) {
     leader.tick(1);
     leader.receiveHeartbeat("m1a", []);
     leader.receiveHeartbeat("m2b", []);
@@ -399,7 +399,7 @@
   const leader = new TestLeader({ replica: records, epoch: 2 });
   leader.epoch = 2;
   leader.receiveHeartbeat("m1a", [taskStatus("late", 0, 1)], { incarnation: 2 });
-  for (let i = 0; i < 4; i++)
+  for (let step = 0; step < 4; step++)
     leader.receiveHeartbeat("m1a", [taskStatus("late", 0, 1)], { incarnation: 2 });
   const early = leader.scheduler.cluster.jobs.get("early")!;
   const [placement] = [...early.placements.values()];
--- a/tests/support/golden-exchanges.ts
+++ b/tests/support/golden-exchanges.ts
@@ -65,7 +65,8 @@
   const preconditions = [{ key: "epoch", modRevision: 3 }];
   const change = { op: "delete", key: "x/run-1" } as const;
   const transactions = [await client.transact(preconditions, [put, change])];
-  for (let i = 0; i < 3; i++) transactions.push(await client.transact([], [change]));
+  for (let requestIndex = 0; requestIndex < 3; requestIndex++)
+    transactions.push(await client.transact([], [change]));
   const fullRead = await client.readAll();
   const watches = [await client.watch(12, 0), await client.watch(12, 250)];
   const lease = await client.grantLease(2500.4);
@@ -116,7 +117,7 @@
   const types = await client.fetchCatalog();
   const listed = await client.listMachines();
   const scaleOutResults: unknown[] = [];
-  for (let i = 0; i < 4; i++) {
+  for (let requestIndex = 0; requestIndex < 4; requestIndex++) {
     const result = await client.scaleOut({
       name: "hire-1",
       type: "small",
@@ -156,8 +157,8 @@
 async function useWorker(address: string): Promise<unknown[]> {
   const client = new WorkerClient(5000, 4);
   const sendResults: unknown[] = [];
-  for (let i = 0; i < 3; i++) {
-    const result = await client.send(address, 6, 4, i === 0 ? commands : []);
+  for (let requestIndex = 0; requestIndex < 3; requestIndex++) {
+    const result = await client.send(address, 6, 4, requestIndex === 0 ? commands : []);
     sendResults.push(
       result.kind === "answered"
         ? [result.executed, result.heartbeat.machine]
--- a/tests/support/golden-messages.ts
+++ b/tests/support/golden-messages.ts
@@ -338,32 +338,32 @@
 export const DECODE_CASES: Readonly<Record<string, DecodeCase>> = {
   reports: {
     bodies: heartbeatBodies,
-    read: (b) => orNull(describeHeartbeat)(decodeWorkerHeartbeat(b)),
+    read: (body) => orNull(describeHeartbeat)(decodeWorkerHeartbeat(body)),
   },
   commands: {
     bodies: commandBodies,
-    read: (b) =>
+    read: (body) =>
       orNull((c: NonNullable<ReturnType<typeof decodeCommands>>) => ({
         token: c.fencingToken,
         session: c.incarnation,
         commands: c.commands.map(describeCommand),
-      }))(decodeCommands(b)),
+      }))(decodeCommands(body)),
   },
-  submissions: { bodies: submissionBodies, read: (b) => orNull(describeJob)(decodeJob(b)) },
+  submissions: { bodies: submissionBodies, read: (body) => orNull(describeJob)(decodeJob(body)) },
   "machine types": {
     bodies: {
       whole: catalogBody,
       "no zones": { breeds: [{ ...typeBody, paddocks: null }] },
     },
-    read: (b) => decodeCatalog(b)?.map(describeMachineType) ?? null,
+    read: (body) => decodeCatalog(body)?.map(describeMachineType) ?? null,
   },
   "machine list": {
     bodies: variants(machineListBody, {
       last: { more: null },
       "bad state": { mounts: [machineBody("")] },
     }),
-    read: (b) => {
-      const list = decodeMachineList(b);
+    read: (body) => {
+      const list = decodeMachineList(body);
       return list === null
         ? null
         : { machines: list.machines.map(describeListedMachine), more: list.more };
@@ -378,32 +378,37 @@
       { items: rangeItems, more: true, ledger: 10 },
       { last: { more: null }, bad: { items: [{}] } },
     ),
-    read: (b) => {
-      const r = decodeRange(b);
-      if (r === null) return null;
+    read: (body) => {
+      const range = decodeRange(body);
+      if (range === null) return null;
       return {
-        items: r.items.map((i) => [i.key, i.value, i.modRevision]),
-        more: r.more,
-        at: r.revision,
+        items: range.items.map((item) => [item.key, item.value, item.modRevision]),
+        more: range.more,
+        at: range.revision,
       };
     },
   },
   "changes followed": {
     bodies: variants({ log: changeLogBody, ledger: 12 }, { bad: { log: [{ mark: 1 }] } }),
-    read: (b) => {
-      const f = decodeWatchResponse(b);
-      if (f === null) return null;
+    read: (body) => {
+      const response = decodeWatchResponse(body);
+      if (response === null) return null;
       return {
-        at: f.revision,
-        changes: f.events.map((e) => [e.key, e.value, e.removed, e.modRevision]),
+        at: response.revision,
+        changes: response.events.map((event) => [
+          event.key,
+          event.value,
+          event.removed,
+          event.modRevision,
+        ]),
       };
     },
   },
   "transactions answered": {
     bodies: variants({ ledger: 12 }, { failed: { failed: ["epoch"] }, bad: { ledger: "12" } }),
-    read: (b) => {
-      const t = decodeTransactionResult(b);
-      return t === null ? null : { at: t.revision, failed: t.failedKeys };
+    read: (body) => {
+      const result = decodeTransactionResult(body);
+      return result === null ? null : { at: result.revision, failed: result.failedKeys };
     },
   },
   leases: { bodies: { whole: { tether: 7 }, bad: {} }, read: decodeLease },
--- a/tests/support/in-process-cluster.ts
+++ b/tests/support/in-process-cluster.ts
@@ -192,16 +192,16 @@
     const { nodes, isCatalogUnavailable } = this.options;
     await Promise.all([this.stateService.start(), this.cloud.start()]);
     const addresses = await findUnusedAddresses(2 * nodes);
-    const members = addresses.slice(0, nodes).map((address, i) => ({
-      member: `n${i}`,
+    const members = addresses.slice(0, nodes).map((address, index) => ({
+      member: `n${index}`,
       address,
-      peerAddress: addresses[nodes + i]!,
-      zone: zoneOf(i),
+      peerAddress: addresses[nodes + index]!,
+      zone: zoneOf(index),
     }));
     for (const member of members) await this.addNode(member, members);
     await this.startWorkers(members);
     this.cloud.isCatalogUnavailable = isCatalogUnavailable;
-    for (let i = 0; i < nodes; i++) await this.startNode(i);
+    for (let nodeIndex = 0; nodeIndex < nodes; nodeIndex++) await this.startNode(nodeIndex);
     if (isCatalogUnavailable) return;
     await waitUntil("a leader is elected", () => this.leaderIndex() >= 0);
   }
--- a/tests/support/multi-process-cluster.ts
+++ b/tests/support/multi-process-cluster.ts
@@ -191,9 +191,9 @@
 
   /** Waits until every node has answered that the job is in the given state. */
   async awaitJobState(id: string, state: string): Promise<void> {
-    for (let i = 0; i < NODE_COUNT; i++) {
-      await waitForProcesses(`${id} is ${state} at n${i}`, async () => {
-        return (await this.queryJob(i, id)).state === state;
+    for (let nodeIndex = 0; nodeIndex < NODE_COUNT; nodeIndex++) {
+      await waitForProcesses(`${id} is ${state} at n${nodeIndex}`, async () => {
+        return (await this.queryJob(nodeIndex, id)).state === state;
       });
     }
   }
