--- a/tests/delayed-messages.test.ts
+++ b/tests/delayed-messages.test.ts
@@ -1,6 +1,6 @@
 /**
- * Network failures in one direction or one zone: machines that only send or only receive, late copies of heartbeats,
- * and zones that are cut off from the leader.
+ * Network failures: machines whose messages pass in one direction only, late copies of heartbeats, and zones that are
+ * cut off from the leader.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -17,7 +17,7 @@
   leader.submit(jobSpec("k"));
   assert.match(leader.takeTrace(), /write p\/k done= at=\[\["m2b"/);
   leader.answerRequest([taskStatus("k", 0, 1)]);
-  for (let i = 0; i < 8; i++) {
+  for (let step = 0; step < 8; step++) {
     leader.receiveHeartbeat("m1a", []);
     leader.receiveHeartbeat("m2b", [taskStatus("k", 0, 1)]);
     while (leader.unansweredRequests.length > 0) leader.answerRequest(null);
@@ -35,7 +35,7 @@
 test("a machine that answers direct requests but whose heartbeats reach no controller gets no new tasks", () => {
   // Without this rule each task on the machine ran until the worker's lease expired, and was placed there again.
   const leader = leaderWithTwoMachines();
-  for (let i = 0; i < 16; i++) {
+  for (let step = 0; step < 16; step++) {
     leader.performEffects(
       leader.scheduler.probeAnswered("m1a", leader.makeHeartbeat("m1a", []), leader.now),
     );
@@ -96,7 +96,7 @@
   assert.equal(/d\/j/.test(leader.takeTrace()), false);
 });
 
-test("a late copy with an older token makes a successor neither free a placement nor send a start", () => {
+test("a successor neither frees a placement nor sends a start because of a late copy with an older token", () => {
   const former = leaderWithTwoMachines();
   former.submit(jobSpec("j"));
   former.answerRequest([taskStatus("j", 0, 1)]);
@@ -131,7 +131,7 @@
   const live = names.filter((machine) => machine.endsWith("a") && machine !== "m1a");
   leader.unreachableMachines.add("m1a");
   for (const machine of names) if (machine.endsWith("b")) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 8; i++) {
+  for (let step = 0; step < 8; step++) {
     for (const machine of live) leader.receiveHeartbeat(machine, []);
     leader.tick(1);
   }
@@ -142,18 +142,18 @@
 test("a node that is cut off with its zone extends leases for a bounded time, and only after long contact", () => {
   // A lease of 21 s, contact at least every 2 s, and extensions for at most 126 s.
   const extension = new LeaseExtension(21, 2, 126);
-  const noteContacts = (from: number, to: number): void => {
+  const recordContacts = (from: number, to: number): void => {
     for (let second = from; second <= to; second++) extension.recordContact(second);
   };
-  noteContacts(0, 15);
+  recordContacts(0, 15);
   assert.equal(extension.mayExtendLeases(20), false, "the contact was too short");
-  noteContacts(20, 60);
+  recordContacts(20, 60);
   assert.equal(extension.mayExtendLeases(61), false, "still in contact");
   assert.equal(extension.mayExtendLeases(63), true);
   assert.equal(extension.mayExtendLeases(185), true);
   assert.equal(extension.mayExtendLeases(187), false, "cut off for longer than the limit");
   // After a short contact no leases are extended, so that a worker that cannot reach the leader loses its lease.
-  noteContacts(190, 200);
+  recordContacts(190, 200);
   assert.equal(extension.mayExtendLeases(205), false);
 });
 
@@ -176,7 +176,7 @@
   const startedAt = leader.now;
   const moveTimes = new Map<string, number>();
   for (const machine of ["m3b", "m4b", "m5b"]) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 400 && moveTimes.size < 2; i++) {
+  for (let step = 0; step < 400 && moveTimes.size < 2; step++) {
     for (const machine of ["m1a", "m2a"]) leader.receiveHeartbeat(machine, []);
     leader.tick(0.7);
     if (machineOf("web") !== webMachine && !moveTimes.has("web"))
@@ -207,14 +207,14 @@
   const taskMachine = [...leader.scheduler.cluster.jobs.get("web")!.placements.values()][0]!.machine
     .name;
   for (const machine of unreachable) leader.unreachableMachines.add(machine);
-  for (let i = 0; i < 5; i++) {
+  for (let step = 0; step < 5; step++) {
     for (const machine of reachable) leader.receiveHeartbeat(machine, []);
     leader.tick(0.8);
   }
   assert.equal(/cloud return/.test(leader.takeTrace()), false);
   leader.cancel("web");
   while (leader.unansweredRequests.length > 0) leader.answerRequest(null);
-  for (let i = 0; i < 2; i++) {
+  for (let step = 0; step < 2; step++) {
     for (const machine of reachable) leader.receiveHeartbeat(machine, []);
     leader.tick(0.8);
   }
