--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -9,8 +9,8 @@
   /** Length of an admission window, as a multiple of the workers' heartbeat interval. */
   readonly windowRatio: number;
   /**
-   * Admitted unfinished work that a class may have in addition to its share of the cluster's capacity, as a multiple
-   * of that share.
+   * Limits how much work a class may have queued. The unfinished tasks of its admitted jobs may need the resources of
+   * its share of the cluster and, in addition, this multiple of them. Tasks that exceed the share wait in the queue.
    */
   readonly queueRatio: number;
   readonly calendar: Calendar;
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -142,8 +142,8 @@
       return this.refuse(reply, 429, "busy", this.busyRefusalCount++ % RETRY_SPREAD_S);
     }
     const startedAt = this.options.now();
-    // While this node sheds users, it is unhealthy, and connections that stay open may be reset later, even during a
-    // request. Each connection is therefore closed with its response.
+    // While this node sheds users, its health check fails, and the load balancer may then reset connections that are
+    // still open, even during a request. Each connection is therefore closed with its response.
     if (this.backend.shedsUsers()) reply.header("connection", "close");
     try {
       return await work();
@@ -174,8 +174,8 @@
     const body = decodeBody(toBuffer(requestBody));
     const spec = decodeJob(body);
     if (spec === null) {
-      // A repeated submission of an accepted job is answered with the job's state, even if the rest of its body is
-      // malformed.
+      // If a job with this id was accepted earlier, the response is that job's state. Only the id in the body has to
+      // be valid for this.
       const id = decodeJobId(body);
       const sentReply = id === null ? null : await this.answerWithJobState(id, reply);
       return sentReply ?? sendMessagePack(reply, 400, { error: "malformed" });
@@ -233,7 +233,10 @@
     return sendMessagePack(reply, 503, { error: "not over yet" });
   }
 
-  /** Answers the request, or returns null once the cancellation is stored and only the job's end is awaited. */
+  /**
+   * Stores the cancellation and returns null; the caller then waits for the end of the job. If the job does not exist
+   * or has already ended, or if the state service is unavailable, sends the response instead.
+   */
   private async storeCancellation(id: string, reply: FastifyReply): Promise<FastifyReply | null> {
     if (!isValidJobId(id)) return sendMessagePack(reply, 404, { error: "no such job" });
     const read = await this.backend.readJob(id);
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -9,8 +9,8 @@
 import { TaskReconciler } from "./task-reconciler.js";
 
 /**
- * A message from a worker triggers a scheduling cycle if none arrived for more than this number of heartbeat
- * intervals.
+ * A message from a worker triggers a scheduling cycle if the worker's previous message arrived more than this number
+ * of heartbeat intervals earlier.
  */
 const LONG_SILENCE_INTERVALS = 1.5;
 
@@ -96,24 +96,24 @@
 
   private recordContact(machine: Machine, now: number): void {
     const { settings, options, startedAt } = this.context;
-    // `lastHeartbeatAt` is the time of the last heartbeat that the worker sent on its own, which the scheduler
-    // records when it answers one. Until then, the first message of any kind counts as one.
+    // The scheduler sets `lastHeartbeatAt` whenever it answers a heartbeat that the worker sent on its own. If it has
+    // not answered any from this worker yet, the time of the worker's first message of any kind is used.
     if (machine.lastHeartbeatAt === Number.NEGATIVE_INFINITY) machine.lastHeartbeatAt = now;
     if (now - machine.lastMessageAt > LONG_SILENCE_INTERVALS * settings.heartbeatIntervalS) {
       this.context.cycleRequested = true;
     }
     machine.lastMessageAt = now;
     machine.consecutiveFailedRequests = 0;
-    // The exact start of the lease is not known here, so the latest possible time is assumed. If the incarnation is
-    // new, its lease began at the latest now, when its first heartbeat arrived. A previous leader can have renewed
-    // the lease until the end of that leader's grace period.
+    // The exact time of the last lease renewal is not known here, so the latest possible time is assumed. The lease
+    // of a new incarnation began no later than `now`, the time at which its first heartbeat arrived. A previous
+    // leader can have renewed the lease until the end of that leader's grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
 
   /**
    * Handles a new worker incarnation, which begins when the worker's lease expires. By then the worker has killed and
-   * forgotten all its tasks. It drops start commands that were sent to an earlier incarnation.
+   * forgotten all its tasks. From then on, the worker drops start commands that were sent to an earlier incarnation.
    */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     for (const placement of [...machine.placements.values()]) {
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Records whether the worker has acknowledged the current fencing token. Once it has, it drops start commands
-   * with an earlier token, so these no longer count as unanswered.
+   * Records whether the worker has acknowledged the current fencing token. After the acknowledgement, the worker
+   * drops start commands with an earlier token, so these no longer count as unanswered.
    */
   private updateTokenAcknowledgement(machine: Machine, fencingToken: number): void {
     const { epoch } = this.context;
@@ -163,7 +163,7 @@
       }
     }
     machine.hasAcknowledgedToken = isAcknowledged;
-    // Unlike `hasAcknowledgedToken`, this stays true when the token is advanced later in the term.
+    // Unlike `hasAcknowledgedToken`, `hasSeenTermToken` stays true when the token is advanced later in the term.
     if (isAcknowledged) machine.hasSeenTermToken = true;
   }
 }
--- a/src/core/leadership/follower-responder.ts
+++ b/src/core/leadership/follower-responder.ts
@@ -1,11 +1,11 @@
 /**
  * Decides which worker heartbeats a follower answers itself instead of redirecting the worker to the leader.
  *
- * Such an answer carries no command, but it extends the worker's lease. Each case is therefore bounded by the time
- * that a leader waits before it declares a lease expired (`MachineMonitor.leaseExpiryBound`). No case requires that
- * the node knows of every cancellation, because a cancellation is confirmed only when none of the job's tasks is left
- * (`StateReplica.view`). The lease of a machine that runs tasks known to be cancelled is still not extended, so that
- * these tasks end sooner.
+ * Such an answer contains no commands, but it extends the worker's lease. A follower therefore answers only for a
+ * limited time, which a leader takes into account before it declares a lease expired
+ * (`MachineMonitor.latestLeaseExpiry`). The follower need not know of every cancellation, because a cancellation is
+ * confirmed only when none of the job's tasks is left (`StateReplica.view`). If the follower knows that a worker runs
+ * tasks of a cancelled job, it does not extend the worker's lease, so that these tasks end sooner.
  */
 import { hasExtendableLease } from "../leader-context.js";
 import type { ClusterSettings } from "../model/settings.js";
@@ -14,9 +14,15 @@
 import type { StateReplica } from "../state/state-replica.js";
 import type { LeaseExtension } from "./lease-extension.js";
 
-/** Share of the grace period, or of a worker lease if that is shorter, for which a new leader counts as settling. */
+/**
+ * A new leader is called settling while many workers connect to it for the first time: for this share of the grace
+ * period, or of a worker lease if that is shorter.
+ */
 const SETTLING_SHARE = 2 / 3;
-/** After the last leader was seen, heartbeats are answered for at most the worker lease divided by this. */
+/**
+ * While there is no leader, followers answer heartbeats until the worker lease, divided by this, has passed since a
+ * leader was last seen.
+ */
 const LEADERLESS_LEASE_DIVISOR = 3;
 
 /** Which other parts of the cluster the node can reach. */
@@ -38,12 +44,12 @@
   readonly zone: string;
   readonly replica: StateReplica;
   readonly leaseExtension: LeaseExtension;
-  /** Limits how many workers per second this node redirects to a settling leader. */
+  /** Limits how many heartbeats per second this node redirects to a settling leader. */
   readonly redirectBudget: TokenBucket;
   readonly gracePeriodS: number;
 }
 
-/** Decides for each worker heartbeat whether this node answers it while it is a follower. */
+/** Decides, while this node is a follower, which worker heartbeats it answers itself. */
 export class FollowerResponder {
   /** Monotonic time at which a leader was last seen in the replica, or the replica was last loaded by a full read. */
   private leaderSeenAt = Number.NEGATIVE_INFINITY;
@@ -54,7 +60,7 @@
     this.leaderSeenAt = now;
   }
 
-  /** `now` is monotonic time in seconds, `wallMs` the time of day in milliseconds. */
+  /** Whether to answer this heartbeat. `now`: monotonic time in seconds; `wallMs`: time of day in milliseconds. */
   mayAnswer(
     heartbeat: WorkerHeartbeat,
     connectivity: NodeConnectivity,
@@ -76,8 +82,8 @@
   }
 
   /**
-   * Whether the machine runs service or gang tasks, according to its worker's heartbeat, and no task of a cancelled
-   * job. Cancelled tasks must end soon, so the lease of a worker that runs any of them is not extended.
+   * Whether the heartbeat reports service or gang tasks that have not exited, and no task of a cancelled job. Tasks
+   * of cancelled jobs must end soon, so the lease of a worker that runs any of them is not extended.
    */
   qualifiesForLeaseExtension(heartbeat: WorkerHeartbeat): boolean {
     if (this.runsCancelledTasks(heartbeat)) return false;
@@ -93,11 +99,12 @@
   }
 
   /**
-   * While a new leader settles, only a limited number of workers per second is redirected to it. This node answers
-   * the others without commands, with the leader's fencing token, and they try again with their next heartbeat.
-   * Without this limit, 2000 workers connected to the leader at once; each had disconnected before it was served, and
-   * reconnected, until its lease expired. Extending these leases is safe: the leader assumes that every lease was
-   * renewed as late as the leader's own start plus the grace period, and the settling time ends before then.
+   * While a new leader is settling, a follower redirects only a limited number of heartbeats per second to it. The
+   * follower answers the others without commands, with the leader's fencing token. It may redirect these workers when
+   * they send their next heartbeat. Without this limit, 2000 workers connected to the leader at once. Each of them
+   * disconnected before the leader served it, and reconnected, until its lease expired. Extending these leases is
+   * safe: the leader assumes that every lease was renewed as late as the leader's own start plus the grace period,
+   * and the settling time ends before then.
    */
   private mayAnswerForSettlingLeader(
     heartbeat: WorkerHeartbeat,
@@ -119,10 +126,10 @@
 
   /**
    * While there is no leader, a worker whose heartbeat is refused retries every second over a new connection. With
-   * 1000 workers this load kept every node from acquiring leadership for 20 s. Therefore, for part of a lease, any
-   * node that reaches the state service answers these workers without commands, with the last fencing token. They
-   * find the next leader with a later heartbeat. That leader adds its grace period before it declares a lease
-   * expired.
+   * 1000 workers, this load kept every node from acquiring leadership for 20 s. Therefore, for part of a lease, any
+   * follower that reaches the state service answers workers without commands, with the last fencing token. A later
+   * heartbeat of these workers is redirected to the next leader. Extending these leases is safe, because that leader
+   * adds its grace period before it declares a lease expired.
    */
   private mayAnswerBetweenLeaders(
     heartbeat: WorkerHeartbeat,
@@ -142,8 +149,9 @@
   }
 
   /**
-   * The node is partitioned: neither it nor any peer it reaches has contact with the state service, and no leader was
-   * heard from recently. Without an answer, the workers of its zone would lose their tasks when their leases expire.
+   * During a partition, neither the follower nor any peer that it reaches has contact with the state service, and no
+   * heartbeat of a leader arrived recently. For a limited time, the follower then answers the workers of its own zone
+   * that run service or gang tasks. Without an answer, these workers would kill their tasks when their leases expire.
    */
   private mayAnswerWhilePartitioned(
     heartbeat: WorkerHeartbeat,
--- a/src/core/model/settings.ts
+++ b/src/core/model/settings.ts
@@ -39,20 +39,20 @@
    * tasks.
    */
   readonly leaseS: number;
-  /** Seconds that a gang task waits for its peers to start before it exits. */
+  /** Longest time, in seconds, for which a gang task waits for its peers to start. After that, it exits. */
   readonly gangWaitS: number;
   /**
-   * Seconds, counted from the end of a gang task, within which its peers detect that it no longer runs, and within
-   * which all tasks of the gang must have stopped.
+   * Seconds from the end of one task of a gang until all its other tasks must have stopped. This includes the time
+   * that these tasks need to detect that the first one no longer runs.
    */
   readonly gangPeerS: number;
-  /** Seconds from the confirmation of a cancellation after which no task of the job may run. */
+  /** Seconds from the confirmation of a cancellation until all tasks of the job must have stopped. */
   readonly cancelS: number;
   /** Maximum rate of requests to the state service, in requests per second, of all controllers together. */
   readonly stateRps: number;
   /**
-   * Maximum rate of stored changes, in changes per second, of all controllers together. A request may contain
-   * several.
+   * Maximum rate of stored changes, in changes per second, of all controllers together. One request may contain
+   * several changes.
    */
   readonly stateWriteRps: number;
   /** Maximum size of a stored value, in KiB. */
@@ -61,14 +61,14 @@
   readonly txnOps: number;
   /** Rate limit of the cloud's API, in requests per second. */
   readonly cloudRps: number;
-  /** Seconds by which the cloud's list of machines normally lags. At times it lags twice as much. */
+  /** Normal delay, in seconds, until a change appears in the cloud's machine list. At times it is twice as long. */
   readonly listLagS: number;
-  /** Number of CPU cores available to this node, as a decimal: 0.5 is half a core, and 2 is two cores. */
+  /** CPU cores available to this node, not necessarily a whole number: 0.5 is half a core, and 2 is two cores. */
   readonly cpuShare: number;
   /** Memory available to this node, in MiB. */
   readonly memoryMb: number;
   /** Maximum number of open sockets of this node. */
   readonly sockets: number;
-  /** Maximum difference between the wall clocks of any two machines at the same moment, in milliseconds. */
+  /** Maximum difference between the wall clocks of any two machines, in milliseconds. */
   readonly clockOffMs: number;
 }
--- a/src/core/planning/gang-image-wait.ts
+++ b/src/core/planning/gang-image-wait.ts
@@ -1,37 +1,45 @@
-/** Decides whether a GPU gang that fits now should wait instead for machines that already hold its image. */
+/**
+ * Decides whether a GPU gang that fits now should wait instead for machines that already hold its image.
+ *
+ * Here, the first objective of a gang is the one whose time bound ends first, among those objectives for the gang's
+ * start time whose bounds have not passed yet. The second objective is the one whose bound ends next.
+ */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { START_LATENCY_BOUND_S } from "../model/constants.js";
 import type { PlanningContext } from "./context.js";
 import { isGuaranteed } from "./precedence.js";
 
-/** Minimum number of machines holding the image, per task of the gang, for a wait in order to meet an objective. */
+/** A gang waits to meet its first objective only if at least this many GPU machines per task hold its image. */
 const MIN_HOLDERS_PER_TASK_TO_MEET_OBJECTIVE = 4;
 
-/**
- * Minimum number of machines holding the image, per task of the gang, for a wait that only serves to avoid a pull.
- */
+/** A gang waits merely to avoid an image pull only if at least this many GPU machines per task hold its image. */
 const MIN_HOLDERS_PER_TASK_TO_AVOID_PULL = 8;
 
 /**
- * Longest wait to avoid a pull, as a share of the pull time, for a gang of one task; 1/n of that for one of n tasks.
+ * Longest time that a gang of one task waits to avoid an image pull, as a share of the pull time. A gang of n tasks
+ * waits for at most 1/n of that time.
  */
 const MAX_WAIT_SHARE_OF_PULL = 1 / 4;
 
-/** Time bound, in seconds, that is used as the second objective if only one objective can still be met. */
+/**
+ * Time bound, in seconds, that is used for the second objective if a gang has only one objective whose bound has not
+ * passed yet.
+ */
 const DEFAULT_SECOND_OBJECTIVE_S = START_LATENCY_BOUND_S / 2;
 
 /**
- * Factor on the pull time. A gang waits for the sake of its first objective only if the time left until the second
- * one exceeds the pull time times this factor, so that it can still meet the second one with a pull after the wait.
+ * A gang waits to meet its first objective only if the time left for the second one exceeds the pull time multiplied
+ * by this factor, plus one heartbeat interval. If the wait fails and the gang must pull the image after all, it can
+ * then still meet the second objective.
  */
 const SECOND_OBJECTIVE_MARGIN_FACTOR = 1.4;
 
 /**
  * Whether the gang should wait for machines that hold its image. If many machines hold it, some of them become free
  * every few seconds, so a wait of a small part of the pull time often avoids the pull. The more tasks the gang has,
- * the shorter it waits. Without such waits, five of six GPU tasks pulled an image that a third of all GPU machines
- * already held. `maxCostS`: highest placement cost in seconds among the machines that the gang would use now; most of
- * it is the image pull.
+ * the shorter this wait may be. Without such waits, five of six GPU tasks pulled an image that a third of all GPU
+ * machines already held. `maxCostS`: highest placement cost, in seconds, among the machines that the gang would use
+ * now. Most of this cost is the image pull, so it is used as the pull time.
  */
 export function shouldWaitForImage(
   job: ActiveJob,
@@ -48,10 +56,14 @@
 }
 
 /**
- * Whether a gang that pulls its image now would miss the first objective for its start time, while the second one
- * leaves enough time to wait. The first objective can then be met only on machines that hold the image. Such gangs
- * should wait, because with a guarantee of 30 s most gangs that missed it had been placed within five seconds and
- * then pulled their image for 30 s or more.
+ * Whether the gang would miss its first objective if it pulled its image now, while the second objective leaves
+ * enough time for a wait and a pull after it. The first objective can then be met only on machines that hold the
+ * image. If the second objective leaves too little time, the result is false, because a wait would endanger that one
+ * too.
+ *
+ * Without such waits, image pulls and not the queue caused most missed objectives: with an objective of 30 s for jobs
+ * within their team's guarantee, most gangs that missed it had been placed within five seconds, but then pulled their
+ * image for 30 s or more.
  */
 function pullMissesFirstObjective(
   job: ActiveJob,
--- a/src/node/node-timing.ts
+++ b/src/node/node-timing.ts
@@ -4,13 +4,13 @@
 
 /** Durations that several components of a node use. */
 export interface NodeTiming {
-  /** Longest time without an answer of the state service after which the node still counts as in contact with it. */
+  /** Longest time without an answer from the state service for which the node still counts as in contact with it. */
   readonly maximumContactGapS: number;
   /** Seconds for which a previous leader may still answer heartbeats after the end of its term. */
   readonly gracePeriodS: number;
   /**
-   * The same time for machines that run service or gang tasks. It is usually longer, because the leases of these
-   * machines are extended during a partition.
+   * Like `gracePeriodS`, for workers that run service or gang tasks. It is usually longer, because the leases of
+   * these workers are extended during a partition.
    */
   readonly leaseExtensionS: number;
   /** Timeout of requests to the state service and to workers. */
--- a/src/node/worker-heartbeat-handler.ts
+++ b/src/node/worker-heartbeat-handler.ts
@@ -27,7 +27,7 @@
   readonly followerResponder: FollowerResponder;
   readonly load: NodeLoad;
   readonly performEffects: (effects: readonly Effect[]) => void;
-  /** Called after the scheduler handled a heartbeat, which may allow new placements. */
+  /** Called after the scheduler has handled a heartbeat, because new placements may then be possible. */
   readonly onHeartbeatHandled: () => void;
 }
 
@@ -53,10 +53,10 @@
   }
 
   /**
-   * The leader's member name if this node is certain that another node leads, so that heartbeats can be redirected
-   * without being decoded; otherwise null. The node is not certain without contact to the state service. It also
-   * returns null while a new leader is settling (`isLeaderSettling`), because it then answers some
-   * heartbeats itself, and must decode them to select these.
+   * The leader's member name, if all heartbeats can be redirected to that leader without being decoded; otherwise
+   * null. This node must be certain that another node leads, which requires contact with the state service. The
+   * result is also null during the first part of a new leader's term (`FollowerResponder.isLeaderSettling`). In that
+   * time, this node answers some heartbeats itself, and has to decode each heartbeat to decide whether to answer it.
    */
   redirectTarget(): string | null {
     const { replica, leadership, member, stateContact, followerResponder } = this.options;
@@ -76,8 +76,8 @@
     if (!term.mayAct(receivedAt))
       return this.handleAfterTerm(activeLeadership, heartbeat, receivedAt);
     const { commands, effects } = scheduler.handleHeartbeat(heartbeat, receivedAt);
-    // The answer carries the token under which the commands were decided. It is read before the effects are
-    // performed, because they may end the term.
+    // The answer must carry the token under which the commands were decided, even if the effects end the term. The
+    // token is therefore read before the effects are performed.
     const fencingToken = term.epoch;
     this.options.performEffects(effects);
     this.options.onHeartbeatHandled();
@@ -85,9 +85,10 @@
   }
 
   /**
-   * Answers a heartbeat that arrives after the end of the term, when this node may no longer send commands. During
-   * the grace period, or the lease extension for workers that run service or gang tasks, it answers without commands,
-   * which extends the worker's lease. After that, it is unavailable to the worker.
+   * Answers a heartbeat that arrives after the end of the term, when this node may no longer send commands. For a
+   * limited time, the answer contains no commands but extends the worker's lease. That time is the grace period or,
+   * for workers that run service or gang tasks, the lease extension. After it, or if the worker has seen a higher
+   * fencing token, the answer is `unavailable`.
    */
   private handleAfterTerm(
     { term, scheduler }: ActiveLeadership,
--- a/tests/effect-executor.test.ts
+++ b/tests/effect-executor.test.ts
@@ -87,7 +87,7 @@
   assert.deepEqual(node.outcomes, [{ kind: "lost", mayArrive: false }]);
 });
 
-test("after stepping down, the remaining effects except logs and all later results are dropped", async () => {
+test("after stepping down, no commands are sent and results are dropped, but log lines are written", async () => {
   const node = new RecordedNode();
   node.executor.perform([SEND, { kind: "step down", why: "too few heartbeats" }, SEND, LOG]);
   await nextTurn();
