--- a/src/core/leadership/lease-extension.ts
+++ b/src/core/leadership/lease-extension.ts
@@ -5,7 +5,7 @@
  * bounded time, without sending commands. Their tasks keep running, and users do not notice the partition.
  *
  * A leader adds that time before it declares the lease of an unreachable machine expired
- * (`MachineMonitor.leaseExpiryBound`). To keep the total bounded, a controller extends leases only if, before the
+ * (`MachineMonitor.latestLeaseExpiry`). To keep the total bounded, a controller extends leases only if, before the
  * partition, it was in contact with the state service for longer than one lease. Otherwise a controller whose contact
  * is lost and regained repeatedly could extend a worker's lease without end.
  */
