--- a/src/admission/fair-share.ts
+++ b/src/admission/fair-share.ts
@@ -1,17 +1,17 @@
 /**
  * Weighted max-min fairness over several resources (dominant resource fairness; Ghodsi et al., NSDI 2011), computed
  * by progressive filling: the dominant shares of all teams grow together, in proportion to their weights. A claimant
- * stops growing when it reaches a constraint or its own demand; the others continue. The classes of a team divide its
- * growth rate by their weights.
+ * stops growing when it reaches a constraint or its own demand; the others continue. The classes of a team share its
+ * growth rate in proportion to their weights.
  */
 import { RESOURCES, type ResourceVector } from "./model.js";
 
-/** A class of a team that demands resources in a fixed proportion. */
+/** A class of jobs of one team, which demands the resources in a fixed proportion. */
 export interface Claimant {
   readonly team: string;
-  /** Weight of its class within the team. */
+  /** Weight of the class within the team. */
   readonly weight: number;
-  /** Resources that it would use if capacity were unlimited; all zero if it demands nothing. */
+  /** Resources that the class would use if capacity were unlimited; all zero if it demands nothing. */
   readonly demand: ResourceVector;
 }
 
@@ -34,6 +34,7 @@
   remaining: number;
 }
 
+/** Tolerance for rounding errors, as an absolute value or relative to the total demand for a resource. */
 const TOLERANCE = 1e-9;
 
 function constraintsOf(input: FairShareInput): Constraint[] {
@@ -56,7 +57,10 @@
   return constraints;
 }
 
-/** Returns the largest ratio of demand to capacity over all bounded resources; 0 if none of them is demanded. */
+/**
+ * Returns the largest ratio of demand to capacity over all bounded resources; 0 if none of them is demanded. The
+ * ratio counts as 1 for a demanded resource without any capacity.
+ */
 function dominantShareOfDemand(demand: ResourceVector, capacity: ResourceVector): number {
   let maxShare = 0;
   for (const resource of RESOURCES) {
@@ -68,8 +72,12 @@
   return maxShare;
 }
 
-/** Returns the growth of each claimant's fraction per unit of growth of the common fill level. */
+/**
+ * Returns the growth rate of each claimant: by how much the allocated fraction of its demand grows when the fill
+ * level, which is common to all teams, grows by 1.
+ */
 function fillRates(input: FairShareInput, isActive: readonly boolean[]): number[] {
+  // Total weight of the active claimants of each team.
   const weightInTeam = new Map<string, number>();
   for (const [index, { team, weight }] of input.claimants.entries()) {
     if (isActive[index]) weightInTeam.set(team, (weightInTeam.get(team) ?? 0) + weight);
@@ -78,7 +86,8 @@
     if (!isActive[index]) return 0;
     const teamWeight = input.teamWeights.get(team) ?? 0;
     const dominant = dominantShareOfDemand(demand, input.capacity);
-    // If its demand includes no bounded resource, only its team's limit can stop the claimant.
+    // Without demand for a bounded resource there is no dominant share, so 1 is used instead. Such a claimant stops
+    // growing only at the limit of its team or at the maximum fraction.
     return (teamWeight * (weight / weightInTeam.get(team)!)) / (dominant > 0 ? dominant : 1);
   });
 }
@@ -99,7 +108,7 @@
   readonly maxFraction: number;
 }
 
-/** Returns the growth of the fill level until the next constraint or maximum fraction is reached. */
+/** Returns by how much the fill level can grow until a claimant reaches a constraint or the maximum fraction. */
 function nextFillStep(state: FillState, rates: readonly number[]): number {
   let step = Number.POSITIVE_INFINITY;
   for (const [index, rate] of rates.entries()) {
@@ -146,7 +155,7 @@
 }
 
 /**
- * Returns the fraction of its demand that each claimant is allocated.
+ * Returns the fraction of its demand that each claimant is allocated; `Infinity` for a claimant that nothing bounds.
  *
  * @param maxFraction - upper limit of every fraction: 1 to allocate no more than the demand, `Infinity` to distribute
  *   the surplus as well
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,7 +1,7 @@
 /**
- * Fair admission control under overload. This is the interface for programs that embed it (`peatsaddle/admission`)
- * and for the other modules of the scheduler. The pure functions `limitedWindow`, `decide` and `charge` suffice for
- * programs that only need shares and verdicts.
+ * Fair admission control under overload. This module is its public interface, both for programs that embed it (as
+ * `peatsaddle/admission`) and for the other modules of the scheduler. A program that only needs the shares and the
+ * decisions can use the pure functions `limitedWindow`, `decide` and `charge` alone.
  */
 export { activePeriods, type Calendar, isTimeZone, type Period } from "./calendar.js";
 export { ClaimBatch } from "./claims.js";
--- a/src/admission/model.ts
+++ b/src/admission/model.ts
@@ -8,12 +8,15 @@
   readonly memoryGb: number;
 }
 
-/** The resource types, as the field names of `ResourceVector`, for code that handles each of them alike. */
+/** The field names of `ResourceVector`, for code that handles all resources in the same way. */
 export const RESOURCES = ["cpus", "gpus", "memoryGb"] as const;
 /** A resource type, one of `RESOURCES`. */
 export type Resource = (typeof RESOURCES)[number];
 
-/** The zero vector: the initial value of sums, and the capacity in a window that does not limit admission. */
+/**
+ * The zero vector: the initial value of sums, the capacity in a window that does not limit admission, and the bounds
+ * of a team without a guarantee.
+ */
 export const NO_RESOURCES: ResourceVector = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** Returns the sum of two vectors, resource by resource; neither argument is changed. */
@@ -60,7 +63,7 @@
   return (job.after?.length ?? 0) > 0 ? "follower" : "new";
 }
 
-/** The work that one class of a team may have admitted in a window, by lane, in the units of `WHOLE_SHARE`. */
+/** The amount of work of one class of a team that may be admitted in a window, by lane, in units of `WHOLE_SHARE`. */
 export interface Grant {
   readonly team: string;
   /** Null in the grant for all classes of the team that have no grant of their own. */
@@ -76,7 +79,7 @@
   readonly epoch: number;
   /** `open` if every job is admitted, `limited` if the grants apply. */
   readonly mode: "open" | "limited";
-  /** The cluster capacity that the shares are fractions of. */
+  /** The cluster capacity of which the grants are shares. */
   readonly capacity: ResourceVector;
   readonly grants: readonly Grant[];
   /** Names of the weight calendar's periods that were active when the leader computed the grants. */
@@ -93,7 +96,7 @@
   readonly used: ReadonlyMap<string, Readonly<Record<Lane, number>>>;
 }
 
-/** The jobs of one class and lane that one controller rejected in a window. */
+/** The jobs of one class and lane that one controller rejected (here also called refused) in a window. */
 export interface RefusedClass {
   readonly team: string;
   readonly class: string;
@@ -119,7 +122,7 @@
 export type DecisionReason =
   /** Admitted: no window limits admission. */
   | "open"
-  /** Admitted: part of the grant of the class was unused. */
+  /** Admitted: the grant of the class was not used up. */
   | "within share"
   /** Rejected: the grant of the class is used up. */
   | "share used"
--- a/src/api/submission-service.ts
+++ b/src/api/submission-service.ts
@@ -18,7 +18,7 @@
     private readonly replica: StateReplica,
     private readonly watcher: StateWatcher,
     private readonly writer: SubmissionWriter,
-    /** Null if admission control is disabled, so that every job is admitted. */
+    /** Null if admission control is disabled; every job is admitted then. */
     private readonly admission: AdmissionControl | null,
   ) {}
 
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Returns null if every job that `spec` depends on has been accepted, and otherwise the outcome to answer with. A
-   * dependency that the replica contains was accepted, even if the replica is out of date. A dependency that it lacks
-   * counts as never accepted only if it is still missing after a linearizable read.
+   * Returns null if every job that `spec` depends on has been accepted, and otherwise the outcome of the submission.
+   * A job in the replica was accepted, even if the replica is out of date. A job that is not in the replica counts as
+   * never accepted only if a linearizable read does not find it either. A job that depends on itself is not accepted.
    */
   private async checkDependencies(spec: JobSpec): Promise<SubmissionOutcome | null> {
     const hasUnknownDependency = (): boolean =>
--- a/src/api/submission-writer.ts
+++ b/src/api/submission-writer.ts
@@ -1,7 +1,8 @@
 /**
  * Writes submissions and cancellations to the state service by compare-and-swap, so that any node can do it, leader
- * or follower. Writes are batched into transactions. If the job of a write is stored already, the write is removed
- * from its batch with the outcome "known", and a submission is then answered with the job's state.
+ * or follower. Writes are batched into transactions. If one of the keys that a write requires to be absent exists
+ * already, the write is removed from its batch with the outcome "known". A submission with this outcome is answered
+ * with the job's state.
  */
 import { assertNever } from "../core/assert-never.js";
 import { dependenciesOf, formatResiduals } from "../core/jobs/pipeline.js";
@@ -43,7 +44,7 @@
 /** Dependencies and limits of a `SubmissionWriter`. */
 export interface SubmissionWriterOptions {
   readonly keyValueClient: KeyValueClient;
-  /** Rate limit of the changes that this node writes, shared with the leader's transactions. */
+  /** Rate limit on the changes that this node writes, including those of its transactions as the leader. */
   readonly writeBudget: TokenBucket;
   /** Current monotonic time, in seconds. */
   readonly now: () => number;
@@ -79,8 +80,8 @@
   private readonly queue: PendingQueue<PendingWrite>;
   private isDraining = false;
   /**
-   * Current maximum of changes per transaction. It is reduced after the state service refused a batch for its size,
-   * and then raised step by step.
+   * Current maximum number of changes per transaction. It is reduced when the state service refuses a batch because
+   * of its size, and raised by one after each successful transaction.
    */
   private currentMaxChanges: number;
 
@@ -94,7 +95,7 @@
     return this.queue.size;
   }
 
-  /** True if the job's value leaves enough of the maximum value size for the state of its tasks. */
+  /** True if the stored value of the job leaves enough of the maximum value size for the state of its tasks. */
   fitsValueLimit(spec: JobSpec): boolean {
     return this.isWithinSubmissionLimit(JSON.stringify(storedSubmission(spec, Date.now())).length);
   }
@@ -105,6 +106,7 @@
    */
   submit(spec: JobSpec, wallMs: number): Promise<SubmissionWriteResult> {
     const value = storedSubmission(spec, wallMs);
+    // Length of the value's JSON text; equal to its size in bytes only if the text is ASCII.
     const bytes = JSON.stringify(value).length;
     if (!this.isWithinSubmissionLimit(bytes)) return Promise.resolve(NEVER);
     const key = KEY.activeJob(spec.id);
@@ -175,7 +177,7 @@
     while (batch.length < maxChanges) {
       const next = this.queue.peek();
       if (next === undefined) break;
-      // A second write of the same key waits for the next transaction, where it fails as known.
+      // A second write of the same key waits for the next transaction, where it gets the outcome "known".
       if (keys.has(next.change.key)) break;
       if (batch.length > 0) {
         const changes = batch.length + gateBatch.changes.length + 1;
@@ -250,9 +252,9 @@
   }
 
   /**
-   * Writes the batch again after the rate limit was exceeded or the outcome is unknown. This is safe because the
-   * writes are conditional: if the first copy was executed, or arrives late, only one copy succeeds and the other one
-   * fails as `known`.
+   * Writes the batch again if the rate limit was exceeded or the outcome is unknown. This is safe because the writes
+   * are conditional: even if the first transaction was executed, or is executed late, each write succeeds only once,
+   * and its repetition gets the outcome "known".
    */
   private async retry(batch: readonly PendingWrite[], delayS: number): Promise<void> {
     this.queue.requeue(batch);
@@ -261,8 +263,8 @@
   }
 
   /**
-   * Answers writes whose own preconditions failed with "known", and requeues the others. If none of the failed keys
-   * is a precondition of the batch, all writes are answered with "unavailable".
+   * Answers a write with "known" if one of its own preconditions failed, and requeues the others. If the failed keys
+   * belong neither to a write of the batch nor to the gate, all writes are answered with "unavailable".
    */
   private async handleFailedPreconditions(
     batch: readonly PendingWrite[],
@@ -280,7 +282,8 @@
       return;
     }
     this.queue.requeue(retried);
-    // Another node charged the same ledger, or a new window began: read the stored state and evaluate them again.
+    // Another node charged the same ledger, or a new window began: the gate reads the stored state and then evaluates
+    // the requeued submissions again.
     if (hasGatePreconditionFailed && !(await this.gate.refresh())) {
       await sleepSeconds(this.options.maxWaitS / 20);
     }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS = 8;
 const MACHINES_PER_PAGE = 500;
 
-/** Requests to the cloud. No method rejects when the cloud does not answer. */
+/** Sends requests to the cloud. If the cloud does not answer, the methods return a failure and do not reject. */
 export class CloudClient {
   private readonly connections: HttpConnectionPool;
 
@@ -64,7 +64,7 @@
     return { kind: response.status === 400 ? "no capacity" : "failed" };
   }
 
-  /** Releases machines. False if the cloud did not confirm it, although it may have released them. */
+  /** Releases machines. False if the cloud did not confirm the release; it may have released them all the same. */
   async releaseMachines(machines: readonly string[]): Promise<boolean> {
     const response = await this.call("POST", PATH.releaseMachines, encodeRelease(machines));
     return response?.status === 200;
--- a/src/config/ini-values.ts
+++ b/src/config/ini-values.ts
@@ -6,7 +6,7 @@
   .union([z.boolean(), z.enum(["true", "false"])])
   .transform((value) => value === true || value === "true");
 
-/** Returns a schema for a number within bounds. An empty string is not accepted as a number. */
+/** Returns a schema for a number from `min` to `max`. An empty string is invalid and does not count as 0. */
 export const iniNumber = (min: number, max: number) =>
   z
     .union([z.number(), z.string().trim().min(1, "missing")])
--- a/src/core/capacity/scaling.ts
+++ b/src/core/capacity/scaling.ts
@@ -9,10 +9,10 @@
 import { cheapestOffer, offerKey, type ZonePredicate } from "./offers.js";
 import type { ScalingContext } from "./scaling-context.js";
 
-/** Limit of the cloud protocol. */
+/** Maximum number of machines in one scale-out request, as limited by the cloud protocol. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** A request for machines of one type in one zone, all of them spot machines or none. */
+/** A request for machines of one type in one zone; either all of them are spot machines or none is. */
 export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
@@ -22,7 +22,7 @@
   readonly why: string;
 }
 
-/** The resource demands of a class of jobs, from the latest job of the class, and the number of its tasks placed. */
+/** A class of jobs, represented by the spec of its latest job, and the number of placed tasks of the class. */
 export interface JobShape {
   readonly spec: JobSpec;
   placedTasks: number;
@@ -56,7 +56,7 @@
   return lateBootsByOffer;
 }
 
-/** Number of tasks of the job that fit the free capacity of machines that are up, or booting and not late. */
+/** Number of tasks of the job that fit the free capacity of all machines that count as capacity for new tasks. */
 export function freeSlots(cluster: Cluster, spec: JobSpec, now: number): number {
   let slots = 0;
   for (const machine of cluster.machines.values()) {
@@ -107,9 +107,10 @@
 }
 
 /**
- * The first job that lacks capacity determines the machine type, the zone and whether spot machines are requested.
- * Later jobs for which the same offer is the cheapest add to its count. With a separate request for each job, it took
- * a minute to request all the capacity that the cloud offered.
+ * Plans one request for all waiting jobs that need the same offer. The first job that lacks capacity determines the
+ * machine type, the zone and whether spot machines are requested. Later jobs for which the same offer is the cheapest
+ * add their machines to the request. With a separate request for each job, it took a minute to request all the
+ * capacity that the cloud offered.
  */
 function scaleOutForWaiting(
   scaling: ScalingContext,
@@ -148,7 +149,8 @@
 }
 
 /**
- * Plans capacity for a waiting job in the zones that its other tasks allow, less the capacity of booting machines.
+ * Plans machines for the tasks of a waiting job that do not fit on booting machines, in the zones that the placement
+ * of its other tasks allows.
  */
 function scaleOutForJob(
   job: ActiveJob,
--- a/src/core/jobs/task-ranges.ts
+++ b/src/core/jobs/task-ranges.ts
@@ -1,9 +1,9 @@
-/** A set of task numbers, kept as sorted, disjoint, closed ranges and formatted like `0-5,7`. */
+/** A set of task numbers, stored as sorted, disjoint ranges that include both ends, and formatted like `0-5,7`. */
 export class TaskRanges {
   private readonly ranges: [first: number, last: number][] = [];
   private count = 0;
 
-  /** Parses the format of `toString`. The text is not checked: its ranges must be sorted and disjoint. */
+  /** Parses the format of `toString`. The ranges must be sorted and disjoint, which is not checked. */
   static parse(text: string): TaskRanges {
     const parsed = new TaskRanges();
     if (text === "") return parsed;
--- a/src/core/leadership/term.ts
+++ b/src/core/leadership/term.ts
@@ -1,11 +1,12 @@
 /**
- * A leadership term: at any time at most one controller is the leader, and only the leader makes writes that accept
- * events (docs/design.md, exception 1).
+ * A leadership term, in which one controller is the leader. At any time there is at most one leader, and only the
+ * leader makes writes that accept events (docs/design.md, exception 1).
  *
  * A term ends at the latest when the lease of the stored leader record expires. It is numbered by the epoch, a
- * counter that is never reset. This module computes until when the leader may act: the time at which the last
- * successful renewal was sent, plus the length of the lease, less the clock drift and a margin. The leader therefore
- * stops acting before its lease can expire. Times are monotonic, in seconds, unless the name says otherwise.
+ * counter that is never reset. This module computes the time until which the leader may act: the time at which the
+ * last successful renewal was sent, plus the length of the lease, minus the possible clock drift and a margin. The
+ * leader therefore stops acting before its lease can expire. Times are monotonic, in seconds, unless the name says
+ * otherwise.
  */
 import { MAXIMUM_CLOCK_DRIFT_RATIO } from "../model/constants.js";
 
@@ -15,7 +16,7 @@
  */
 const MAXIMUM_STALL_CPU_S = 0.3;
 const MINIMUM_LEASE_S = 0.5;
-/** The leader stops acting before its lease expires. The margin is the clock drift plus the lease divided by this. */
+/** The leader stops acting before its lease expires, by the possible clock drift plus the lease divided by this. */
 const SAFETY_MARGIN_DIVISOR = 10;
 
 /**
@@ -61,7 +62,7 @@
     this.validUntil = this.validUntilFor(options.grantSentAt);
   }
 
-  /** The stored epoch, which is also the workers' fencing token. */
+  /** The stored epoch, which is also the fencing token in messages to the workers. */
   get epoch(): number {
     return this.currentEpoch;
   }
@@ -70,7 +71,7 @@
     return this.currentEpochModRevision;
   }
 
-  /** Applies an epoch that was advanced within this term so that workers drop commands still in flight. */
+  /** Adopts a higher epoch that was stored during this term so that workers drop commands still in flight. */
   advanceEpoch(epoch: number, modRevision: number): void {
     this.currentEpoch = epoch;
     this.currentEpochModRevision = modRevision;
@@ -89,10 +90,10 @@
   }
 
   /**
-   * Whether the leader may still answer heartbeats without commands. It may do so during the grace period, which
-   * begins when it may no longer act. Otherwise workers would lose all their tasks if the state service is down for
-   * all nodes. The next leader takes this time into account when it computes how late a lease can have been renewed
-   * (`gracePeriodS` of the scheduler).
+   * Whether the leader may still answer heartbeats, though without commands. It may do so until the end of the grace
+   * period, which begins when it may no longer act. Without a grace period, workers would lose all their tasks when
+   * the state service is down for all nodes. The next leader takes the grace period into account when it computes the
+   * latest time at which a worker's lease can have been renewed (`gracePeriodS` of the scheduler).
    */
   isWithinGracePeriod(now: number, gracePeriodS: number): boolean {
     return now < this.validUntil + gracePeriodS;
--- a/src/core/machines/fault-attribution.ts
+++ b/src/core/machines/fault-attribution.ts
@@ -8,21 +8,21 @@
 import type { TaskStatus } from "../model/workers.js";
 import type { Machine } from "./machine.js";
 
-/** Ratio to the median run time of its job above which a running task counts as slow on its machine. */
+/** Ratio of a task's run time to the median of its job above which the task counts as slow on its machine. */
 const SLOW_RATIO = 2.5;
-/** Number of machines on which a job must have failed, without success on any other, for the job to be suspect. */
+/** Number of machines on which a job without any successful task must have failed to be suspected of a fault. */
 const MINIMUM_FAILED_MACHINES = 3;
 /** Age, in worker leases, above which a failure is no longer considered. */
 const FAILURE_RETENTION_LEASES = 10;
 /** Number of distinct jobs that must fail, or of tasks that must be slow, on a machine for it to be at fault. */
 const MINIMUM_EVIDENCE = 2;
-/** Share of all machines that are drained because jobs fail on them, above which no further one is drained. */
+/** No machine is drained because jobs fail on it while more than this share of all machines is drained for that. */
 const MAXIMUM_FAULTY_SHARE = 0.02;
 /** Longest backoff of a job between two attempts, in seconds. */
 const MAXIMUM_JOB_BACKOFF_S = START_LATENCY_BOUND_S / 4;
 /** Seconds for which a job is not placed on a machine on which it failed. */
 const MACHINE_AVOIDANCE_S = START_LATENCY_BOUND_S / 4;
-/** Number of doublings after which the backoff no longer grows. */
+/** Number of doublings after which the backoff of a job no longer grows. */
 const MAXIMUM_BACKOFF_DOUBLINGS = 10;
 
 const FAULTY_DRAIN_REASON = "healthy jobs fail on it";
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Clears the suspicion of jobs that succeed again, and re-evaluates machines on which jobs failed. */
+  /** Clears the suspicion against jobs that succeed again, and re-evaluates machines on which jobs failed. */
   reviewFailures(now: number): void {
     if (now - this.reviewedAt < this.context.settings.heartbeatIntervalS / 2) return;
     this.reviewedAt = now;
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Drains the machine with the most tasks that run far longer than others of their job. Only one machine is drained
-   * for this reason at a time, because the jobs may be at fault after all.
+   * Drains the machine with the most tasks that ran far longer than others of their job. Only one machine is drained
+   * for this reason at a time, because the fault may lie with the jobs and not with the machine.
    */
   drainSlowMachines(now: number): void {
     if (now - this.slowCheckedAt < this.context.settings.heartbeatIntervalS) return;
@@ -99,8 +99,8 @@
 
   /**
    * Handles a failed task. A faulty job fails on every machine, whereas jobs that fail on a faulty machine succeed on
-   * others. When a machine was released as soon as any two jobs had failed on it, and one submitted job in 25 was
-   * faulty, 30 healthy machines were lost in a day.
+   * others. Two failed jobs alone are therefore no reason to release a machine: with that rule, and one faulty job in
+   * 25 submitted, 30 healthy machines were lost in a day.
    */
   private handleFailure(placement: Placement, now: number): void {
     const { job, machine } = placement;
@@ -138,6 +138,7 @@
     }
   }
 
+  /** Whether the job is at fault as far as is known: it failed on enough machines and succeeds on none. */
   private failsEverywhere(job: ActiveJob, now: number): boolean {
     if (this.succeedsElsewhere(job, now)) return false;
     return job.failures.failedMachines.size >= MINIMUM_FAILED_MACHINES;
@@ -168,8 +169,8 @@
   }
 
   /**
-   * Discards old failures and the failures of jobs that fail everywhere or were cancelled before they succeeded. They
-   * are no evidence against a machine.
+   * Discards failures that are no evidence against the machine: old ones, and those of jobs that are suspect or were
+   * cancelled before they succeeded.
    */
   private dropInconclusiveFailures({ failedJobs }: Machine, now: number): void {
     const retentionS = FAILURE_RETENTION_LEASES * this.context.settings.leaseS;
@@ -180,6 +181,7 @@
     }
   }
 
+  /** Drains the machine if enough jobs that failed on it succeed elsewhere, or else blocks new tasks for a time. */
   private evaluateMachine(machine: Machine, now: number): void {
     const { failedJobs } = machine;
     if (machine.drainReason !== null || failedJobs.size < MINIMUM_EVIDENCE) return;
@@ -194,13 +196,14 @@
       leaseS,
       heartbeatIntervalS * 2 ** (failedJobs.size - MINIMUM_EVIDENCE),
     );
+    // Only a new failure extends the backoff; a periodic review does not.
     const lastFailureAt = Math.max(...failedJobs.values());
     if (lastFailureAt === now) {
       machine.backoffUntil = Math.max(machine.backoffUntil, now + backoffS);
     }
   }
 
-  /** Number of jobs that failed on the machine and succeed on others. */
+  /** Number of jobs that failed on the machine and succeed on others, except those that failed on many machines. */
   private countJobsSucceedingElsewhere(machine: Machine, now: number): number {
     let count = 0;
     for (const job of machine.failedJobs.keys()) {
@@ -258,6 +261,9 @@
   }
 }
 
-/** Number of machines on which a job of this size may fail without being considered at fault itself. */
+/**
+ * Number of machines on which a job of this size may fail before its failures no longer count as evidence against a
+ * machine, because the job itself may be at fault.
+ */
 const toleratedFailedMachines = (job: ActiveJob): number =>
   Math.max(MINIMUM_FAILED_MACHINES, job.spec.tasks / 8);
--- a/src/core/machines/machine-monitor.ts
+++ b/src/core/machines/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Machine monitoring: probes overdue machines, releases unreachable ones, ends incarnations with expired leases. */
+/** Machine monitoring: probes overdue machines, releases unreachable ones and ends incarnations on lease expiry. */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -8,14 +8,17 @@
 import { mayHaveExtendedLease, runsCancelledTask, runsServiceTasks } from "./machine-predicates.js";
 import { ZonePartitionDetector } from "./zone-partition-detector.js";
 
-/** Share of all machines that may be released as unresponsive or unreachable in one heartbeat interval. */
+/**
+ * Share of all machines that may be released as unresponsive or unreachable in one heartbeat interval. The limit is
+ * never below two machines.
+ */
 const MAXIMUM_RELEASE_SHARE = 0.05;
 
 /** Heartbeat intervals without a message after which a machine is probed if the probe budget allows it. */
 const EARLY_PROBE_INTERVALS = 1;
 /** Like `EARLY_PROBE_INTERVALS`, for a machine that runs service tasks. */
 const EARLY_SERVICE_PROBE_INTERVALS = 0.8;
-/** Heartbeats arrive within this many intervals. A machine whose heartbeat is overdue is probed at once. */
+/** Heartbeats normally arrive within this many intervals. A machine whose heartbeat is overdue is probed at once. */
 const OVERDUE_INTERVALS = 1.25;
 
 /** Probes and releases machines by the time of their last message, several times per heartbeat interval. */
@@ -36,7 +39,7 @@
     this.partitionDetector = new ZonePartitionDetector(context.settings.heartbeatIntervalS);
   }
 
-  /** Probes machines that send no heartbeats, then releases them or waits until their lease has expired. */
+  /** Probes machines that send no messages, releases those at fault and ends incarnations with expired leases. */
   checkMachines(now: number): void {
     if (this.isStalled(now)) return;
     const running = [...this.context.cluster.machines.values()].filter(
@@ -71,8 +74,8 @@
   }
 
   /**
-   * Whether the check must wait because this process was stalled. After a stall all machines appear overdue until the
-   * messages that arrived meanwhile have been read.
+   * Whether the check must wait because this process was stalled just before. After a stall, all machines appear
+   * overdue until the messages that arrived meanwhile have been read. Records the time of the check.
    */
   private isStalled(now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
@@ -82,12 +85,12 @@
     return now < this.nextCheckAt;
   }
 
-  /** Steps down if messages arrive from less than a third of the workers: another node may be able to reach more. */
+  /** Steps down if messages arrive from fewer than a third of the workers: another node may reach more. */
   private stepDownIfIsolated(running: readonly Machine[], now: number): boolean {
     const { heartbeatIntervalS } = this.context.settings;
-    // An overloaded node has unread heartbeats, which is no sign of a partition, and a new leader would have to
-    // contact all workers again. Without this check, after all controllers had terminated, a slow new leader stepped
-    // down 12 s into its term, and the workers' leases expired.
+    // An overloaded node has heartbeats that it has not read yet. That is no sign of a partition, and a new leader
+    // would have to contact all workers again. Without this check, a slow new leader, elected after all controllers
+    // had terminated, stepped down 12 s into its term, and the workers' leases expired.
     if (this.dispatcher.isOverloaded) return false;
     const known = running.filter(({ incarnation }) => incarnation > 0);
     const recent = known.filter(
@@ -103,8 +106,8 @@
   }
 
   /**
-   * Returns the machines that may have to be probed or released, those that run service tasks first. Also releases
-   * drained machines that are empty.
+   * Returns the machines that may have to be probed or released; those that run service tasks come first. Also
+   * releases drained machines on which no tasks are left.
    */
   private collectLateMachines(running: readonly Machine[], now: number): Machine[] {
     const lateAfterS = EARLY_SERVICE_PROBE_INTERVALS * this.context.settings.heartbeatIntervalS;
@@ -169,7 +172,7 @@
     ) {
       this.releaseWithinRate(machine, "no message from worker", machineCount, now);
     }
-    // Even if its heartbeats arrive, neither their answers nor commands reach it, so its lease will expire.
+    // Even if the worker's heartbeats arrive, neither the answers nor commands reach it, so its lease will expire.
     const { unreachableSince } = machine;
     const isUnreachable =
       unreachableSince !== null && now - unreachableSince > 2 * heartbeatIntervalS;
@@ -199,9 +202,9 @@
   }
 
   /**
-   * Releases the machine unless the limit for this heartbeat interval is reached. Few machines fail at the same time,
-   * and if this node is the one that lags, the next interval shows it. Without the limit, two takeovers each led to
-   * the release of a quarter of all machines, with all their tasks, within five seconds.
+   * Releases the machine unless the limit for this heartbeat interval is reached. Few machines fail at the same time.
+   * If many seem to, this node may be lagging, and their messages are read by the next interval. Without the limit,
+   * two takeovers each led to the release of a quarter of all machines, with all their tasks, within five seconds.
    */
   private releaseWithinRate(
     machine: Machine,
@@ -219,7 +222,7 @@
     this.machinePool.requestRelease(machine, why);
   }
 
-  /** Ends the worker's incarnation once its lease has certainly expired, since all its tasks have then ended. */
+  /** Ends the worker's incarnation, and with it all its tasks, once the worker's lease has certainly expired. */
   private endExpiredIncarnation(machine: Machine, now: number): void {
     if (machine.placements.size === 0 || now <= this.latestLeaseExpiry(machine)) return;
     for (const placement of [...machine.placements.values()]) {
@@ -232,9 +235,9 @@
   }
 
   /**
-   * Time at which the worker's lease has certainly expired if no more messages arrive: one lease after the latest
-   * possible renewal by any node. In a partitioned zone the leases of machines with service or gang tasks are
-   * extended (`LeaseExtension`), in the worst case by one node after another.
+   * Time at which the worker's lease has certainly expired if no more messages arrive: one lease, with an allowance
+   * for clock drift, after the latest possible renewal by any node. In a partitioned zone, the leases of machines
+   * with service or gang tasks are extended (`LeaseExtension`), in the worst case by one node after another.
    */
   private latestLeaseExpiry(machine: Machine): number {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from "../model/jobs.js";
 import type { MachineType } from "../model/machines.js";
 
-/** An attempt that the worker's heartbeats list as exited and for which no `forget` command has been sent yet. */
+/** An attempt that the worker's heartbeats list as exited, which they do until a `forget` command is executed. */
 export interface ExitedTask {
   readonly job: string;
   readonly task: number;
@@ -40,13 +40,13 @@
 /**
  * A machine. Times are read from the leader's monotonic clock, in seconds, as everywhere in `src/core`.
  *
- * Several fields together describe one state, as the tables show. They are separate fields because each is read on
- * its own, for every machine.
+ * Each table shows several fields that together describe one aspect of the state. They are separate fields because
+ * each is read on its own, for every machine.
  *
  * | Knowledge of the worker | `state` | `incarnation` | `hasSeenTermToken` | `hasAcknowledgedToken` |
  * | --- | --- | --- | --- | --- |
  * | No message yet | `booting` | 0 | false | false |
- * | Only the stored record or placements of a previous leader | `up` | as placed, or 0 | false | false |
+ * | Only a previous leader's record or placements | `up` | that of the placements, or 0 | false | false |
  * | It has sent a message, but under a previous leader's fencing token | `up` | > 0 | false | false |
  * | It has acknowledged the current token: start commands may be sent | `up` | > 0 | true | true |
  * | The token was advanced after it acknowledged the earlier one | `up` | > 0 | true | false |
@@ -68,7 +68,7 @@
   state: MachineState = "booting";
   bootingSince: number;
   idleSince: number;
-  /** The worker has reported type, zone and spot flag, which overrides the cloud's list and the stored record. */
+  /** The worker has reported its type, zone and spot flag; this overrides the cloud's list and the stored record. */
   isSelfDescribed = false;
 
   /** The last known incarnation of the worker. */
@@ -80,7 +80,10 @@
   /** The worker has seen a fencing token of this leader's term, so it drops answers of previous leaders. */
   hasSeenTermToken = false;
 
-  /** Time at which the last message of any kind arrived from the worker. */
+  /**
+   * Time at which the last message of any kind arrived from the worker. If none has arrived yet from a machine of a
+   * previous leader, the start of this leader's term.
+   */
   lastMessageAt = Number.NEGATIVE_INFINITY;
   /**
    * Time of the last heartbeat that the worker sent unprompted, or of its first message if it has sent none. A worker
@@ -94,6 +97,7 @@
 
   /** A direct request is in flight. */
   hasRequestInFlight = false;
+  /** Time before which no direct request is sent to the worker. */
   nextRequestAt = Number.NEGATIVE_INFINITY;
   /** Number of unanswered direct requests since the last message. */
   consecutiveFailedRequests = 0;
@@ -122,15 +126,15 @@
 
   /** Jobs of which a task failed here, with the time of the last failure, until the fault is attributed. */
   readonly failedJobs = new Map<ActiveJob, number>();
-  /** `taskKey`s of tasks that run far longer here than the median task of their job. */
+  /** `taskKey`s of tasks that ran far longer here than the median of their job; kept after the tasks have ended. */
   readonly slowTasks = new Set<string>();
   /** Reason for draining: the machine accepts no new tasks and is released once empty. Null: it is not drained. */
   drainReason: string | null = null;
   /** Time until which the machine accepts no new tasks. */
   backoffUntil = Number.NEGATIVE_INFINITY;
   /**
-   * Weakest precedence of the tasks here in the last scheduling cycle. A higher number is weaker; -1: no task. Only a
-   * job with a stronger precedence can preempt a task here.
+   * Weakest precedence of the tasks here, apart from those being stopped, as of the last scheduling cycle. A higher
+   * number is weaker; -1: no task. Only a job with a stronger precedence can preempt a task here.
    */
   weakestPrecedence = -1;
   reservation: CapacityReservation | null = null;
@@ -159,7 +163,7 @@
   }
 }
 
-/** Number of tasks of a job that fit into the given amounts. */
+/** Number of tasks of a job that fit into the given amounts of CPUs, GPUs and memory. */
 export function taskSlots(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): number {
   let slots = Number.MAX_SAFE_INTEGER;
   if (spec.cpus > 0) slots = Math.min(slots, Math.floor((cpus + AMOUNT_TOLERANCE) / spec.cpus));
--- a/src/core/model/jobs.ts
+++ b/src/core/model/jobs.ts
@@ -6,7 +6,7 @@
  */
 export type JobKind = "array" | "gang" | "service";
 
-/** Priority of a job, most urgent first. It decides which jobs may preempt which others. */
+/** Priority of a job; the values are listed from the most urgent. It decides which jobs may preempt which others. */
 export type Priority = "production" | "high" | "normal" | "low";
 
 const PRIORITY_RANKS: Readonly<Record<Priority, number>> = {
@@ -21,7 +21,7 @@
 
 /** An accepted submission. It is stored in this form, so its fields must not be renamed. */
 export interface JobSpec {
-  /** Unique id, chosen by the user. A repeated submission has the same id. */
+  /** Unique id, chosen by the user. A second submission with the same id counts as a repetition of the first. */
   readonly id: string;
   /** Class of the job. The settings define service-level objectives per class. */
   readonly class: string;
--- a/src/core/planning/context.ts
+++ b/src/core/planning/context.ts
@@ -18,7 +18,7 @@
   readonly now: number;
   /** Time of day at the start of the cycle, in milliseconds since 1970. Deadlines and objectives refer to it. */
   readonly wallMs: number;
-  /** Size in bytes that a job's stored value must not exceed when tasks of the job are placed. */
+  /** Maximum size of a job's stored value, in bytes, which placing tasks of the job must not exceed. */
   readonly maxValueBytes: number;
   readonly snapshot: MachineSnapshot;
   /** Ids of the jobs that fit within the guaranteed capacity of their team. */
@@ -35,15 +35,15 @@
  * machines and jobs a pass over all machines for every job takes more CPU time than a controller has.
  */
 export interface MachineSnapshot {
-  /** Usable machines, which are those that accept new work, by the name of their type. */
+  /** Usable machines, by the name of their type. A machine is usable if it accepts new work. */
   readonly usableByType: ReadonlyMap<string, readonly Machine[]>;
   /** Usable machines with free CPU and memory. */
   readonly withFreeCapacity: readonly Machine[];
   /** One machine, usable or not, for each combination of type, zone and spot flag. */
   readonly oneOfEachKind: readonly Machine[];
-  /** The machines of `withFreeCapacity` that hold an image, by the image's name. */
+  /** The machines of `withFreeCapacity` that have pulled an image, by the image's name. */
   readonly withImage: ReadonlyMap<string, readonly Machine[]>;
-  /** Number of usable GPU machines, with or without free capacity, that hold an image, by the image's name. */
+  /** Number of usable GPU machines, with or without free capacity, that have pulled an image, by the image's name. */
   readonly gpuMachineCountByImage: ReadonlyMap<string, number>;
 }
 
--- a/src/net/response-reader.ts
+++ b/src/net/response-reader.ts
@@ -12,7 +12,7 @@
 const HEADER_END = Buffer.from("\r\n\r\n");
 const CRLF_BYTES = 2;
 
-/** Parses one response at a time, and keeps the bytes that follow it. */
+/** Parses one response at a time, and keeps the bytes after it for the next one. */
 export class ResponseReader {
   private pending: Buffer = Buffer.alloc(0);
 
@@ -45,6 +45,7 @@
     bodyStart: number,
   ): HttpResponse | null {
     const chunks: Buffer[] = [];
+    // Position of the size line of the next chunk.
     let sizeAt = bodyStart;
     for (;;) {
       const sizeEnd = this.pending.indexOf("\r\n", sizeAt);
--- a/src/node/admission-composition.ts
+++ b/src/node/admission-composition.ts
@@ -31,7 +31,7 @@
   });
 }
 
-/** Logs an admission decision; admissions by an open window are routine and logged at debug level only. */
+/** Logs a decision: at debug level if the job was admitted in an open window, which is routine, or else at info. */
 function logDecision(log: Logger, decision: LoggedDecision): void {
   const isRoutine = decision.kind === "admit" && decision.reason === "open";
   log[isRoutine ? "debug" : "info"](decision, "admission decision");
--- a/src/node/state-contact.ts
+++ b/src/node/state-contact.ts
@@ -8,11 +8,11 @@
   readonly watcher: StateWatcher;
   /** Current monotonic time, in seconds. */
   readonly now: () => number;
-  /** Longest time since the last answer at which the node still counts as in contact, in seconds. */
+  /** Seconds since the last answer of the state service after which the node no longer counts as in contact. */
   readonly maximumContactGapS: number;
 }
 
-/** Determines contact with the state service from the time of its last answer. */
+/** Determines from the time of the state service's last answer whether the node is in contact with it. */
 export class StateContact {
   constructor(private readonly options: StateContactOptions) {}
 
@@ -22,8 +22,9 @@
   }
 
   /**
-   * Whether the replica is loaded and the state service has answered within `maximumContactGapS`. Watches return
-   * within that time, so a longer time without an answer means that this node is partitioned from the state service.
+   * Whether the replica is loaded and the state service has answered within `maximumContactGapS`. Watch requests
+   * are answered within that time, so a longer time without an answer means that this node is partitioned from the
+   * state service.
    */
   reachesStateService(): boolean {
     const { keyValueClient, watcher, now, maximumContactGapS } = this.options;
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -2,12 +2,15 @@
 import * as z from "zod";
 
 /**
- * Keys of the state service have at most 200 bytes and no spaces; the controller puts prefixes of up to four
- * characters before an id.
+ * Maximum size of an id or a name. A key of the state service has at most 200 bytes and no spaces, and contains a
+ * prefix of up to four characters before the id. The key of a job shard also has the shard's number after the id.
  */
 export const MAX_ID_BYTES = 190;
 
-/** True for printable ASCII that needs no escaping in a URL and is short enough for a key of the state service. */
+/**
+ * True for printable ASCII without spaces and without the characters that separate the parts of a URL, if it is short
+ * enough for a key of the state service.
+ */
 export const isValidJobId = (id: string): boolean =>
   id.length > 0 &&
   Buffer.byteLength(id) <= MAX_ID_BYTES &&
@@ -44,7 +47,7 @@
 /** An object whose fields have not been validated. */
 type UncheckedFields = Readonly<Record<string, unknown>>;
 
-/** True if the value is an object, whose fields can be read (an array is one, too). */
+/** True if the value is an object or an array, so that its fields can be read. */
 export const isObject = (value: unknown): value is UncheckedFields =>
   typeof value === "object" && value !== null;
 
--- a/src/workers/client.ts
+++ b/src/workers/client.ts
@@ -1,8 +1,8 @@
 /**
  * Sends commands and probes to workers.
  *
- * It keeps connections only to the most recently used workers, within a share of this node's sockets, because every
- * worker also opens a connection to the leader.
+ * The client keeps connections only to the workers that it used most recently. It may use only a share of this node's
+ * sockets, because every worker also opens a connection to the leader.
  */
 import type { CommandOutcome } from "../core/effects.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../core/model/workers.js";
@@ -24,13 +24,16 @@
     private maxConnectedWorkers: number,
   ) {}
 
-  /** Changes the number of workers to which connections are kept; the least recently used are closed first. */
+  /** Changes the number of workers to which connections are kept. Closes those of the least recently used. */
   setMaxConnectedWorkers(maxConnectedWorkers: number): void {
     this.maxConnectedWorkers = maxConnectedWorkers;
     this.closeLeastRecentlyUsed();
   }
 
-  /** Sends commands that the worker executes only under this fencing token and incarnation. Never rejects. */
+  /**
+   * Sends commands. The worker drops them if it has seen a higher fencing token or is in another incarnation. Never
+   * rejects.
+   */
   async send(
     address: string,
     fencingToken: number,
@@ -69,7 +72,7 @@
     }
   }
 
-  /** Closes the connections to all other addresses, which belong to terminated machines. */
+  /** Closes the connections to all addresses but these; the other addresses belong to terminated machines. */
   closeAllExcept(addresses: ReadonlySet<string>): void {
     for (const [address, pool] of this.pools) {
       if (addresses.has(address)) continue;
