--- a/src/admission/claims.ts
+++ b/src/admission/claims.ts
@@ -1,7 +1,8 @@
 /**
- * The admission part of one transaction that stores submissions: selects the jobs that it may contain and supplies
- * the ledger changes that charge them. Its preconditions are that the window and the ledger of each charged team have
- * not changed, so the transaction commits only if the verdicts still hold.
+ * The part of admission control in one transaction that stores submissions. It decides which jobs the transaction
+ * may contain, and adds the changes that charge them to the ledgers of their teams. It also adds the preconditions
+ * that the window and each charged ledger have not changed. The transaction therefore commits only if every job would
+ * still be admitted.
  */
 import type { GateBatch } from "../api/submission-gate.js";
 import type { JobSpec } from "../core/model/jobs.js";
@@ -11,11 +12,14 @@
 import type { TeamLedger } from "./model.js";
 import type { AdmissionReplica } from "./replica.js";
 
-/** Admits jobs to one transaction and accumulates the corresponding ledger changes. */
+/**
+ * Admits jobs to one transaction and accumulates the corresponding ledger changes. A claim is the number of units (of
+ * `WHOLE_SHARE`) that an admitted job is charged.
+ */
 export class ClaimBatch implements GateBatch {
   /** Ledgers of the teams charged so far, with the claims of this batch added. */
   private readonly ledgers = new Map<string, TeamLedger>();
-  /** Mod revisions at which those ledgers were read. */
+  /** Mod revision that the ledger of each charged team had in the replica when the team was first charged. */
   private readonly ledgerModRevisions = new Map<string, number>();
   private readonly windowModRevision: number;
 
@@ -29,8 +33,8 @@
   }
 
   /**
-   * Admits the job if part of the grant of its class is unused, based on the changes that this controller has
-   * applied. Returns whether the job was admitted.
+   * Admits the job if part of the grant that applies to it is unused, according to this controller's replica and the
+   * earlier claims of this batch. Returns whether the job was admitted.
    */
   tryAdmit(job: JobSpec): boolean {
     const { replica } = this;
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -4,18 +4,18 @@
 import type { AdmissionReplica } from "./replica.js";
 
 /**
- * The status of one class of a team in one lane, printed as JSON under these field names. Shares are fractions of the
- * cluster's capacity for the dominant resource.
+ * The status of one class of a team in one lane, printed as JSON under these field names. `granted` and `used` are
+ * dominant shares: fractions of the cluster's capacity for the resource of which the work needs the largest fraction.
  */
 export interface ClassStatus {
   readonly team: string;
-  /** Null for all classes of the team that have no grant of their own. */
+  /** Null in the one entry that stands for all classes of the team without a grant of their own. */
   readonly class: string | null;
   readonly lane: Lane;
   /** Granted share, or null if it is unlimited. */
   readonly granted: number | null;
   readonly used: number;
-  /** Number of rejected jobs, from the stored rejection records of the window. */
+  /** Number of jobs rejected in the window, according to the stored rejection records. */
   readonly refusedJobs: number;
 }
 
@@ -23,8 +23,11 @@
 export interface AdmissionStatus {
   /** Version of the newest window, or null if none was ever stored. */
   readonly window: number | null;
+  /** Whether the window is in force and limits admission. If not, `classes` is empty. */
   readonly limited: boolean;
+  /** Current leadership epoch. */
   readonly epoch: number;
+  /** Names of the weight calendar's periods that were active when the leader computed the window. */
   readonly periods: readonly string[];
   readonly classes: readonly ClassStatus[];
 }
@@ -32,6 +35,7 @@
 const LANES: readonly Lane[] = ["new", "follower"];
 
 function grantedShare(units: number): number | null {
+  // Half of `UNLIMITED` is 45 million times the cluster's capacity. No limited grant is expected to be as large.
   return units >= UNLIMITED / 2 ? null : units / WHOLE_SHARE;
 }
 
@@ -50,6 +54,7 @@
   for (const record of replica.allRejections()) {
     if (record.window !== window.version) continue;
     for (const refused of record.classes) {
+      // The grant is the team's grant for other classes, and the class has no grant of its own.
       const isCoveredByGrantForOthers = grant.class === null && !namedClasses.has(refused.class);
       const isSameTeamAndLane = refused.team === grant.team && refused.lane === lane;
       if (isSameTeamAndLane && (refused.class === grant.class || isCoveredByGrantForOthers))
--- a/src/admission/usage.ts
+++ b/src/admission/usage.ts
@@ -22,11 +22,15 @@
   return capacity;
 }
 
+/** A `ClassUsage` without its weight, while the sums are being computed. */
 interface MutableUsage {
   readonly team: string;
   readonly class: string;
+  /** Whether the class has an unfinished job of priority `production`. */
   production: boolean;
+  /** Total resources of the tasks that are not done. */
   unfinished: ResourceVector;
+  /** Total resources in the rejection records. */
   refused: ResourceVector;
 }
 
@@ -58,7 +62,7 @@
   }
 }
 
-/** Returns the usage of all classes with unfinished or rejected jobs, with their weights in the active periods. */
+/** Returns the usage and weight of every class with unfinished or rejected jobs. `periods`: the active periods. */
 export function classUsages(
   cluster: Cluster,
   rejections: readonly RejectionRecord[],
@@ -89,7 +93,10 @@
     .reduce((weight, period) => weight * period.weight, 1);
 }
 
-/** Returns a weight factor for each team: the product of the weights of the active periods for the whole team. */
+/**
+ * Returns the weight factor of each team for which a period applies to the whole team: the product of the weights of
+ * these periods. `periods`: the active periods.
+ */
 export function teamWeightsOf(periods: readonly Period[]): Map<string, number> {
   const weights = new Map<string, number>();
   for (const { team, class: className, weight } of periods) {
--- a/src/admission/window-planner.ts
+++ b/src/admission/window-planner.ts
@@ -6,7 +6,7 @@
 import type { AdmissionWindow } from "./model.js";
 import { limitedWindow, loadRatio, openWindow, type WindowInput } from "./window.js";
 
-/** Number of window lengths without overload or rejections after which admission is no longer limited. */
+/** Number of window lengths for which the cluster must be underloaded before an open window is stored. */
 const REOPEN_AFTER_WINDOWS = 2;
 
 /** Input from which the next window is computed. */
@@ -25,7 +25,11 @@
   readonly input: PlannerInput;
 }
 
-/** Tracks when the last window was stored and since when the cluster has no longer been overloaded. */
+/**
+ * Tracks when the last window was stored and since when the cluster has been underloaded. The cluster is overloaded
+ * if its load ratio is more than 1 + `queueRatio`. It is underloaded if the ratio is at most 1 + `queueRatio` / 2 and
+ * no jobs were rejected recently.
+ */
 export class WindowPlanner {
   private writtenAt = Number.NEGATIVE_INFINITY;
   private underloadedSince: number | null = null;
@@ -62,6 +66,7 @@
     this.writtenAt = now;
   }
 
+  /** Updates `underloadedSince`. Returns whether the cluster has been underloaded long enough for an open window. */
   private canReopen(isUnderloaded: boolean, now: number): boolean {
     if (!isUnderloaded) {
       this.underloadedSince = null;
--- a/src/api/pending-queue.ts
+++ b/src/api/pending-queue.ts
@@ -1,10 +1,10 @@
-/** A queue of submissions and cancellations that wait for a transaction; implementations define the order. */
+/** A queue of submissions and cancellations that wait for a transaction. Each implementation defines its order. */
 export interface PendingQueue<T> {
   readonly size: number;
 
   push(item: T): void;
 
-  /** Puts items that were taken but not written back at the front of the queue, in the given order. */
+  /** Returns items to the front of the queue, in the given order. They had been removed, but were not stored. */
   requeue(items: readonly T[]): void;
 
   /** Returns the next item without removing it. */
--- a/src/api/server.ts
+++ b/src/api/server.ts
@@ -10,9 +10,10 @@
 
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** Builds the server without listening yet. */
+/** Builds the server. The caller must make it listen. */
 export function buildServer(backend: ApiBackend, options: ServerOptions): FastifyInstance {
   const heartbeats = new HeartbeatHandler(backend, options);
+  // Set by `serverFactory`, which Fastify calls.
   let workers: WorkerConnections | null = null;
   const app = Fastify({
     logger: false,
@@ -40,13 +41,17 @@
   readonly workers: WorkerConnections;
 }
 
-/** Creates the HTTP server, with `WorkerConnections` accepting every connection before it. */
+/**
+ * Creates the HTTP server. `WorkerConnections` accepts all connections, and passes those with requests other than
+ * heartbeats to the HTTP server's own connection listener.
+ */
 function createServerWithWorkers(
   handler: RequestListener,
   heartbeats: HeartbeatHandler,
   idleTimeoutS: number,
 ): ServerWithWorkers {
   const server = createServer({ keepAliveTimeout: idleTimeoutS * 1000 }, handler);
+  // 0: no limit on the time in which a whole request must be received.
   server.requestTimeout = 0;
   const [connectionListener] = server.listeners("connection") as ((socket: Socket) => void)[];
   server.removeAllListeners("connection");
--- a/src/config/configuration-report.ts
+++ b/src/config/configuration-report.ts
@@ -1,6 +1,7 @@
 /**
- * Output of `peatsaddle check`: the configuration in force. Operators' scripts parse it, so this module defines its
- * field names and their order independently of the names in the code.
+ * Output of `peatsaddle check`: the configuration in force. Operators' scripts parse it, so its field names and their
+ * order must not change when a name in the code does. This module therefore maps the settings whose names differ.
+ * Other fields, such as those in `...others`, are printed under their names in the code.
  */
 import type { ClusterSettings } from "../core/model/settings.js";
 import type { NodeSettings } from "../wire/settings.js";
--- a/src/core/jobs/active-job.ts
+++ b/src/core/jobs/active-job.ts
@@ -7,15 +7,19 @@
 import { eventName, formatResiduals, isEventAcceptable, parseResiduals } from "./pipeline.js";
 import { type LoadedJob, ShardedJob } from "./sharded-job.js";
 
-/** Extends the stored state of a job with its dependencies, its urgency and results of recent scheduling cycles. */
+/**
+ * Extends the stored state of a job with the parsed residuals of its dependencies, its urgency, its failures, and
+ * results of the last scheduling cycle. A residual is the part of a dependency that remains to be satisfied after the
+ * events so far. Times in ms are wall-clock times since the Unix epoch; other times are monotonic, in seconds.
+ */
 export class ActiveJob extends ShardedJob {
-  /** Time of day (ms) of the submission. */
+  /** Wall-clock time (ms) of the submission. */
   readonly submittedAtMs: number;
-  /** Residuals in stored form. They are parsed on first use only, which keeps takeovers fast. */
+  /** Residuals in stored form. They are parsed only on first use, so that takeovers are fast. */
   residualsText: readonly string[];
   /** Rank of the most urgent priority among the job and its direct and transitive dependents. */
   effectiveRank: number;
-  /** Time of day (ms) by which the job should end to meet its own and its dependents' deadlines; null: none. */
+  /** Wall-clock time (ms) by which the job should end to meet its own and its dependents' deadlines; null: none. */
   effectiveDeadlineMs: number | null;
   /** Epoch of the leader that accepted the job's start; 0: the start has not been accepted. */
   ownerEpoch: number;
@@ -26,18 +30,18 @@
   readonly zones: ZoneOccupancy;
   /** Whether any task of the job has run, as far as this leader knows. */
   firstTaskStarted = false;
-  /** Time until which no task of the job is placed, after failures. */
+  /** Time before which no task of the job is placed; set after failures. */
   backoffUntil = Number.NEGATIVE_INFINITY;
   readonly failures = new FailureHistory();
   /** Run times of completed tasks, in seconds. */
   readonly runTimes: number[] = [];
-  /** Precedence in the last scheduling cycle; a lower value is stronger. See `precedenceOf`. */
+  /** Precedence in the last scheduling cycle; the job with the lower value comes first. See `precedenceOf`. */
   precedence = 0;
   /** Earliest time of the next search for tasks to preempt; set after a search that found none. */
   nextPreemptionAt = Number.NEGATIVE_INFINITY;
   /**
-   * For a gang, whether a start now would still meet the longest start-time objective for work within a team's
-   * guarantee; true for other jobs.
+   * For a gang, whether a start in the last scheduling cycle would have met the longest of the start-time objectives
+   * for work within a team's guarantee. True for other jobs, and if there is no such objective.
    */
   canStillMeetGuarantee = true;
   /** Whether the job is placed before others because it has waited for too long. */
@@ -52,7 +56,8 @@
   /** Cached `isBlockedOnDependencies`, cleared when the residuals change; null: not computed. */
   private blockedCache: boolean | null = null;
   /**
-   * Time of day (ms) at which this leader found all dependencies of the job done; null: not all are known to be done.
+   * Wall-clock time (ms) at which this leader found all dependencies of the job done; null: not all are known to be
+   * done.
    */
   private readyAtMs: number | null = null;
   /** Cached `pendingCount`, cleared when the placements change; null: not computed. */
@@ -70,7 +75,7 @@
     this.isStartAccepted = value.ownerEpoch > 0;
   }
 
-  /** Residuals of the job's dependencies. */
+  /** Residuals of the job's dependencies, parsed. */
   get dependencies(): readonly Expression[] {
     this.parsedResiduals ??= parseResiduals(this.residualsText);
     return this.parsedResiduals;
@@ -82,7 +87,7 @@
     this.residualsText = formatResiduals(residuals);
   }
 
-  /** Whether the job's start would currently reduce a dependency to zero or make it insecure. */
+  /** Whether the job's dependencies currently forbid its start; see `isEventAcceptable`. */
   get isBlockedOnDependencies(): boolean {
     if (this.spec.after === undefined || this.isStartAccepted) return false;
     this.blockedCache ??= !isEventAcceptable(this.dependencies, eventName("start", this.spec.id));
@@ -94,29 +99,32 @@
     return this.spec.after === undefined || this.readyAtMs !== null;
   }
 
-  /** Records the time of day at which this leader first found all dependencies done. */
+  /** Records the wall-clock time (ms) at which this leader first found all dependencies done. */
   markReady(wallMs: number): void {
     this.readyAtMs ??= wallMs;
   }
 
-  /** Time of day (ms) from which the job's service-level objectives, other than its deadline, are measured. */
+  /** Wall-clock time (ms) from which the job's service-level objectives, other than its deadline, are measured. */
   get objectivesStartMs(): number {
     if (this.spec.after === undefined) return this.submittedAtMs;
     return this.readyAtMs ?? this.submittedAtMs;
   }
 
-  /** Time of day (ms) of the job's own deadline; null: no deadline. */
+  /** Wall-clock time (ms) of the job's own deadline; null: no deadline. */
   get ownDeadlineMs(): number | null {
     const { deadlineS } = this.spec;
     return deadlineS === null ? null : this.submittedAtMs + 1000 * deadlineS;
   }
 
-  /** Whether the job is suspected of failing on any machine. */
+  /** Whether the job is suspected of failing regardless of the machine. */
   get isSuspect(): boolean {
     return this.failures.suspicion !== null;
   }
 
-  /** Whether an attempt that was placed after the job became suspect is in progress, to test if it still fails. */
+  /**
+   * Whether an attempt that was placed after the job became suspect is in progress. Its outcome shows whether the job
+   * still fails.
+   */
   get hasRetryInProgress(): boolean {
     const { suspicion } = this.failures;
     if (suspicion === null) return false;
@@ -140,7 +148,10 @@
     yield* this.unrecordedPlacements;
   }
 
-  /** Whether another attempt of this placement's task may be on a machine. */
+  /**
+   * Whether another attempt of this placement's task may be on a machine. Also true if this placement is not, or no
+   * longer, the recorded one of its task.
+   */
   hasOtherAttempt(placement: Placement): boolean {
     for (const other of this.unrecordedPlacements) {
       if (other !== placement && other.task === placement.task) return true;
@@ -162,7 +173,7 @@
     return this.pendingCountCache;
   }
 
-  /** Called on every change of the placements, including those that need not be stored. */
+  /** Must be called after every change of the placements, also after a change that need not be stored. */
   invalidatePendingCount(): void {
     this.pendingCountCache = null;
   }
--- a/src/core/jobs/pipeline.ts
+++ b/src/core/jobs/pipeline.ts
@@ -1,9 +1,11 @@
 /**
  * Pipelines: jobs linked by dependencies between their start, done and failed events.
  *
- * A submission contains one job and names the jobs that must be done before it. The stored record of a job contains
- * the residuals of the dependencies between its own events (`ownDependencies`) and of those on the jobs that it names
- * (`afterDependencies`). The outcome of a named job is an event that residuates them.
+ * A submission contains one job and names the jobs that must be done before it. Its dependencies are those between
+ * its own events (`ownDependencies`) and those on the jobs that it names (`afterDependencies`). Each is an expression
+ * of the event algebra in `algebra/expression.ts`. To residuate an expression by an event is to reduce it to its
+ * residual: the part that remains to be satisfied after the event. The stored record of a job contains the residuals
+ * of all its dependencies. They are residuated again by the outcome of each named job.
  */
 import {
   type Atom,
@@ -25,20 +27,23 @@
 
 const EVENT_PREFIXES: Readonly<Record<JobEvent, string>> = { start: "s", done: "d", failed: "f" };
 
-/** The event's name in expressions: `start` of job `a` is `s:a`. Operators of the algebra are escaped in job ids. */
+/**
+ * The event's name in expressions: `start` of job `a` is `s:a`. Characters of the job id that are operators of the
+ * algebra are escaped.
+ */
 export const eventName = (event: JobEvent, job: string): string =>
   `${EVENT_PREFIXES[event]}:${job.replace(/[.+~]/g, escapeOperator)}`;
 
 const escapeOperator = (character: string): string => `%${character.charCodeAt(0).toString(16)}`;
 
-/** The controllers trigger the start event. */
+/** The controllers decide whether and when a job starts: they can trigger, reject and delay the event. */
 const START: EventAttributes = { triggerable: true, rejectable: true, delayable: true };
 /**
- * Like commit in the paper that `algebra/expression.ts` names: it occurs only once the transaction is committed, so
- * it can be delayed and rejected.
+ * Corresponds to the commit event in the paper that is cited in `algebra/expression.ts`. It occurs only when the
+ * transaction that stores it commits, so the controllers can delay and reject it.
  */
 const DONE: EventAttributes = { triggerable: false, rejectable: true, delayable: true };
-/** Like abort in the same paper: the controllers learn of the failed event only after it has occurred. */
+/** Corresponds to the abort event in that paper: the controllers learn of it only after it has occurred. */
 const FAILED: EventAttributes = { triggerable: false, rejectable: false, delayable: false };
 
 /** Returns the attributes of an event, given its name. */
@@ -76,7 +81,10 @@
   ...after.flatMap((other) => afterDependencies(job, other)),
 ];
 
-/** Residuates by the outcome of `other`, and by the complement of the opposite outcome, which can no longer occur. */
+/**
+ * Residuates the dependencies by the outcome of `other`. Also residuates them by the complement of the opposite
+ * outcome, because that can no longer occur.
+ */
 export function residuateByOutcome(
   dependencies: readonly Expression[],
   other: string,
@@ -88,7 +96,8 @@
 }
 
 /**
- * Whether some residual can be satisfied only if the event never occurs. An excluded start is rejected permanently.
+ * Whether some residual can be satisfied only if the event never occurs, that is, each of its terms contains the
+ * event's complement. A job whose start event is excluded can never start.
  */
 export const isEventExcluded = (dependencies: readonly Expression[], event: string): boolean =>
   dependencies.some(
@@ -103,14 +112,20 @@
 export const formatResiduals = (dependencies: readonly Expression[]): string[] =>
   dependencies.map(formatExpression);
 
-/** Residuates each dependency that names the atom's event. A complement states that the event will never occur. */
+/**
+ * Residuates each dependency that mentions the atom's event. The atom is the event, which has occurred, or its
+ * complement, which means that the event will never occur.
+ */
 export function residuateByEvent(dependencies: readonly Expression[], atom: Atom): Expression[] {
   return dependencies.map((dependency) =>
     mentions(dependency, atom) ? residuate(dependency, atom) : dependency,
   );
 }
 
-/** Whether an attempted event can be accepted: no residual becomes zero, and each stays secure. */
+/**
+ * Whether an attempted event can be accepted now. After it, each residual that mentions it must still be satisfiable
+ * (not zero), and no later event may force a violation of it (`isSecure`).
+ */
 export function isEventAcceptable(dependencies: readonly Expression[], event: string): boolean {
   return dependencies.every((dependency) => {
     if (!mentions(dependency, event)) return true;
@@ -120,8 +135,8 @@
 }
 
 /**
- * Start events without which some residual cannot be satisfied. They are to be triggered, that is, queued as
- * attempted events.
+ * Start events without which some residual cannot be satisfied: they occur in every term of it. The caller must
+ * trigger them, that is, queue them as attempted events.
  */
 export function requiredStarts(dependencies: readonly Expression[]): string[] {
   const starts = new Set<string>();
--- a/src/core/leadership/takeover.ts
+++ b/src/core/leadership/takeover.ts
@@ -1,6 +1,6 @@
 /**
- * Loads the stored state into a new leader before it acts: machines, jobs and placements. It also completes work that
- * the previous leader left unfinished.
+ * Loads the stored machines, jobs and placements into a new leader before it acts. Also completes work that the
+ * previous leader left unfinished.
  */
 
 import type { MachinePool } from "../capacity/machine-pool.js";
@@ -10,11 +10,14 @@
 import { runsServiceTasks } from "../machines/machine-predicates.js";
 import type { StateReplica } from "../state/state-replica.js";
 
-/** The new fencing token is sent to workers with service tasks after the heartbeat interval divided by this. */
+/**
+ * A worker with service tasks is sent the new fencing token after a delay of one heartbeat interval divided by this
+ * number.
+ */
 const SERVICE_REQUEST_DIVISOR = 4;
 /**
- * Any other worker is sent the token once its own heartbeat is overdue: after this many heartbeat intervals, or after
- * the worker lease divided by `OVERDUE_LEASE_DIVISOR`, whichever is longer.
+ * Any other worker is sent the token when its heartbeat is overdue. That is the case after this many heartbeat
+ * intervals, or after the worker lease divided by `OVERDUE_LEASE_DIVISOR`, whichever is longer.
  */
 const OVERDUE_HEARTBEAT_INTERVALS = 1.5;
 const OVERDUE_LEASE_DIVISOR = 3;
@@ -60,7 +63,7 @@
   now: number,
 ): void {
   for (const id of replica.activeJobs.keys()) jobLifecycle.handleJobChange(replica, id, now);
-  // A job inherits urgency from its dependents, which may have been loaded after the job itself.
+  // A job inherits the urgency of its dependents. Some may have been loaded after it, so this needs a second pass.
   for (const job of context.cluster.jobs.values()) {
     jobLifecycle.propagateUrgency(replica, job.spec.after ?? []);
     if (job.placementCount > 0) context.cluster.gangStarts.recordStart(job, now);
@@ -68,10 +71,10 @@
 }
 
 /**
- * Releases placements of earlier worker incarnations. They are still stored if the previous leader stopped leading
- * after it had placed tasks on a later incarnation but before it had stored the loss of the earlier ones. The later
- * incarnation proves that the earlier tasks are lost. No heartbeat mentions such tasks, so without this step their
- * jobs do not end (on one day, 9 jobs waited until the day's end).
+ * Releases placements on a worker incarnation that is earlier than the newest known one. They are still stored if the
+ * previous leader placed tasks on the later incarnation, and then stopped leading before it stored the loss of the
+ * earlier tasks. The later incarnation proves that the earlier tasks are lost. No heartbeat mentions such tasks, so
+ * without this step their jobs would never end (on one day, 9 jobs were still waiting when the day ended).
  */
 function releaseEarlierIncarnations({ context, dispatcher }: TakeoverTargets, now: number): void {
   for (const machine of context.cluster.machines.values()) {
@@ -83,9 +86,9 @@
 }
 
 /**
- * Restarts gangs that had lost tasks before this term. A previous leader may have stored the loss, and then stopped
- * leading before it had stopped the remaining tasks; its requests to stop them are not stored. The remaining tasks
- * cannot complete, and no task of the gang is placed while they run.
+ * Restarts gangs that lost tasks before this term. A previous leader may have stored the loss of a task, and then
+ * stopped leading before the gang's remaining tasks were told to stop; its commands to stop them are not stored. The
+ * remaining tasks cannot complete without the lost one, and no task of the gang is placed while they run.
  */
 function restartIncompleteGangs({ context, dispatcher }: TakeoverTargets): void {
   for (const job of context.cluster.jobs.values()) {
@@ -95,9 +98,9 @@
 }
 
 /**
- * Schedules the first direct request to each worker. Most workers send a heartbeat within one interval anyway, and a
- * direct request costs more than a heartbeat. Workers with service tasks are therefore sent the new fencing token
- * soon, the others only when their heartbeat is overdue.
+ * Schedules the first direct request to each worker, which sends the new fencing token. Workers with service tasks
+ * are sent it soon. The others are sent it only when their heartbeat is overdue, because most of them send a
+ * heartbeat within one interval anyway, and a direct request costs more than a heartbeat.
  */
 function scheduleFirstRequests({ context, dispatcher }: TakeoverTargets, now: number): void {
   const { heartbeatIntervalS, leaseS } = context.settings;
--- a/src/core/planning/eligibility.ts
+++ b/src/core/planning/eligibility.ts
@@ -1,6 +1,6 @@
 /**
- * Checks which machines accept new work and which jobs may use their capacity, and estimates how long image pulls
- * take.
+ * Checks whether a machine accepts new work, whether a job may use its capacity, and how many tasks fit on it. Also
+ * estimates how long image pulls take.
  */
 import type { ActiveJob } from "../jobs/active-job.js";
 import { type Machine, taskSlots } from "../machines/machine.js";
@@ -8,12 +8,15 @@
 import type { ClusterSettings } from "../model/settings.js";
 import type { PlanningContext } from "./context.js";
 
-/** Age of the worker's last message of any kind, in heartbeat intervals, at which a machine accepts no new work. */
+/**
+ * A machine accepts no new work if its worker's last message of any kind is at least this old, in heartbeat
+ * intervals.
+ */
 const MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS = 1.5;
 
 /**
- * Age of the last heartbeat that the worker sent unprompted, as a share of a lease, at which a machine accepts no new
- * work.
+ * A machine accepts no new work if the last heartbeat that its worker sent without being asked is at least this old,
+ * as a fraction of the worker lease.
  */
 const MAX_HEARTBEAT_AGE_LEASE_SHARE = 0.75;
 
@@ -28,16 +31,16 @@
     machine.unreachableSince === null &&
     now - machine.lastMessageAt <
       MAX_MESSAGE_AGE_HEARTBEAT_INTERVALS * settings.heartbeatIntervalS &&
-    // Under a new leader, workers at first send heartbeats to other controllers, but for a shorter time than this.
+    // After a change of leader, workers send their heartbeats to other controllers at first, but not for this long.
     now - machine.lastHeartbeatAt < MAX_HEARTBEAT_AGE_LEASE_SHARE * settings.leaseS &&
     now >= machine.backoffUntil
   );
 }
 
 /**
- * Whether the job may use the machine's capacity, as far as reservations for other jobs are concerned. Capacity that
- * is being freed for a gang may still be used by gangs that are earlier in the queue: otherwise two gangs could
- * deadlock, each holding half of the capacity that it needs.
+ * Whether no reservation for another job keeps this job from using the machine's capacity. Capacity that is still
+ * being freed for a gang by preemption (the reservation is not `held`) may be used by gangs that are earlier in the
+ * queue. Otherwise two gangs could deadlock, each holding half of the capacity that it needs.
  */
 export function isCapacityOpenTo(machine: Machine, job: ActiveJob): boolean {
   const { reservation } = machine;
@@ -51,8 +54,8 @@
 }
 
 /**
- * Estimated seconds until the machine holds the job's image. A pull of this image in progress counts as half done; a
- * new pull is assumed to begin after all pulls in progress.
+ * Estimated seconds until the machine holds the job's image. If the image is already being pulled, the pull is
+ * assumed to be half done. If not, its pull is assumed to begin after all pulls in progress.
  */
 export function imagePullS(machine: Machine, spec: JobSpec): number {
   const { images, type } = machine;
@@ -72,7 +75,7 @@
 export const freeSlotsOn = (spec: JobSpec, machine: Machine): number =>
   taskSlots(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
 
-/** Usable machines of all types on which a task of the job fits when the machine is empty. */
+/** Machines that accept new work and on which a task of the job would fit if nothing else ran there. */
 export function* machinesThatFit(spec: JobSpec, context: PlanningContext): Generator<Machine> {
   for (const machines of context.snapshot.usableByType.values()) {
     if (slotsOnEmptyMachine(spec, machines[0]!) >= 1) yield* machines;
--- a/src/core/state/job-shards.ts
+++ b/src/core/state/job-shards.ts
@@ -1,7 +1,8 @@
 /**
- * Sharding of large jobs. A job with too many tasks for one value is stored in several: one for the job itself, and
- * one for each shard, which is a range of consecutive tasks, at least one of which is active. When all tasks of a
- * shard are done, it is recorded as a range in the job's own value, and its key is deleted in the same transaction.
+ * Sharding of large jobs. A job with too many tasks for one value is stored in several values: one for the job
+ * itself, and one for each shard. A shard is a range of consecutive tasks, of which at least one is not done. As soon
+ * as all its tasks are done, the range is recorded in the job's own value, and the shard's key is deleted in the
+ * same transaction.
  *
  * The values can be written independently of each other. Each write is conditional on the mod revision of the job's
  * own value, which changes whenever a shard is deleted, so a delayed copy of a write cannot restore a deleted shard.
@@ -13,26 +14,28 @@
 const TASK_BYTES = 24;
 /** Share of a value that its tasks may take. The rest is reserved for attempts and incarnations. */
 const FILL_RATIO = 0.9;
-/** Share of the single value of an unsharded array that its fixed part and its tasks may take. */
+/** Share of an unsharded array's only value that its tasks and its fixed part (see `fixedJobBytes`) may take. */
 const UNSHARDED_FILL_RATIO = 0.95;
 /**
- * Bytes of an array's task on a machine with one or two other tasks of the array: its number twice, and its share of
- * the machine's name.
+ * Bytes of one active task of an array if one or two other tasks of the array are on the same machine: its number
+ * twice, and its share of the machine's name, which is stored once for all of them.
  */
 const PACKED_TASK_BYTES = 16;
 /** Bytes of an unsharded job's value in addition to its spec and its tasks. */
 const JOB_OVERHEAD_BYTES = 400;
-/** An array that would need fewer shards than this stays unsharded. */
+/** An array is sharded if it has more tasks than this many shards hold, or too many for one value. */
 const MINIMUM_SHARDS = 2;
 /**
- * Size of a gang's or service's shards as a share of the usual size. All tasks of such a job are placed at the same
- * time, so placing fewer tasks cannot make a value smaller later. The shards are therefore smaller from the start, in
- * case the state service accepts only smaller values than the settings say.
+ * Size of the shards of a gang or service, as a share of the usual size. The state service may turn out to accept
+ * only smaller values than the settings say. An array's values can then be made smaller by placing fewer of its tasks
+ * at a time, but all tasks of a gang or service are placed at the same time. Its shards are therefore small from the
+ * start.
  */
 const ALL_AT_ONCE_SHARD_RATIO = 1 / 4;
 
 /**
- * Number of tasks per shard such that a shard's value does not exceed `valueBytes`, in whichever order its tasks end.
+ * Largest number of tasks per shard for which a shard's value never exceeds `valueBytes`, regardless of the order in
+ * which the tasks end.
  */
 export function shardSizeFor(valueBytes: number): number {
   return Math.max(1, Math.floor((FILL_RATIO * valueBytes) / TASK_BYTES));
@@ -46,15 +49,15 @@
 /**
  * Whether a job must be stored in shards. Smaller jobs are stored in one value, which takes one write per change
  * instead of several. An array can still make progress if only as many of its tasks are placed at a time as one value
- * holds, but the tasks of a gang or service must all run at the same time. (Before gangs were sharded, the state
- * service refused the write of a gang with more tasks than fit one value again and again, together with all other
- * changes in its transaction.)
+ * holds, but the tasks of a gang or service must all run at the same time. If a gang with more tasks than fit
+ * into one value were not sharded, the state service would refuse every attempt to write it, together with all other
+ * changes in the same transaction.
  */
 export function needsShards(spec: JobSpec, valueBytes: number): boolean {
   const size = shardSizeFor(valueBytes);
   if (spec.kind !== "array") return spec.tasks > size / 2;
-  // The spec counts too: with a limit of 2 KiB it took half of the value, and an array of 60 tasks was placed 30 at a
-  // time.
+  // The size of the spec must be included. With a limit of 2 KiB, a spec took half of the value, so that only 30
+  // tasks of an array of 60 could be placed at a time.
   const maxActiveTasks =
     (UNSHARDED_FILL_RATIO * valueBytes - fixedJobBytes(spec)) / PACKED_TASK_BYTES;
   return spec.tasks > Math.min(MINIMUM_SHARDS * size, Math.max(1, maxActiveTasks));
@@ -77,15 +80,18 @@
   return Math.max(1, Math.floor((FILL_RATIO * valueBytes - doneBytes) / TASK_BYTES));
 }
 
-/** Number of tasks in each shard of an active job that is resharded. All its shards must fit one transaction. */
+/**
+ * Number of tasks in each shard of an active job that is resharded. All its shards and the job's own value must fit
+ * into one transaction, which may contain `txnOps` changes.
+ */
 export function shardSizeForResharding(spec: JobSpec, valueBytes: number, txnOps: number): number {
   const maxShards = Math.max(1, txnOps - 1);
   return Math.max(initialShardSize(spec, valueBytes), Math.ceil(spec.tasks / maxShards));
 }
 
 /**
- * The leader's state for one stored value of a job: at which versions of the job it changed, and up to which version
- * it is stored.
+ * The leader's state for one stored value of a job: the versions of the job at which the value last changed and was
+ * last stored, and the attempt numbers of its tasks.
  */
 export class JobShard {
   /** Versions of the job at which the shard last changed, last got a placement, and was last stored. */
@@ -94,8 +100,12 @@
   persistedVersion = 0;
   /** Mod revision of the stored value; 0 if none is stored. */
   modRevision = 0;
-  /** In the main shard the number of the next attempt; in any other shard the number of the newest attempt. */
+  /**
+   * In the main shard, the number of the next attempt. In any other shard, the newest attempt number. If no task
+   * has been placed since the shard was loaded, it is the number for the next attempt.
+   */
   attempt = 1;
+  /** The last attempt number that `nextAttempt` chose for each task. */
   private readonly lastAttempts = new Map<number, number>();
 
   constructor(
@@ -121,8 +131,8 @@
   }
 
   /**
-   * Chooses the number for the next attempt of a task. The current number is raised only if the task already had it,
-   * so that few distinct numbers are stored.
+   * Chooses the number for the next attempt of a task. Tasks share the shard's current number, `attempt`. It is
+   * raised only if the task has already used it, so that few distinct numbers are stored.
    */
   nextAttempt(task: number): number {
     if ((this.lastAttempts.get(task) ?? 0) >= this.attempt) this.attempt++;
@@ -130,7 +140,7 @@
     return this.attempt;
   }
 
-  /** Uses the attempt number that all tasks of a gang share, and returns it. */
+  /** Raises the shard's attempt number to the number that all tasks of a gang share, and returns the latter. */
   adoptGangAttempt(attempt: number): number {
     this.attempt = Math.max(this.attempt, attempt);
     return attempt;
--- a/src/core/state/transaction-results.ts
+++ b/src/core/state/transaction-results.ts
@@ -33,7 +33,10 @@
     this.jobLifecycle = targets.jobLifecycle;
   }
 
-  /** Applies the outcome of a transaction. `Scheduler.transactionEnded` says what the caller must do first. */
+  /**
+   * Applies the outcome of a transaction. After `conflict` and `unknown`, the caller must first read the stored state
+   * again into `replica`; see `Scheduler.transactionEnded`.
+   */
   apply(
     transaction: LeaderTransaction,
     outcome: TransactionOutcome,
@@ -49,6 +52,7 @@
         this.reconcile(transaction, replica, now);
         break;
       case "refused":
+        // Nothing was stored. The changes remain marked as not stored.
         break;
       default:
         assertNever(outcome);
@@ -68,7 +72,8 @@
   }
 
   /**
-   * Adopts the stored state from the replica, which was read after the transaction and so shows its actual outcome.
+   * Updates the transaction's jobs, and the mod revisions of the machine records, from the replica. The replica was
+   * read after the transaction ended, so it shows whether the transaction was committed.
    */
   private reconcile(transaction: LeaderTransaction, replica: StateReplica, now: number): void {
     this.machinePool.recordShards.refreshModRevisions(replica);
@@ -83,6 +88,7 @@
 
   private applyJobWrites(transaction: LeaderTransaction, revision: number): void {
     for (const { job, version, shards, closedShards } of transaction.jobWrites) {
+      // The transaction stored the final record of the job.
       if (version === null) {
         const state = job.isCancelled ? "cancelled" : "done";
         this.context.log("job finished", { job: job.spec.id, state });
@@ -102,7 +108,7 @@
     this.context.cycleRequested = true;
   }
 
-  /** Sends the start commands that waited for this transaction. */
+  /** Sends the start commands that had to wait until their placements were stored by this transaction. */
   private sendPersistedStarts(transaction: LeaderTransaction, now: number): void {
     const machines = new Set<Machine>();
     for (const { job } of transaction.jobWrites) {
--- a/src/net/address.ts
+++ b/src/net/address.ts
@@ -6,7 +6,7 @@
   readonly port: number;
 }
 
-/** Splits at the last colon, because the host may contain colons itself. */
+/** Parses an address. The last colon separates the port, because the host may itself contain colons. */
 export function parseAddress(address: string): HostAndPort {
   const colon = address.lastIndexOf(":");
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/node/job-tracer.ts
+++ b/src/node/job-tracer.ts
@@ -1,9 +1,10 @@
 /**
- * Traces jobs with the OpenTelemetry API, from the submission and its admission decision to the start of the first
- * task. Disabled by default. An embedding program registers a tracer provider; without one, spans are dropped.
+ * Traces jobs with the OpenTelemetry API: the submission with its admission decision, and the wait until the first
+ * task runs. Tracing is disabled by default. Spans are dropped unless the program that embeds the controller
+ * registers a tracer provider.
  *
- * A job's trace id is derived from the job's id, so that the spans of all controllers belong to one trace without
- * storing or sending a trace context.
+ * A job's trace id is derived from the job's id. The spans of all controllers therefore belong to one trace, although
+ * no trace context is stored or sent.
  */
 import { createHash } from "node:crypto";
 import {
@@ -23,7 +24,7 @@
 const SPAN_ID_DIGITS = 16;
 const TRACER_NAME = "peatsaddle";
 
-/** Returns the parent context of all spans of a job. */
+/** Returns the parent context of all spans of a job. Its span id is derived too; no span with this id is recorded. */
 function jobContext(jobId: string): Context {
   const digits = createHash("sha256").update(jobId).digest("hex");
   return trace.setSpanContext(ROOT_CONTEXT, {
@@ -43,8 +44,8 @@
   }
 
   /**
-   * Records a span for a submission until it is answered; if `submit` throws, the span's status is an error.
-   * `attributesOf` returns the span's attributes for an outcome.
+   * Calls `submit` and records a span for its duration. If `submit` throws, the span's status is an error.
+   * `attributesOf` returns the additional attributes of the span for an outcome.
    */
   async traceSubmission<Outcome>(
     job: JobSpec,
--- a/src/node/node-cycle.ts
+++ b/src/node/node-cycle.ts
@@ -1,4 +1,4 @@
-/** One scheduling cycle of a node. */
+/** One cycle of a controller (node), as the leader or as a follower. */
 import type { AdmissionControl } from "../admission/index.js";
 import type { Effect } from "../core/effects.js";
 import type { StateWatcher } from "../state/state-watcher.js";
@@ -24,8 +24,8 @@
 }
 
 /**
- * Runs cycles: a follower tries to acquire leadership if there is no leader; the leader schedules, updates the
- * admission window and sends a transaction.
+ * Runs cycles. In each, a follower tries to acquire leadership if no leader is stored. The leader schedules, updates
+ * the admission window and sends the next transaction.
  */
 export class NodeCycle {
   private nextAdmissionUpdateAt = Number.NEGATIVE_INFINITY;
@@ -53,7 +53,7 @@
     transactions.sendNext(leadership);
   }
 
-  /** Updates the admission window to the leader's current view of the cluster load. */
+  /** Lets admission control update its window from the leader's current view of the cluster, if it is due. */
   private updateAdmission({ term, scheduler }: ActiveLeadership, now: number): void {
     const { admission, heartbeatIntervalS } = this.options;
     if (admission === null || now < this.nextAdmissionUpdateAt) return;
--- a/src/node/scheduler-factory.ts
+++ b/src/node/scheduler-factory.ts
@@ -20,7 +20,10 @@
 export class SchedulerFactory {
   constructor(private readonly options: SchedulerFactoryOptions) {}
 
-  /** Creates the scheduler for the term with this epoch. `epochModRevision`: mod revision of the stored epoch. */
+  /**
+   * Creates the scheduler for the term with this epoch. `epochModRevision`: mod revision of the stored epoch. `now`:
+   * start of the term, as a monotonic time in seconds.
+   */
   create(epoch: number, epochModRevision: number, now: number): Scheduler {
     const { settings, machineTypes } = this.options;
     const options = this.schedulerOptions();
@@ -49,7 +52,7 @@
   }
 }
 
-/** Counts the other controllers in each zone. */
+/** Counts the other controllers in each zone. This controller is not included. */
 function controllersPerZone({ peers }: NodeSettings): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { zone } of peers) counts.set(zone, (counts.get(zone) ?? 0) + 1);
--- a/src/wire/inverse-codecs.ts
+++ b/src/wire/inverse-codecs.ts
@@ -1,6 +1,6 @@
 /**
- * The inverses of the controller's codecs: they encode and decode messages as users, workers, the state service and
- * the cloud do. Only the tests and their stand-ins use them, not the controller.
+ * The inverses of the controller's codecs: they encode what the controller decodes, and decode what it encodes. Only
+ * the tests use them, where they stand in for users, workers, the state service and the cloud.
  */
 import type { JobSpec } from "../core/model/jobs.js";
 import type { ListedMachine, MachineType } from "../core/model/machines.js";
@@ -58,7 +58,7 @@
   readonly changes: readonly Change[];
 }
 
-/** Decodes a transaction, as the state service does. */
+/** Decodes a transaction, as the state service does. Changes that neither write nor remove a key are ignored. */
 export function decodeTransaction(body: unknown): Transaction {
   const { if: conditions = [], then: writes = [] } = body as WireTransaction;
   const changes: Change[] = [];
@@ -71,14 +71,14 @@
   return { preconditions, changes };
 }
 
-/** Encodes the response to a transaction, with the keys whose preconditions did not hold. */
+/** Encodes the response to a transaction. `failedKeys`: keys whose preconditions did not hold; empty if committed. */
 export const encodeTransactionResult = (
   revision: number,
   failedKeys: readonly string[],
 ): Record<string, unknown> =>
   failedKeys.length === 0 ? { ledger: revision } : { failed: failedKeys, ledger: revision };
 
-/** Encodes a page of keys. */
+/** Encodes one page of stored keys with their values. */
 export const encodeRange = (
   items: readonly KeyValueItem[],
   hasMore: boolean,
--- a/src/wire/names.ts
+++ b/src/wire/names.ts
@@ -2,7 +2,7 @@
  * The enum values and paths of the protocol. Its field names are in the codecs of this folder. Code outside `wire/`
  * uses the terms of the model instead of the names of the protocol.
  *
- * Each `WIRE_...` maps a term of the model to its name on the wire, and each `..._FROM_WIRE` maps a name to its term.
+ * Each `WIRE_...` maps terms of the model to their names on the wire; each `..._FROM_WIRE` maps these names back.
  */
 
 import type { JobKind, Priority } from "../core/model/jobs.js";
@@ -65,7 +65,10 @@
 /** The inverse of `WIRE_COMMAND`. */
 export const COMMAND_FROM_WIRE = invert(WIRE_COMMAND);
 
-/** URL paths of all services, and the last segments of some paths. */
+/**
+ * URL paths of the controllers, the workers, the state service and the cloud. `cancel` and `extend` are only the last
+ * segments of paths that contain an id.
+ */
 export const PATH = {
   jobs: "/api/jobs",
   cancel: "withdraw",
