--- a/src/admission/control.ts
+++ b/src/admission/control.ts
@@ -58,7 +58,7 @@
   readonly epochModRevision: number;
 }
 
-/** Verdict on a submission that can be returned to the client. */
+/** Verdict on a submission, in the form in which the client is answered. */
 export type SubmissionVerdict =
   /** Part of the grant that applies to the job is unused. */
   | { readonly kind: "admissible" }
@@ -111,7 +111,7 @@
     return new FairQueue(({ spec }) => (spec === null ? CANCELLATION_GROUP : spec.team));
   }
 
-  /** Begins the admission of jobs to a new transaction. */
+  /** Creates the batch that collects the jobs to be admitted in one transaction. */
   beginBatch(): ClaimBatch {
     return new ClaimBatch(this.replica);
   }
@@ -127,9 +127,9 @@
   }
 
   /**
-   * Returns the verdict for the client on a job for which `wouldReject` returned true. The state read before the
-   * request may be out of date, and another controller may have accepted the job, so this method first reads all
-   * changes stored before the call.
+   * Checks a rejection before it is returned to the client: `wouldReject` returned true for the job, but the replica
+   * may be out of date, and another controller may have accepted the job. This method therefore reads all changes
+   * stored before the call and then decides again.
    */
   async verifyRejection(job: JobSpec, isKnown: () => boolean): Promise<SubmissionVerdict> {
     if (!(await this.ports.readLatest())) return { kind: "unavailable" };
@@ -177,8 +177,8 @@
     if (result.kind === "ok") {
       this.rejectionLog.markStored();
     } else if (result.kind !== "refused" && (await readLatest()) && this.isStored(sequence)) {
-      // Either the outcome of this write was unknown, or an earlier write of the record had succeeded without an
-      // answer.
+      // The record is stored although this write was not confirmed: either its answer was lost, or it failed because
+      // an earlier write of the record, whose answer was lost, had succeeded.
       this.rejectionLog.markStored();
     }
   }
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -33,7 +33,10 @@
   return window !== null && window.mode === "limited" && window.epoch === epoch;
 }
 
-/** Returns the grant that applies to a class of a team, or null if the window has no grant for the team. */
+/**
+ * Returns the grant that applies to a class of a team: its own grant or else the grant for the team's other classes.
+ * Returns null if the window has neither.
+ */
 export function grantFor(window: AdmissionWindow, team: string, className: string): Grant | null {
   let grantForOthers: Grant | null = null;
   for (const grant of window.grants) {
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,7 +1,7 @@
 /**
- * A queue that serves groups of items in round-robin order, and the items of each group first in, first out. Before
- * an admission window limits a team, a burst of its submissions must not delay the submissions of other teams that
- * wait for a transaction on the same controller.
+ * A queue that serves groups of items in round-robin order, and the items of each group first in, first out. With one
+ * group per team, a burst of submissions from one team does not delay those of other teams that wait for a
+ * transaction on the same controller, even if no admission window limits the team yet.
  */
 import type { PendingQueue } from "../api/pending-queue.js";
 
@@ -9,7 +9,7 @@
 export class FairQueue<T> implements PendingQueue<T> {
   /** Non-empty groups, in the order in which they are served. */
   private readonly groups = new Map<string, T[]>();
-  /** Items put back after a failed transaction. They are served before all groups, in this order. */
+  /** Items put back after a failed transaction. They are served before all groups, in array order. */
   private requeued: T[] = [];
 
   constructor(private readonly groupOf: (item: T) => string) {}
--- a/src/admission/rejections.ts
+++ b/src/admission/rejections.ts
@@ -48,7 +48,10 @@
     private readonly maxBytes: number,
   ) {}
 
-  /** Records the rejection of a job in a window, given by its version. Repeated rejections in a window count once. */
+  /**
+   * Records the rejection of a job in the window with version `window`. Repeated rejections of a job in a window
+   * count once, up to `MAX_DEDUPLICATED_JOBS` jobs.
+   */
   add(window: number, job: JobSpec): void {
     if (window !== this.window) {
       this.closeRecord();
@@ -73,8 +76,8 @@
   }
 
   /**
-   * Returns the oldest record that has not been stored, with the given sequence number, or null if there is none. The
-   * record is kept until `markStored` is called.
+   * Returns a copy of the oldest record that has not been stored, with its sequence number set to `sequence`, or null
+   * if there is none. The record is kept until `markStored` is called.
    */
   nextRecord(sequence: number): RejectionRecord | null {
     if (this.unstoredRecords.length === 0) this.closeRecord();
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Returns the entry of the job's class, or null if the record is full. The job is rejected in either case; if the
-   * record is full, a later rejection of the job can count it in another record.
+   * Returns the entry of the job's class, or null if the record is full. If it is full, the job is not marked as
+   * counted, so that its next rejection can count it in the next record.
    */
   private findOrCreateClass(job: JobSpec): MutableRefusedClass | null {
     const lane = laneOf(job);
--- a/src/admission/replica.ts
+++ b/src/admission/replica.ts
@@ -21,7 +21,7 @@
 } from "./model.js";
 
 const ACTIVE_JOB_PREFIX = KEY.activeJob("");
-/** Rejection records are expected to arrive for the newest window and this number of windows before it. */
+/** Number of windows before the newest one for which rejection records may still arrive. */
 const LATE_RECORD_WINDOWS = 4;
 
 /** The replicated admission state: the window, the ledgers and the rejection records. */
--- a/src/admission/settings.ts
+++ b/src/admission/settings.ts
@@ -9,8 +9,8 @@
   /** Length of an admission window, as a multiple of the workers' heartbeat interval. */
   readonly windowRatio: number;
   /**
-   * Limits how much work a class may have queued. The unfinished tasks of its admitted jobs may need the resources of
-   * its share of the cluster and, in addition, this multiple of them. Tasks that exceed the share wait in the queue.
+   * Limit on the queued work of a class, as a multiple of its share of the cluster. The unfinished tasks of its
+   * admitted jobs may need up to `1 + queueRatio` times the resources of the share; the excess waits in the queue.
    */
   readonly queueRatio: number;
   readonly calendar: Calendar;
--- a/src/admission/window.ts
+++ b/src/admission/window.ts
@@ -23,7 +23,7 @@
   readonly class: string;
   /** Whether any unfinished job of the class has production priority. */
   readonly production: boolean;
-  /** Resources that the unfinished tasks of its admitted jobs need, except jobs that are blocked on dependencies. */
+  /** Resources that the unfinished tasks of its admitted jobs need. Jobs blocked on dependencies are left out. */
   readonly unfinished: ResourceVector;
   /** Resources that its recently rejected jobs need. */
   readonly refused: ResourceVector;
@@ -58,9 +58,9 @@
 
 /** Fraction of the capacity that is distributed before the guarantees, so that no share is zero. */
 const FLOOR_RATIO = 0.05;
-/** Smallest grant that admits a job. It admits one job of any size, as any unused part of a grant admits a job. */
+/** Smallest grant that admits a job. It admits one job of any size, as admission only requires an unused part. */
 const ONE_JOB_GRANT = 1;
-/** Factor by which a class with production jobs outweighs other classes of its team within the team's guarantee. */
+/** Factor that multiplies the weight of a class with production jobs when the team's guarantee is distributed. */
 const PRODUCTION_WEIGHT_FACTOR = 1000;
 
 const UNBOUNDED: ResourceVector = {
@@ -69,7 +69,7 @@
   memoryGb: Number.POSITIVE_INFINITY,
 };
 
-/** Returns a window that limits admission, with the grants of all classes according to their shares. */
+/** Returns a window that limits admission. The grant of each class is derived from its fair share of the capacity. */
 export function limitedWindow(input: WindowInput): AdmissionWindow {
   const classes = namedClasses(input);
   const others = input.teams.map((team) => claimantForOthers(team.name, input.capacity));
@@ -99,9 +99,9 @@
 }
 
 /**
- * Returns the largest ratio of demand to the resources that can be in use at the same time: to the cluster's
- * capacity, unless the cluster can still grow, and to each team's quota. At a ratio of 1 or less, the whole demand
- * can run at once. Resources that the cluster does not have are ignored in the comparison with its capacity.
+ * Returns the maximum, over all resource types, of two kinds of ratios: total demand to the cluster's capacity, which
+ * is left out if the cluster can still grow or does not have the resource, and each team's demand to its quota. At a
+ * result of 1 or less, the whole demand can run at once.
  */
 export function loadRatio(input: Omit<WindowInput, "version" | "epoch" | "maxBytes">): number {
   const limits = teamLimitsOf(input.teams);
@@ -147,8 +147,9 @@
 }
 
 /**
- * Returns the weight of each team: the dominant share of its guarantee, times its factor from the weight calendar. A
- * team without a guarantee counts with the smallest dominant share that another team is guaranteed.
+ * Returns the weight of each team: the dominant share of its guarantee, times its factor from the weight calendar.
+ * For a team without a guarantee, the smallest dominant share of any team's guarantee is used instead, or 1 if no
+ * team has a guarantee.
  */
 function baseWeightsOf(input: WindowInput): Map<string, number> {
   const shares = input.teams.map(({ cpus, gpus }) =>
@@ -273,8 +274,8 @@
 }
 
 function grantOf(team: string, className: string | null, units: number): Grant {
-  // Each window admits at least one job with dependencies: the jobs that it depends on were admitted, so it must not
-  // starve.
+  // Each window admits at least one job with dependencies per grant, even if there are no units left: the jobs that
+  // it depends on were admitted, so it must not starve.
   const follower = Math.max(ONE_JOB_GRANT, units);
   return { team, class: className, lanes: { new: units, follower } };
 }
--- a/src/algebra/expression.ts
+++ b/src/algebra/expression.ts
@@ -48,8 +48,8 @@
   expression.some((term) => term.length === 0);
 
 /**
- * Drops duplicate terms, and terms with an event twice or with its complement, which no admissible trace satisfies.
- * If a term is top, the result is top.
+ * Drops duplicate terms, and terms that contain an event twice or together with its complement, because no admissible
+ * trace satisfies these. If a term is the empty sequence, the result is top.
  */
 export function normalise(terms: Expression): Expression {
   if (isTop(terms)) return TOP;
@@ -120,7 +120,8 @@
 }
 
 /**
- * Whether an admissible trace can contain the term. Such traces contain each event or its complement at most once.
+ * Whether an admissible trace can satisfy the term. In an admissible trace, no event occurs twice or together with
+ * its complement.
  */
 function isAdmissible(term: Term): boolean {
   return new Set(term.map(eventOf)).size === term.length;
