--- a/src/api/heartbeats.ts
+++ b/src/api/heartbeats.ts
@@ -8,7 +8,7 @@
 /** The parts of the controller that handle heartbeats. */
 export interface HeartbeatBackend {
   handleHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatAnswer;
-  /** The other member that leads, if it is known without decoding the heartbeat; otherwise null. */
+  /** The leader, if another member leads and this is known before the heartbeat is decoded; otherwise null. */
   redirectTarget(): string | null;
 }
 
--- a/src/api/outcomes.ts
+++ b/src/api/outcomes.ts
@@ -19,7 +19,7 @@
 export type SubmissionWriteResult =
   | WriteResult
   | NeverPossible
-  /** Rejected by the submission gate, judged by the stored state that this node has read so far. */
+  /** The submission gate rejected the job on the basis of the state that this node has read so far. */
   | { readonly kind: "refused" };
 
 /** The result of a submission. */
--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -13,7 +13,7 @@
 /** Seconds over which the Retry-After values of requests beyond the concurrency limit are spread. */
 const RETRY_SPREAD_S = 3;
 
-/** The controller as the HTTP server uses it. */
+/** The operations of the controller that the HTTP server calls. */
 export interface ApiBackend extends HeartbeatBackend {
   isHealthy(): boolean;
   /** True if users should move to other nodes. Requests that still arrive at this node are answered. */
--- a/src/api/worker-connections.ts
+++ b/src/api/worker-connections.ts
@@ -115,7 +115,10 @@
 /** One heartbeat connection. Requests are answered one at a time, in order. */
 class WorkerConnection {
   private readonly parser: HTTPParserJS = new HTTPParser(HTTPParser.REQUEST);
-  /** The bytes read since the last complete request. */
+  /**
+   * Chunks read since the chunk in which the last request ended. Bytes after that request in the same chunk are not
+   * kept here.
+   */
   private unansweredChunks: Buffer[] = [];
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -12,13 +12,13 @@
     /** Length of the leadership lease, as a multiple of the heartbeat interval. */
     lease_ratio: ratioSchema(0.5, 0.2, 10),
     /**
-     * Grace period in which a leader that cannot reach the state service answers heartbeats, as a multiple of
-     * lease_s. `nodeTiming` sets a lower bound for it.
+     * Grace period in which a leader that cannot reach the state service answers heartbeats, as a multiple of the
+     * worker lease. `nodeTiming` sets a lower bound for it.
      */
     grace_ratio: ratioSchema(1, 0, 4),
     /**
      * Lease extension: time for which a partitioned node keeps extending the leases of machines that run service or
-     * gang tasks, as a multiple of lease_s. If grace_ratio is larger, its value is used instead.
+     * gang tasks, as a multiple of the worker lease. If grace_ratio is larger, its value is used instead.
      */
     keep_ratio: ratioSchema(6, 0, 50),
   }),
--- a/src/core/capacity/boot-timeouts.ts
+++ b/src/core/capacity/boot-timeouts.ts
@@ -3,8 +3,8 @@
 
 /**
  * Multiple of the usual boot time up to which a booting machine counts as capacity. A machine that takes longer may
- * never come up, so others are requested meanwhile, from another offer if there is one. With a ratio of four, no
- * others were requested while machines were late or failed to boot.
+ * never come up, so replacements are requested meanwhile, from another offer if there is one. A ratio of four was too
+ * large: no replacements were requested while machines were late or failed to boot.
  */
 const LATE_BOOT_RATIO = 2;
 /** Boot timeout as a multiple of the usual boot time: the initial value and the maximum. */
--- a/src/core/capacity/machine-list.ts
+++ b/src/core/capacity/machine-list.ts
@@ -27,7 +27,7 @@
     private readonly machinePool: MachineReleaser,
   ) {}
 
-  /** Whether no machine has been listed yet. */
+  /** Whether no machine is known from the newest list, or no list has arrived yet. */
   get isEmpty(): boolean {
     return this.listedAgeS.size === 0;
   }
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Whether no newer list has arrived before, since lists may arrive out of order. A list is older than an earlier
-   * arrival if a machine has a lower age in it than is already known.
+   * Whether the list is at least as new as all lists applied before. Lists may arrive out of order; a list is
+   * outdated if it states a lower age for a machine than the newest list so far.
    */
   private isNewest(listed: readonly ListedMachine[]): boolean {
     for (const { name, ageS } of listed) {
--- a/src/core/capacity/machine-pool.ts
+++ b/src/core/capacity/machine-pool.ts
@@ -72,7 +72,8 @@
   }
 
   /**
-   * Whether the pool can grow: it is below its maximum, and the cloud has not lacked capacity within a worker lease.
+   * Whether the pool can grow: it is below its maximum size, and for one worker lease the cloud has not lacked
+   * capacity for any offer.
    */
   canScaleOut(now: number): boolean {
     if (this.context.cluster.machines.size >= this.context.options.maxMachines) return false;
--- a/src/core/capacity/offers.ts
+++ b/src/core/capacity/offers.ts
@@ -1,4 +1,4 @@
-/** Chooses the machine type, the zone, and spot or on-demand machines so that a job is served at the lowest cost. */
+/** Chooses the offer (machine type, zone, and spot or on-demand) with the lowest cost per task of a job. */
 import { isMachineAllowed } from "../dispatch/placement-constraints.js";
 import { taskSlots } from "../machines/machine.js";
 import type { JobSpec } from "../model/jobs.js";
@@ -9,7 +9,7 @@
 const GPU_WASTE_FACTOR = 100;
 /** Maximum number of late boots that count against an offer. */
 const MAX_COUNTED_LATE_BOOTS = 3;
-/** Cost per machine already in the zone. It is small, and prefers zones with fewer machines at equal prices. */
+/** Cost added per machine already in the zone. It is small, so that it decides only between nearly equal prices. */
 const ZONE_BALANCE_COST = 1e-4;
 
 /** A combination of machine type, zone and spot flag that may be requested from the cloud. */
--- a/src/core/capacity/scaling-context.ts
+++ b/src/core/capacity/scaling-context.ts
@@ -9,7 +9,7 @@
   readonly now: number;
   /** By `offerKey`: time until which an offer is not requested again after the cloud lacked capacity for it. */
   readonly capacityBackoffUntil: ReadonlyMap<string, number>;
-  /** Spare capacity to keep for each class of jobs, as a ratio of the number of its tasks placed. */
+  /** Spare capacity to keep for each class of jobs, as a multiple of the number of its placed tasks. */
   readonly spareRatio: number;
   readonly maxMachines: number;
   readonly machinesByZone: ReadonlyMap<string, number>;
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -124,9 +124,10 @@
   }
 
   /**
-   * Ids of the jobs within their team's guarantee: those that fit it together with the team's unfinished jobs that
-   * were submitted earlier. A guarantee of 0 for one resource promises none of it, so it cannot be exceeded. If it is
-   * 0 for both CPUs and GPUs, none of the team's jobs are within the guarantee.
+   * Ids of the jobs within their team's guarantee: the job and the team's unfinished jobs submitted earlier need no
+   * more than the guarantee in total. Cancelled jobs and jobs blocked on dependencies are left out. A guarantee of 0
+   * for one resource means that none is set, so that resource is not checked. If it is 0 for both CPUs and GPUs, none
+   * of the team's jobs are within the guarantee.
    */
   jobsWithinGuarantee(): Set<string> {
     const within = new Set<string>();
--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -13,9 +13,9 @@
 const MAXIMUM_COMMANDS_PER_REQUEST = 400;
 /** Maximum number of concurrent probes, and also of concurrent token-only requests, while the node is overloaded. */
 const CONCURRENT_REQUESTS_OVERLOADED = 4;
-/** Lower bound of the same maximum while the node is not overloaded. */
+/** Lower bound of each of the two maximums while the node is not overloaded. */
 const MINIMUM_CONCURRENT_REQUESTS = 8;
-/** Probes may use one in 50 of the node's sockets, and token-only requests another one in 50. */
+/** While the node is not overloaded, each maximum is the number of the node's sockets divided by this value. */
 const SOCKETS_PER_CONCURRENT_REQUEST = 50;
 
 /** A task that a worker still runs although its job is terminal. */
@@ -117,7 +117,7 @@
 
   /**
    * Returns the commands to send to a machine now, and records them as sent. Start commands are included only in
-   * direct requests (`withStarts`), because only for these is it reported whether the commands were executed.
+   * direct requests (`withStarts`), because their outcome is reported back, unlike that of heartbeat responses.
    */
   takeCommandsFor(machine: Machine, now: number, withStarts: boolean): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
@@ -188,7 +188,7 @@
       return null;
     }
     if (placement.state === "loaded") return null;
-    // Another stop command would interrupt the checkpoint, so it is sent only if the task gets no time to checkpoint.
+    // Another stop command would interrupt the checkpoint, so it is sent only if the grace period is zero.
     if (placement.state === "checkpointing" && stop.graceS > 0) return null;
     if (now - stop.sentAt < this.context.settings.heartbeatIntervalS / 6) return null;
     stop.sentAt = now;
