--- a/src/core/dispatch/command-dispatcher.ts
+++ b/src/core/dispatch/command-dispatcher.ts
@@ -15,7 +15,7 @@
 const CONCURRENT_REQUESTS_OVERLOADED = 4;
 /** Lower bound of each of the two maximums while the node is not overloaded. */
 const MINIMUM_CONCURRENT_REQUESTS = 8;
-/** While the node is not overloaded, each maximum is the number of the node's sockets divided by this value. */
+/** While the node is not overloaded, each of the two maximums is one for every 50 of the node's sockets. */
 const SOCKETS_PER_CONCURRENT_REQUEST = 50;
 
 /** A task that a worker still runs although its job is terminal. */
