--- a/src/core/dispatch/direct-request-results.ts
+++ b/src/core/dispatch/direct-request-results.ts
@@ -33,7 +33,11 @@
     this.dispatcher.sendDueCommands(machine, now);
   }
 
-  /** Handles a probe's answer, or its timeout (null). `lateTimeout`: see `Scheduler.probeAnswered`. */
+  /**
+   * Handles a probe's answer, or its timeout (null). `lateTimeout`: this node was stalled and noticed the timeout too
+   * late, so the missing answer is no evidence against the worker. The worker is then contacted again a third of a
+   * heartbeat interval later.
+   */
   applyProbeAnswer(
     machineName: string,
     heartbeat: WorkerHeartbeat | null,
@@ -58,8 +62,8 @@
   }
 
   /**
-   * Sets placements whose start command was certainly not executed back to `planned`, and records the start commands
-   * that may still arrive.
+   * Records the start commands that may still arrive. If a start command was certainly not executed, its placement
+   * returns from `sent` to `planned`.
    */
   private applyStartOutcomes(
     machine: Machine,
--- a/src/core/dispatch/placement-constraints.ts
+++ b/src/core/dispatch/placement-constraints.ts
@@ -1,5 +1,6 @@
 /**
- * Placement constraints: which machines a task may run on, and which zones it may run in given the job's other tasks.
+ * Placement constraints. They limit the machines on which a task may run and, depending on the job's other tasks, the
+ * zones in which it may run.
  *
  * This is the only module that implements them. Placement, preemption, reservation, relocation and scale-out all use
  * it, and every start is checked again. Unknown properties are treated as the worst case: a machine whose zone is
@@ -38,7 +39,8 @@
 }
 
 /**
- * Counts the tasks of one job by zone: all attempts that run, may run, or may still be started on a machine there.
+ * Counts the tasks of one job by zone. An attempt counts in the zone of its machine if it runs, may run, or may still
+ * be started.
  */
 export class ZoneOccupancy {
   private readonly counts = new Map<string, number>();
@@ -85,7 +87,7 @@
     return !spread || this.tasksIn(zone) + this.tasksIn(UNKNOWN_ZONE) <= spreadLimit(this.spec);
   }
 
-  /** Whether a one-zone job has tasks in several zones. None may start until they are all in one zone. */
+  /** Whether a one-zone job has tasks in several zones. Until all are in one zone, none of them may start. */
   get isSplit(): boolean {
     return this.spec.oneZone && this.counts.size > 1;
   }
--- a/src/core/dispatch/placement.ts
+++ b/src/core/dispatch/placement.ts
@@ -7,8 +7,9 @@
 
 /**
  * State of a placement. `loaded`: read from the stored state in a takeover; its state on the machine is not known
- * yet. `planned`: no start command was sent under the current fencing token. `sent`: a start command is in flight or
- * unanswered. The other states are those reported in the worker's last heartbeat.
+ * yet. `planned`: no start command was sent, or none that was sent can still be executed. `sent`: a start command was
+ * sent, and the worker has not reported the task yet. The other states are those reported in the worker's last
+ * heartbeat.
  */
 export type PlacementState =
   | "loaded"
@@ -38,7 +39,7 @@
   /** Time at which the start command was last sent. */
   sentAt = Number.NEGATIVE_INFINITY;
   readonly placedAt: number;
-  /** Time at which the task was first reported as running; valid only once it was. */
+  /** Time at which the task was first reported as running; 0 before that. */
   runningSince = 0;
   /**
    * Maximum start delay, in seconds, of a gang task whose machine will have the image long before the machines of its
--- a/src/core/dispatch/reconciler.ts
+++ b/src/core/dispatch/reconciler.ts
@@ -106,7 +106,7 @@
     machine.consecutiveFailedRequests = 0;
     // The exact time of the last lease renewal is not known here, so the latest possible time is assumed. The lease
     // of a new incarnation began no later than `now`, the time at which its first heartbeat arrived. A previous
-    // leader can have renewed the lease until the end of that leader's grace period.
+    // leader may have renewed the lease until the end of that leader's grace period.
     const latestRenewalByOthers = startedAt + options.gracePeriodS;
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now, latestRenewalByOthers);
   }
--- a/src/core/dispatch/task-reconciler.ts
+++ b/src/core/dispatch/task-reconciler.ts
@@ -10,7 +10,8 @@
 import { Placement, taskKey } from "./placement.js";
 
 /**
- * Maximum number of run times kept per job. Slow machines are detected by them; more would hardly change the result.
+ * Maximum number of run times kept per job. Slow machines are detected by comparing run times; a larger sample would
+ * hardly change the result.
  */
 const MAXIMUM_RUN_TIMES = 256;
 
@@ -43,7 +44,7 @@
   }
 
   /**
-   * Handles placements whose tasks the worker does not report: each task has either yet to be started, or is lost.
+   * Handles placements whose tasks the worker does not report. Such a task has not been started yet, or it is lost.
    */
   private handleMissingTasks(
     machine: Machine,
@@ -57,8 +58,8 @@
         case "planned":
           break;
         case "loaded":
-          // The worker has not received the previous leader's start command. If the command still arrived, the worker
-          // would drop it because of its earlier fencing token.
+          // The worker has not received the previous leader's start command. If the command arrives later, the worker
+          // drops it because of its earlier fencing token.
           placement.state = "planned";
           break;
         case "sent":
@@ -177,8 +178,8 @@
   }
 
   /**
-   * Stops a task that has no recorded placement. If its job is active, its resources count as used until the task has
-   * terminated.
+   * Stops a task that has no recorded placement. If the job is active, the task's resources count as used until the
+   * task has terminated.
    */
   private stopUnrecordedTask(machine: Machine, status: TaskStatus, now: number): void {
     const { job: id, task, attempt } = status;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,7 +1,10 @@
 /** Effects that the leader's state machine requests, and the results that are passed back to it. */
 import type { WorkerCommand, WorkerHeartbeat } from "./model/workers.js";
 
-/** A request to send something to a worker, call the cloud API, have the node act, or write a log line. */
+/**
+ * A request to the node that runs the state machine: to send a message to a worker, call the cloud API, trace a job's
+ * first start, advance the fencing token, step down, or write a log line.
+ */
 export type Effect =
   /** A direct request with commands. With no commands, it only carries the fencing token. */
   | {
@@ -87,7 +90,8 @@
    */
   readonly gracePeriodS: number;
   /**
-   * Like `gracePeriodS`, for machines that run service or gang tasks, whose leases are extended during a partition.
+   * The value that replaces `gracePeriodS` for machines that run service or gang tasks. It is also the number of
+   * seconds for which a partitioned controller may extend the leases of such machines' workers.
    */
   readonly leaseExtensionS: number;
   /** Enables log lines on single tasks: hundreds a second, each of which costs as much as answering a heartbeat. */
--- a/src/core/jobs/failure-history.ts
+++ b/src/core/jobs/failure-history.ts
@@ -1,4 +1,4 @@
-/** Records the machines on which tasks of a job failed, and the conclusions drawn from it. */
+/** Records the machines on which tasks of a job failed, and the conclusions drawn from these failures. */
 
 /** The suspicion that a job fails on any machine. */
 export interface Suspicion {
--- a/src/core/jobs/gang-starts.ts
+++ b/src/core/jobs/gang-starts.ts
@@ -10,8 +10,8 @@
 export const gangSizeKey = (spec: JobSpec): string => `${spec.class} ${spec.tasks}`;
 
 /**
- * Start times of gangs, by class and size. They are not stored: a new leader counts every gang that has placements as
- * started at the takeover.
+ * Start times of gangs, by class and size. A gang counts as started when it is first placed. The times are not
+ * stored: a new leader counts every gang that has placements as started at the takeover.
  */
 export class GangStarts {
   private readonly startTimes = new Map<string, number[]>();
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/jobs/job-lifecycle.ts
@@ -108,7 +108,10 @@
     return job;
   }
 
-  /** Reshards a job that was stored as a single value when larger values were accepted, and may now be too large. */
+  /**
+   * Splits a job into shards if it is stored in a single value that may exceed the current size limit. This happens
+   * if larger values were accepted when the job was first stored.
+   */
   private reshardIfTooLarge(job: ActiveJob, plannedBytes: number): void {
     if (job.shardSize !== null || !job.isStartAccepted) return;
     if (maxValueBytes(job) <= FILL_RATIO * plannedBytes) return;
@@ -123,7 +126,10 @@
     if (isStartExcluded(job)) this.markCancelled(job, "by dependency", now);
   }
 
-  /** Loads stored placements. `firstTask`: number of the job's task that is task 0 in the stored ranges. */
+  /**
+   * Loads the stored placements of a shard. `firstTask`: number of the shard's first task, which is task 0 in the
+   * stored ranges.
+   */
   private loadPlacements(
     job: ActiveJob,
     stored: readonly StoredPlacements[],
@@ -161,7 +167,10 @@
     return machine;
   }
 
-  /** Residuates a job's dependencies by the outcome of one of these jobs, if that outcome is stored. */
+  /**
+   * Residuates the job's dependencies by the outcome of `dependency`, a job that it depends on, if that outcome is
+   * stored.
+   */
   private applyOutcome(replica: StateReplica, job: ActiveJob, dependency: string): void {
     const outcome = replica.outcomeOf(dependency);
     if (outcome === null) return;
@@ -169,9 +178,9 @@
   }
 
   /**
-   * Applies the stored outcome of a job, which is an event, to its dependents. The start of a dependent becomes
-   * acceptable or is rejected permanently. In the latter case, the dependent is cancelled, and its own failed event
-   * is applied to its dependents in turn.
+   * Applies the stored outcome of a job, which is an event, to its dependents. A dependent may now start, stays
+   * blocked on other dependencies, or can never start. If it can never start, it is cancelled, and its own failed
+   * event is applied to its dependents in turn.
    */
   private applyOutcomeToDependents(replica: StateReplica, id: string, now: number): void {
     const endedJobs = [id];
--- a/src/core/jobs/sharded-job.ts
+++ b/src/core/jobs/sharded-job.ts
@@ -1,6 +1,6 @@
 /**
- * The stored state of an active job: its done and placed tasks, the shards in which these are stored, and which of
- * its changes are stored already.
+ * The stored state of an active job: its done and placed tasks, the shards in which these are stored, and the changes
+ * that are not stored yet.
  */
 import type { Placement } from "../dispatch/placement.js";
 import type { JobSpec } from "../model/jobs.js";
@@ -35,14 +35,20 @@
   readonly unpersistedShards = new Set<JobShard>();
   /** Tasks per shard; null: all tasks are stored in the job record. */
   shardSize: number | null;
-  /** Shards that must be stored in one transaction with the job record, which held their tasks before; null: none. */
+  /**
+   * Shards created by `reshard` that must be stored in one transaction with the job record, because the stored record
+   * still contains their tasks; null: none.
+   */
   reshardedShards: Set<JobShard> | null = null;
-  /** Indexes of terminal shards, which no longer have a stored value of their own. */
+  /**
+   * Indexes of closed shards, all of whose tasks are done. The job record lists these tasks, so the shards need no
+   * stored values of their own.
+   */
   readonly closedShards = new Set<number>();
   readonly doneTasks: TaskRanges;
   /** Placements by task number. */
   readonly placements = new Map<number, Placement>();
-  /** Time since which a placement has waited to be stored; null: none waits. */
+  /** Time at which the first placement that still waits to be stored was made; null: none waits. */
   unpersistedSince: number | null = null;
   /** Cause of the job's cancellation; null: the job is not cancelled. */
   cancellation: CancellationCause | null = null;
@@ -101,7 +107,10 @@
     return this.shardOf(task).isPersisted(version);
   }
 
-  /** Whether no task of the shard is placed or will be placed again. */
+  /**
+   * Whether none of the shard's tasks has a placement or will get another one, because each task is done or the job
+   * is cancelled. Always false for the main shard.
+   */
   isShardTerminal(shard: JobShard): boolean {
     if (this.shardSize === null || shard === this.mainShard) return false;
     for (let task = shard.firstTask; task < shard.endTask; task++) {
--- a/src/core/leadership/fencing-token-advance.ts
+++ b/src/core/leadership/fencing-token-advance.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Requests an advance if some unanswered start command has to be fenced off. Between two advances, at least half a
-   * worker lease passes.
+   * Requests an advance if some unanswered start command has to be fenced off on a machine that is up and whose
+   * worker sent a message recently. Between two advances, at least half a worker lease passes.
    */
   requestIfNeeded(now: number): void {
     const { leaseS, heartbeatIntervalS } = this.context.settings;
--- a/src/core/leadership/follower-responder.ts
+++ b/src/core/leadership/follower-responder.ts
@@ -15,13 +15,13 @@
 import type { LeaseExtension } from "./lease-extension.js";
 
 /**
- * A new leader is called settling while many workers connect to it for the first time: for this share of the grace
- * period, or of a worker lease if that is shorter.
+ * Length of a new leader's settling time, in which many workers connect to it for the first time, as a share of the
+ * grace period or of a worker lease, whichever is shorter.
  */
 const SETTLING_SHARE = 2 / 3;
 /**
- * While there is no leader, followers answer heartbeats until the worker lease, divided by this, has passed since a
- * leader was last seen.
+ * While there is no leader, followers answer heartbeats for a part of the worker lease after a leader was last seen.
+ * That part is the length of the lease divided by this constant.
  */
 const LEADERLESS_LEASE_DIVISOR = 3;
 
@@ -149,8 +149,8 @@
   }
 
   /**
-   * During a partition, neither the follower nor any peer that it reaches has contact with the state service, and no
-   * heartbeat of a leader arrived recently. For a limited time, the follower then answers the workers of its own zone
+   * A follower counts as partitioned if neither it nor any peer that it reaches has contact with the state service,
+   * and no heartbeat of a leader arrived recently. For a limited time, it then answers the workers of its own zone
    * that run service or gang tasks. Without an answer, these workers would kill their tasks when their leases expire.
    */
   private mayAnswerWhilePartitioned(
--- a/src/core/machines/zone-partition-detector.ts
+++ b/src/core/machines/zone-partition-detector.ts
@@ -4,7 +4,10 @@
  */
 import type { Machine } from "./machine.js";
 
-/** Heartbeat intervals without a message after which a machine is overdue; heartbeats arrive within 1.25 of them. */
+/**
+ * Number of heartbeat intervals without a message after which a machine is overdue. Workers send the next heartbeat
+ * after at most 1.25 intervals.
+ */
 const OVERDUE_INTERVALS = 1.3;
 /** Heartbeat intervals for which a zone stays suspected of a partition after it last appeared partitioned. */
 const SUSPICION_INTERVALS = 2;
@@ -16,7 +19,8 @@
 
 /**
  * Tracks the zones in which so many machines are overdue at once that a partition is more likely than separate
- * machine faults. Machines that are partitioned together are all overdue before the first of them is due for release.
+ * machine faults. A machine whose last direct request was not answered also counts as overdue. Machines that are
+ * partitioned together are all overdue before the first of them is due for release.
  */
 export class ZonePartitionDetector {
   /** Time at which each zone last appeared partitioned. */
@@ -29,7 +33,8 @@
     const countsByZone = this.countOverdue(machines, now);
     let overdueInAll = 0;
     for (const { overdue } of countsByZone.values()) overdueInAll += overdue;
-    // One partitioned zone is no reason to suspect the others; only a majority of all machines being overdue is.
+    // A partition of one zone is no reason to suspect the other zones. They are suspected only if more than half of
+    // all machines are overdue.
     const areMostOverdue = overdueInAll > Math.max(2, machines.length / 2);
     for (const [zone, counts] of countsByZone) {
       const isZoneOverdue = counts.overdue > Math.max(2, counts.machines / 4);
--- a/src/core/overload/adaptive-concurrency-limit.ts
+++ b/src/core/overload/adaptive-concurrency-limit.ts
@@ -1,10 +1,11 @@
 /**
  * A limit on concurrent requests that adapts to measured latencies.
  *
- * While requests take about as long as the best latency measured recently, the limit grows with each request by the
- * reciprocal of its square root. When they take longer, it shrinks in proportion. The limit thus settles at the point
- * where a queue would form. A best latency measured under load already includes queueing time, which would hide the
- * queue. So while latencies stay high, the limit is reduced periodically and the best latency is measured again.
+ * While requests take about as long as the best latency measured recently, each request raises the limit by
+ * 1 / sqrt(limit). When requests take longer, the limit shrinks, and it shrinks faster the longer they take. It thus
+ * settles at the point where a queue would form. A best latency measured under load already includes queueing time,
+ * which would hide the queue. So while latencies stay high, the limit is reduced periodically and the best latency is
+ * measured again.
  */
 
 /** Weights of the previous value and of the newest sample in the exponentially smoothed latency. */
@@ -12,14 +13,13 @@
 const NEWEST_WEIGHT = 0.1;
 /** Number of requests, in multiples of the limit, after which the best latency is measured again. */
 const RESET_AFTER_LIMITS = 50;
-/** Divisor by which the limit is reduced for that measurement. */
+/** The limit is divided by this number before the best latency is measured again. */
 const RESET_DIVISOR = 4;
 /** Latencies up to this multiple of the best latency do not indicate a queue. */
 const TOLERATED_LATENCY_FACTOR = 2;
 /**
- * When the limit shrinks, its new value is a weighted mean of the limit and of its product with the gradient, the
- * ratio of the tolerated to the measured latency. The constants are the lower bound of the gradient and the two
- * weights.
+ * The gradient is the ratio of the tolerated to the measured latency, and at least `MIN_GRADIENT`. When the limit
+ * shrinks, it is multiplied by `LIMIT_WEIGHT + GRADIENT_WEIGHT * gradient`.
  */
 const MIN_GRADIENT = 0.5;
 const GRADIENT_WEIGHT = 0.02;
--- a/src/core/planning/array-placement.ts
+++ b/src/core/planning/array-placement.ts
@@ -14,8 +14,8 @@
 const MACHINE_ENTRY_BYTES = 12;
 
 /**
- * Task numbers that a value may have to hold per placed task. In the worst case each task is a range of its own, both
- * in the placements and between the done tasks (`maxValueBytes`).
+ * Maximum number of task numbers that a value has to hold per placed task. In the worst case, each placed task is
+ * stored as a separate range and also splits a range of done tasks in two (`maxValueBytes`).
  */
 const NUMBERS_PER_PLACED_TASK = 2;
 
@@ -32,8 +32,8 @@
 export function placeIndependentTasks(job: ActiveJob, context: PlanningContext): void {
   const quota = context.cluster.quotaSlots(job.spec);
   if (quota <= 0 || job.pendingCount === 0 || job.hasRetryInProgress) return;
-  // Checked before the pass over all machines, because once the rate limit is used up, that pass would be wasted for
-  // each large array in a long queue.
+  // If the rate limit allows no task now, the search for candidates on all machines is skipped. Otherwise it would be
+  // repeated to no effect for each large array in a long queue.
   if (job.shardSize !== null && shardedTasksWithinRate(job, context) < 1) return;
   const candidates = restrictToOneZone(job, findCandidates(job, context));
   if (candidates.length === 0) return;
@@ -51,9 +51,9 @@
 
 /**
  * For a job whose tasks must share a zone, returns the candidates of the zone with the most usable slots; among equal
- * zones, the zone of the cheapest candidate. At most as many slots count as the job has pending tasks, or for a
- * service as it has tasks, because all of them must eventually fit in the zone. Without this restriction, tasks
- * placed in one cycle ended up in several zones.
+ * zones, the zone of the cheapest candidate. Slots in excess of the job's pending tasks are not counted, because the
+ * job cannot use them. For a service, all its tasks are taken instead of the pending ones, because all of them must
+ * eventually fit in the zone. Without this restriction, tasks placed in one cycle ended up in several zones.
  */
 function restrictToOneZone(job: ActiveJob, candidates: readonly Candidate[]): readonly Candidate[] {
   const { oneZone, kind, tasks } = job.spec;
--- a/src/core/planning/assignment.ts
+++ b/src/core/planning/assignment.ts
@@ -22,7 +22,7 @@
   for (const candidate of candidates) {
     const { machine } = candidate;
     let slots = Math.min(candidate.freeSlots, tasks.length - placed);
-    // Checked again for each task, as every placement changes how many more the constraints allow in a zone.
+    // The zone's capacity is checked again for each task, because every placement changes it.
     for (; slots > 0 && job.zones.capacityIn(machine.zone) > 0; slots--) {
       const placement = batch.createPlacement(tasks[placed]!, machine, context.now);
       placed++;
--- a/src/core/planning/candidates.ts
+++ b/src/core/planning/candidates.ts
@@ -16,13 +16,16 @@
  */
 const SERVICE_TASK_SPREAD_COST_S = 0.2;
 
-/** Cost in seconds of a machine with all CPUs free. It packs tasks other than service tasks onto fuller machines. */
+/**
+ * Cost in seconds of a machine with all CPUs free; other machines cost less, in proportion to their free CPUs. Tasks
+ * other than service tasks are thereby packed onto fuller machines.
+ */
 const BIN_PACKING_COST_S = 0.5;
 
 /**
- * Cost in seconds of a spot machine for a job without checkpoints, which loses all its work in an interruption; for a
- * job with checkpoints it is deducted instead. The reason for the cost: half of the jobs that ended late had a task
- * on a spot machine that was interrupted.
+ * Cost in seconds of a spot machine for a job without checkpoints, because an interruption loses all the work of its
+ * task. For a job with checkpoints, the same amount is deducted from the machine's cost. Half of the jobs that ended
+ * late had a task on a spot machine that was interrupted.
  */
 const SPOT_COST_S = 1;
 
@@ -64,8 +67,8 @@
 }
 
 /**
- * Whether the job is a service that must not block GPU jobs on this machine. Service tasks run for a long time, so a
- * service may block GPU jobs only if no capacity elsewhere became free while it waited.
+ * Whether the job is a service that must not be placed on this machine yet, because its tasks would block GPU jobs
+ * there. Service tasks run for a long time, so a service first waits for free capacity elsewhere (`mayBlockGpuJobs`).
  */
 function mustAvoidBlockingGpuJobs(
   job: ActiveJob,
--- a/src/core/planning/gang-capacity.ts
+++ b/src/core/planning/gang-capacity.ts
@@ -34,8 +34,9 @@
  * reservation, smaller jobs take each machine as it becomes free, and a large gang never finds enough of them free at
  * the same time. Jobs later in the queue get the remaining capacity. The reservation ends with the next cycle, so it
  * does not block a gang that is ahead in the queue by then. Only one gang at a time reserves in a zone: with two
- * reservations, a third of the zone's capacity stayed idle. `reservedZones`: zones that earlier gangs of this cycle
- * have reserved and still lack capacity in. The zone reserved for this gang is added if the same holds for it.
+ * reservations, a third of the zone's capacity stayed idle. `reservedZones`: the zones that were reserved in this
+ * cycle for other gangs, which still lack capacity there. This gang's zone is added if the gang still lacks capacity
+ * there.
  */
 export function reserveGangCapacity(
   job: ActiveJob,
@@ -60,7 +61,10 @@
   return context.cluster.quotaSlots(job.spec) >= tasks;
 }
 
-/** Capacity for the gang by zone, without reserved zones; under `ANY_ZONE` if the gang need not be in one zone. */
+/**
+ * Capacity for the gang by zone, except in the zones reserved for other gangs. If the gang need not be in one zone,
+ * the capacity of all zones together is returned under `ANY_ZONE`.
+ */
 function capacityByZone(
   job: ActiveJob,
   context: PlanningContext,
--- a/src/core/planning/gang-placement.ts
+++ b/src/core/planning/gang-placement.ts
@@ -7,7 +7,10 @@
 import { imagePullS } from "./eligibility.js";
 import { shouldWaitForImage } from "./gang-image-wait.js";
 
-/** Result of an attempt to place a gang. */
+/**
+ * Result of an attempt to place a gang. `lacks capacity` also means that the team's quota is too small, or that
+ * placements of an earlier attempt are left.
+ */
 export type GangOutcome = "placed" | "waits for image" | "lacks capacity";
 
 /** Candidates on which a whole gang fits. */
--- a/src/core/planning/gang-size-fairness.ts
+++ b/src/core/planning/gang-size-fairness.ts
@@ -21,8 +21,8 @@
 const MIN_STARTED_SHARE = 0.6;
 
 /**
- * Added to the number of started jobs and to the total, so that a single job decides nothing when the numbers are
- * small.
+ * Number added both to the started jobs and to the total when the share of started jobs is computed, so that a single
+ * job does not decide the result while these numbers are small.
  */
 const SMOOTHING = 1;
 
@@ -32,8 +32,8 @@
 /** Waiting jobs of one class and size. */
 interface SizeQueue {
   /**
-   * The first jobs in queue order, at most one per zone, that can still start within the bound and their team's
-   * quota.
+   * The first jobs in queue order that can still start within the bound and their team's quota, at most as many as
+   * there are zones.
    */
   readonly startable: ActiveJob[];
   /** Number of jobs that have waited long enough to count as not started. */
@@ -67,8 +67,8 @@
 
 /**
  * Returns, by class, the first waiting jobs of the size with the smallest share of starts, if that share is too
- * small. At most one job per zone is returned, because a gang may have to be in one zone, and capacity is reserved
- * for only one gang per zone at a time.
+ * small. For each class, at most as many jobs are returned as there are zones, because a gang may have to be in one
+ * zone, and capacity is reserved for only one gang per zone at a time.
  */
 function underservedJobs(
   queue: readonly ActiveJob[],
--- a/src/core/planning/gpu-reservation.ts
+++ b/src/core/planning/gpu-reservation.ts
@@ -64,7 +64,10 @@
   return { gpuJobSpecs, reservedMachines: new Set(reserved) };
 }
 
-/** The images of the GPU jobs not blocked on dependencies, and the number of waiting tasks of those that may run. */
+/**
+ * The images of all GPU jobs that are not blocked on dependencies, and the number of these jobs' waiting tasks. The
+ * tasks of cancelled, complete and suspect jobs are not counted.
+ */
 function gpuDemand(cluster: Cluster): {
   readonly images: ReadonlySet<string>;
   readonly waitingTasks: number;
