--- a/src/core/planning/preemption-executor.ts
+++ b/src/core/planning/preemption-executor.ts
@@ -8,8 +8,8 @@
 import { findPreemption, type PreemptionChoice } from "./preemption.js";
 
 /**
- * Searches per cycle and core. Each search examines all machines. Jobs that a cycle has no searches left for are
- * handled in a later cycle.
+ * Searches per cycle and core. Each search examines all machines. Once a cycle's searches are used up, the remaining
+ * jobs wait for a later cycle.
  */
 const PREEMPTION_SEARCHES_PER_CORE = 64;
 
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Reserves the machine for the job and stops the victims; if a victim belongs to a gang, the whole gang. */
+  /** Reserves the machine for the job and stops the victims. If a victim belongs to a gang, stops the whole gang. */
   private preempt(
     { machine, victims }: PreemptionChoice,
     job: ActiveJob,
--- a/src/core/planning/preemption.ts
+++ b/src/core/planning/preemption.ts
@@ -58,7 +58,7 @@
 }
 
 /**
- * Whether tasks on the machine may be preempted for the job, as far as the machine itself and its zone are concerned.
+ * Whether the machine and its zone permit preempting tasks there for the job. `mayPreempt` then checks each task.
  */
 function mayFreeCapacityOn(
   machine: Machine,
@@ -67,10 +67,10 @@
   context: PlanningContext,
 ): boolean {
   if (machine.weakestPrecedence <= job.precedence) return false;
-  // A reserved machine is either reserved for another job, or already being freed for this one, and then the caller
-  // has counted it.
+  // A reserved machine is either reserved for another job or already being freed for this one. In the latter case the
+  // caller has already counted it.
   if (machine.reservation !== null || zones.capacityIn(machine.zone) === 0) return false;
-  // An empty string stands for any zone.
+  // If `reservedZone` is the empty string, the gang may use any zone.
   if (job.reservedZone && machine.zone !== job.reservedZone) return false;
   return isMachineAllowed(job.spec, machine) && !job.failures.avoids(machine.name, context.now);
 }
@@ -154,7 +154,8 @@
 
 /**
  * Work lost if the placement is stopped now, in CPU seconds. For a gang, the work of all its tasks is lost. For a
- * task that is not running yet, the time since its placement counts.
+ * running task of a job with checkpoints, only the time that it needs to checkpoint (`saveS`) counts. For a task that
+ * is not running yet, the time since its placement counts.
  */
 function lostWork(placement: Placement, now: number): number {
   const { cpus, saveS, checkpointS, kind, tasks } = placement.job.spec;
--- a/src/core/planning/queue-order.ts
+++ b/src/core/planning/queue-order.ts
@@ -1,4 +1,4 @@
-/** Orders the waiting jobs. Capacity is assigned in this order. */
+/** Orders the waiting jobs. Capacity is assigned in this order, except as `promoteUnderservedSizes` changes it. */
 import type { ActiveJob } from "../jobs/active-job.js";
 import type { PlanningContext } from "./context.js";
 import { isProduction, precedenceBeyondGuarantee } from "./precedence.js";
@@ -47,7 +47,7 @@
 
 /**
  * Sets `canStillMeetGuarantee`: for a gang, whether a start now still meets the longest of the guarantee
- * objectives; for other jobs, true.
+ * objectives. It is true for other jobs, and for all jobs if the settings have no guarantee objective.
  */
 function markReachableGuarantees(waiting: readonly ActiveJob[], context: PlanningContext): void {
   const guarantees = context.settings.objectives.filter(({ kind }) => kind === "guarantee");
--- a/src/core/planning/scheduling-cycle.ts
+++ b/src/core/planning/scheduling-cycle.ts
@@ -22,8 +22,8 @@
 const MAX_CYCLES_PER_INTERVAL = 40;
 
 /**
- * Like `MAX_CYCLES_PER_INTERVAL`, but while a new leader has had no message from most workers. A cycle then finds
- * little usable capacity.
+ * Like `MAX_CYCLES_PER_INTERVAL`, but while a new leader still waits for the first heartbeats of most workers. A
+ * cycle then finds little usable capacity.
  */
 const MAX_CYCLES_PER_INTERVAL_WHILE_SETTLING = MAX_CYCLES_PER_INTERVAL / 8;
 
--- a/src/core/planning/urgency.ts
+++ b/src/core/planning/urgency.ts
@@ -27,16 +27,16 @@
    */
   readonly latestStartAtMs: number;
   /**
-   * 0: in time; 1: a gang that can still meet only an objective for its end time; 2: too late for all, or none
-   * applies.
+   * 0: in time; 1: a gang that can still meet only its deadline or an objective for its end time; 2: too late for all
+   * of them, or none applies.
    */
   readonly lateness: 0 | 1 | 2;
 }
 
 /**
- * Computes the urgency from the objectives that a start now still meets. A job that can no longer meet any objective
- * comes last. If an hour's backlog is served in order of arrival, every job is late, whereas a job that is late
- * already loses little by waiting longer.
+ * Computes the urgency from the deadline and the objectives that a start now still meets. A job that can no longer
+ * meet any of them comes last: it loses little by waiting longer, whereas serving an hour's backlog in order of
+ * arrival would make every job late.
  */
 export function urgencyOf(job: ActiveJob, context: PlanningContext): Urgency {
   const { spec, objectivesStartMs } = job;
--- a/src/core/planning/zone-relocation.ts
+++ b/src/core/planning/zone-relocation.ts
@@ -1,9 +1,9 @@
 /**
  * Moves jobs whose tasks must share a zone, if they cannot continue in the zone or zones that they are in.
  *
- * Tasks in several zones, as an earlier version of the scheduler placed them, are consolidated into one zone, because
- * no further task of the job may start before that. A service whose zone has no capacity left is relocated as a whole
- * to a zone that has enough.
+ * An earlier version of the scheduler placed tasks of one job in several zones. They are consolidated into one zone,
+ * because until then no further task of the job may start. A service whose zone has no capacity left is relocated as
+ * a whole to a zone that has enough.
  */
 import type { Cluster } from "../cluster.js";
 import type { CommandDispatcher } from "../dispatch/command-dispatcher.js";
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Whether the job waits for lack of capacity alone, its zone has none left, and another zone has enough for the
-   * whole job.
+   * Whether the job's team has quota left, the job's zone has no free capacity left for it, and another zone has
+   * enough for the whole job.
    */
   private lacksCapacityInZone(job: ActiveJob, snapshot: MachineSnapshot, now: number): boolean {
     // If the team's quota is used up, the job cannot be placed in any zone.
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -63,7 +63,7 @@
   private readonly oversizedValues: OversizedValueHandler;
   private readonly transactionResults: TransactionResults;
   private readonly fencingTokenAdvance: FencingTokenAdvance;
-  /** The result of the last transaction is not known yet, so no other may be started. */
+  /** Whether the outcome of the last transaction is still unknown. Until it is known, no other may be started. */
   private hasTransactionInFlight = false;
 
   constructor(options: LeaderContextOptions) {
@@ -133,7 +133,8 @@
   handleHeartbeat(heartbeat: WorkerHeartbeat, now: number): HeartbeatResult {
     const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined && !isNewer(heartbeat, known)) {
-      // A delayed duplicate: its answer renews no lease beyond the original's answer and carries no commands.
+      // A delayed duplicate. Its answer extends the lease no further than the answer to the original did, and carries
+      // no commands.
       return { commands: [], effects: this.context.takeEffects() };
     }
     const machine = this.reconciler.handleHeartbeat(heartbeat, now);
--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -12,11 +12,11 @@
 /** Limits on the changes of a job that may be written now. */
 export interface JobChangeLimits {
   /**
-   * Whether only urgent changes are written. Jobs that have only progress to store then wait for spare write budget,
-   * and in other jobs so do the open shards that have only progress to store.
+   * Whether only urgent changes are written. Progress then waits for spare write budget: jobs that have only progress
+   * to store are not written, and in other jobs, neither are open shards that have only progress to store.
    */
   readonly urgentOnly: boolean;
-  /** Whether a value of this size may be sent; false if one no larger was refused recently. */
+  /** Whether a value of this size may be sent; false if a value of this or a smaller size was refused recently. */
   readonly maySendValue: (bytes: number) => boolean;
 }
 
--- a/src/core/state/key-value.ts
+++ b/src/core/state/key-value.ts
@@ -1,6 +1,6 @@
 /**
- * Data types of the state service, the consensus-backed key-value store that holds the cluster's state, as the core
- * and all adapters use them. `wire/key-value.ts` converts them to the field names on the wire.
+ * Data types of the state service, the consensus-backed key-value store that holds the cluster's state. The core and
+ * all adapters use these types. `wire/key-value.ts` converts them to the field names on the wire.
  */
 
 /** A stored value. Its type depends on the key; the code that reads a key knows the type. */
--- a/src/core/state/machine-record-shards.ts
+++ b/src/core/state/machine-record-shards.ts
@@ -1,7 +1,7 @@
 /**
  * Machine records are stored in shards, each of which holds many machines in one value. No task may be placed on a
- * machine before its record is stored; with one key per machine, hundreds of machines that start at the same time
- * would use up all the changes that the state service accepts within half a minute.
+ * machine before its record is stored. With one key per machine, hundreds of machines that start at the same time
+ * would take all the changes that the state service accepts in half a minute.
  *
  * Each write of a shard is conditional on the shard's mod revision, so a delayed copy of an older write cannot remove
  * machines that were added since.
--- a/src/core/state/stored-values.ts
+++ b/src/core/state/stored-values.ts
@@ -93,7 +93,7 @@
 }
 
 /**
- * Placements, whose tasks may be on a machine, that share one attempt number and one worker incarnation. Machine
+ * Placements that share one attempt number and one worker incarnation. Their tasks may be on a machine. Machine
  * names alternate with the ranges of the tasks on the machine (`0-5,7`). Many machines share one attempt number, so
  * grouping by it saves space in a value, which is limited to a few KiB.
  */
@@ -138,7 +138,7 @@
 /** Version of a job in the value that its submission stores. */
 export const SUBMITTED_VERSION = 1;
 
-/** Encodes a job record. The shard size, which most jobs lack, is omitted to save bytes of the limited value. */
+/** Encodes a job record. For a job that is not sharded, as most are, the shard size is omitted to save space. */
 export function encodeJobRecord(job: JobRecord): StoredJob {
   const value: StoredJob = {
     j: job.spec,
--- a/src/core/state/value-size-limit.ts
+++ b/src/core/state/value-size-limit.ts
@@ -23,7 +23,7 @@
     private readonly retryS: number,
   ) {}
 
-  /** Size in bytes that planned values must not exceed, in whichever order their tasks end. */
+  /** Size in bytes that a value is planned not to exceed. For a job's value: in whichever order its tasks end. */
   get plannedBytes(): number {
     return Math.min(this.knownBytes, PLANNED_SHARE_OF_REFUSED * this.refusedBytes);
   }
--- a/src/core/state/write-budget.ts
+++ b/src/core/state/write-budget.ts
@@ -12,8 +12,8 @@
 export const LEADER_SHARE_AFTER_REFUSAL = 2 / 3;
 const MIN_LEADER_SHARE = 0.4;
 /**
- * The rest of the limit is reserved for changes of other nodes that are not seen yet, since submissions must not
- * wait.
+ * Largest share of the limit that the leader uses. The rest is reserved for changes of other nodes that the leader
+ * has not seen yet, since submissions must not wait.
  */
 const MAX_LEADER_SHARE = 0.85;
 /** Lets the rate of the other nodes' changes grow by half before the leader sees the growth. */
--- a/src/node/controller.ts
+++ b/src/node/controller.ts
@@ -1,5 +1,5 @@
 /**
- * One controller node, for use by an embedding program: constructed with its settings, started and stopped. It
+ * One controller node. The embedding program constructs it with its settings, starts it and stops it. The controller
  * delegates to the components that `NodeComposition` creates.
  */
 import type { FastifyInstance } from "fastify";
