--- a/src/core/state/job-changes.ts
+++ b/src/core/state/job-changes.ts
@@ -59,7 +59,10 @@
 export const isTerminal = (job: ActiveJob): boolean =>
   job.placementCount === 0 && (job.isCancelled || job.isComplete);
 
-/** Length of a value as JSON, which is how the state service measures its size. */
+/**
+ * Size of a value as the state service measures it, in bytes: the length of its JSON text. Length and size are equal
+ * only if the text is ASCII.
+ */
 export const jsonBytes = (value: unknown): number => JSON.stringify(value).length;
 
 const storedShards = (job: ActiveJob): JobShard[] =>
