--- a/src/node/cycle-monitor.ts
+++ b/src/node/cycle-monitor.ts
@@ -17,7 +17,10 @@
 export class CycleMonitor {
   constructor(private readonly options: CycleMonitorOptions) {}
 
-  /** Logs a slow cycle. `sinceLastCycleS`: seconds from the end of the previous cycle to the start of this one. */
+  /**
+   * Logs a cycle that took longer than a quarter of the heartbeat interval. `sinceLastCycleS`: seconds from the end
+   * of the previous cycle to the start of this one.
+   */
   handleCycleEnd(durationS: number, sinceLastCycleS: number): void {
     const { heartbeatIntervalS, replica, log } = this.options;
     if (durationS <= heartbeatIntervalS / 4) return;
@@ -28,7 +31,8 @@
   }
 
   /**
-   * Handles a measurement of the average timer lag: updates the scheduler's overload flag, and logs due load reports.
+   * Handles a measurement of the average timer lag: updates the scheduler's overload flag, and logs the load report
+   * if one is due.
    */
   handleLag(lagS: number, isOverloaded: boolean): void {
     const { leadership, load, log } = this.options;
--- a/src/node/effect-executor.ts
+++ b/src/node/effect-executor.ts
@@ -21,7 +21,10 @@
   readonly heartbeatIntervalS: number;
   /** Maximum number of sockets that this process may have open. */
   readonly sockets: number;
-  /** Must call `handle`, which passes a result to the scheduler, and perform the effects that it returns. */
+  /**
+   * Called with the result of an effect. `handle` passes the result to the scheduler; the callback must call `handle`
+   * and perform the effects that it returns.
+   */
   readonly onResult: (handle: () => readonly Effect[]) => void;
 }
 
@@ -111,8 +114,8 @@
     const { workers, now, heartbeatIntervalS } = this.options;
     const startedAt = now();
     void workers.probe(address).then((heartbeat) => {
-      // A result more than 25% later than the request timeout means that this node was stalled; the machine may be
-      // healthy.
+      // A probe that takes longer than the request timeout by more than 25% means that this node was stalled; the
+      // machine may be healthy.
       const isLate = now() - startedAt > (1.25 * heartbeatIntervalS) / 3;
       this.handleResult(activeLeadership, () =>
         activeLeadership.scheduler.probeAnswered(machine, heartbeat, now(), isLate),
--- a/src/node/leader-transactions.ts
+++ b/src/node/leader-transactions.ts
@@ -23,12 +23,13 @@
 const MINIMUM_ALLOWED_CHANGES = 3;
 /** Smallest burst of a node's write budget, in changes. */
 const MINIMUM_BURST = 4;
-/** Share, for all followers together, of the changes per second that the state service accepts. */
+/** Share of the changes per second that the state service accepts; all followers together may use this share. */
 const FOLLOWERS_SHARE = 5 / 6;
 /** Upper bound on the divisor of `FOLLOWERS_SHARE`: more followers than this do not reduce the share of each. */
 const MAXIMUM_FOLLOWERS = 5;
 /**
- * Burst of a follower's write budget: the changes that the state service accepts from all nodes in this many seconds.
+ * Burst of a follower's write budget, in seconds: the burst is the number of changes that the state service accepts
+ * from all nodes together in this time.
  */
 const FOLLOWER_BURST_S = 1 / 3;
 /**
@@ -55,7 +56,7 @@
 export class LeaderTransactions {
   /** Budget of changes that this node may write, shared by user requests and the leader's transactions. */
   readonly writeBudget: TokenBucket;
-  /** Computes the rate of changes that the leader may write, from the changes that other nodes store. */
+  /** Computes the rate of changes that the leader may write, from the submissions and cancellations of all nodes. */
   private readonly leaderRateLimit: WriteBudget;
   private isWriting = false;
   /**
@@ -76,7 +77,7 @@
     this.writeBudget.setRate(this.budgetRate(isLeader), this.budgetBurst(isLeader));
   }
 
-  /** Records the number of changes that any node stored for submissions and cancellations. */
+  /** Records changes that were stored for submissions and cancellations, by any node. */
   recordUserRequestChanges(changes: number): void {
     this.leaderRateLimit.recordRequestChanges(changes);
   }
@@ -108,9 +109,8 @@
   /**
    * Changes per second that this node may write. `WriteBudget` computes the rate of the leader. `FOLLOWERS_SHARE` is
    * divided evenly among the followers, and each gets a burst (`FOLLOWER_BURST_S`), because submissions arrive in
-   * bursts. The
-   * shares of leader and followers may add up to more than the state service accepts; refused writes are retried
-   * shortly after.
+   * bursts. The shares of leader and followers may add up to more than the state service accepts; refused writes are
+   * retried shortly after.
    */
   private budgetRate(isLeader: boolean): number {
     const { stateWriteRps, nodes } = this.options.settings;
@@ -120,8 +120,9 @@
   }
 
   /**
-   * The leader's burst covers one second of `LEADER_SHARE_AFTER_REFUSAL`, which the state service accepts. With the
-   * burst of a follower, the leader could send only the smallest transactions.
+   * Burst of the write budget, in changes. The leader's burst is the number of changes that it may write in one
+   * second at `LEADER_SHARE_AFTER_REFUSAL`, which the state service accepts at once. With the smaller burst of a
+   * follower, the leader could send only the smallest transactions.
    */
   private budgetBurst(isLeader: boolean): number {
     const seconds = isLeader ? LEADER_SHARE_AFTER_REFUSAL : FOLLOWER_BURST_S;
--- a/src/node/machine-type-catalog.ts
+++ b/src/node/machine-type-catalog.ts
@@ -2,7 +2,7 @@
  * The machine types that the cloud offers. They are also stored in the state service, so that a node can start while
  * the cloud is unavailable.
  */
-// Uses the default import because tests mock the timers on it: a named import would be bound before they do.
+// Uses the default import because tests replace the timers on it; a named import would keep the original timers.
 import timers from "node:timers/promises";
 import type { CloudClient } from "../cloud/client.js";
 import type { MachineType } from "../core/model/machines.js";
@@ -13,7 +13,10 @@
 import type { StateWatcher } from "../state/state-watcher.js";
 import { sleepSeconds } from "../time/sleep.js";
 
-/** Interval between two requests for the catalog, as a multiple of the worker lease. They repeat as prices change. */
+/**
+ * Interval between two requests for the catalog, as a multiple of the worker lease. The requests are repeated because
+ * prices change.
+ */
 const REFRESH_LEASES = 10;
 
 /** Dependencies and callbacks of `MachineTypeCatalog`. */
--- a/src/node/node-health.ts
+++ b/src/node/node-health.ts
@@ -33,8 +33,9 @@
   }
 
   /**
-   * Whether users should move to other nodes. The leader has the most work, so if enough other nodes are in contact,
-   * they serve the users, who are then not affected by slow scheduling cycles or by a failure of the leader.
+   * Whether users should move to other nodes. The leader has the most work, so if enough other nodes are in contact
+   * with the state service, they serve the users. Slow scheduling cycles or a failure of the leader then do not
+   * affect users.
    */
   shedsUsers(): boolean {
     if (this.options.leadership.current === null) {
--- a/src/node/replica-change-handler.ts
+++ b/src/node/replica-change-handler.ts
@@ -28,6 +28,7 @@
       this.options;
     const appliedAt = now();
     if (leadership.current !== null) this.applyAsLeader(leadership.current, change, appliedAt);
+    // A full read counts like seeing a leader (see `FollowerResponder.leaderSeenAt`).
     if (change === null) followerResponder.recordLeaderSeen(appliedAt);
     completionWaiters.notifyChanged(change === null ? null : change.jobs);
     if (change !== null) transactions.recordUserRequestChanges(change.userRequests);
@@ -41,7 +42,7 @@
   ): void {
     const { replica, leadership } = this.options;
     const epoch = replica.epoch.value;
-    // While this node advances its own fencing token, the stored epoch may be higher than the term's, too.
+    // A higher stored epoch means that another node leads, unless this node is advancing its own fencing token.
     if (epoch > term.epoch && !leadership.fencingTokenAdvanceRequested) {
       const member = replica.leader?.value.member ?? "another node";
       leadership.stepDown(`epoch ${epoch} was acquired by ${member}`);
--- a/src/node/scheduler-guard.ts
+++ b/src/node/scheduler-guard.ts
@@ -8,7 +8,7 @@
   readonly leadership: Leadership;
   readonly load: NodeLoad;
   readonly log: Logger;
-  /** Seconds after an error in which this node does not become a candidate, so that another node can lead. */
+  /** Seconds after an error for which this node does not become a candidate, so that another node can lead. */
   readonly electionCooldownS: number;
 }
 
--- a/src/node/scheduling-loop.ts
+++ b/src/node/scheduling-loop.ts
@@ -69,7 +69,10 @@
     this.stopped = true;
   }
 
-  /** Requests a cycle for new input; it runs as soon as the pause after the previous cycle ends. */
+  /**
+   * Requests a cycle for new input. It runs when the current pause ends, even if a poll has run a cycle in the
+   * meantime.
+   */
   requestCycle(): void {
     if (this.isCycleRequested) return;
     this.isCycleRequested = true;
--- a/src/peers/peer-mesh.ts
+++ b/src/peers/peer-mesh.ts
@@ -6,7 +6,10 @@
 import { parseAddress } from "../net/address.js";
 import { encodePeerHeartbeat, type PeerHeartbeat, PeerHeartbeatReader } from "./codec.js";
 
-/** A peer counts as in contact for this many peer heartbeat intervals after its last heartbeat. */
+/**
+ * Number of peer heartbeat intervals for which a report in a heartbeat remains valid: that the sender reaches the
+ * state service, or that it leads.
+ */
 const CONTACT_INTERVALS = 4;
 /** Timeout for establishing an outbound connection, in peer heartbeat intervals. */
 const CONNECT_INTERVALS = 4;
--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -1,8 +1,8 @@
 /**
  * Client of the state service, the consensus-backed key-value store that holds the cluster's state.
  *
- * No method rejects because a request failed. Results distinguish requests that were certainly not executed from
- * those that may have been executed.
+ * A failed request is returned as a result; a method rejects only if a response body is not valid MessagePack.
+ * Results distinguish requests that were certainly not executed from those that may have been executed.
  */
 import type { Change, ChangeEvent, KeyValueItem, Precondition } from "../core/state/key-value.js";
 import {
@@ -33,8 +33,8 @@
   /** Not executed, because the preconditions on these keys did not hold. */
   | { readonly kind: "failed"; readonly keys: readonly string[] }
   /**
-   * Certainly not executed, because a limit was exceeded or the state service is unavailable to this node. `status`
-   * is the HTTP status, or 0 if no request was sent.
+   * Certainly not executed, because the transaction is invalid, a limit was exceeded, or the state service is
+   * unavailable to this node. `status` is the HTTP status, or 0 if no request was sent.
    */
   | { readonly kind: "refused"; readonly status: number }
   /** May have been executed, or may still be executed later. */
@@ -52,7 +52,7 @@
   | {
       readonly kind: "ok";
       readonly items: readonly KeyValueItem[];
-      /** Revision of the state service before the first page was read. */
+      /** Revision of the state service when the first page was read. */
       readonly revision: number;
     }
   | { readonly kind: "failed" };
@@ -83,7 +83,7 @@
 
 const FAILED = { kind: "failed" } as const;
 
-/** Sends requests to the state service. No method rejects if the state service does not answer. */
+/** Sends requests to the state service. If it does not answer, the result says so; no method rejects. */
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
--- a/src/state/state-watcher.ts
+++ b/src/state/state-watcher.ts
@@ -28,7 +28,9 @@
   readonly minimumIntervalS: number;
   /** Longest time for which the state service waits for a change before it answers a watch, in milliseconds. */
   readonly blockMs: number;
-  /** Called after the replica changed; with null after a full read. */
+  /**
+   * Called after changes of jobs, the leader or the epoch were applied to the replica; with null after a full read.
+   */
   readonly onChange: (change: ReplicaChange | null) => void;
   /** Null if there is no observer. */
   readonly observer: ChangeObserver | null;
@@ -39,7 +41,10 @@
 
 /** Keeps the replica up to date, and serves linearizable reads. */
 export class StateWatcher {
-  /** True if the replica was read completely and the state service still keeps all changes since then. */
+  /**
+   * True from a full read until a watch finds that the state service no longer keeps all changes since the replica's
+   * revision.
+   */
   isLoaded = false;
   private pendingReads: ((ok: boolean) => void)[] = [];
   private isReading = false;
--- a/src/time/sleep.ts
+++ b/src/time/sleep.ts
@@ -1,5 +1,5 @@
 /** Delays measured by the monotonic clock. */
-// Uses the default import because tests mock the timers on it: a named import would be bound before they do.
+// Uses the default import because tests replace the timers on it; a named import would keep the original timers.
 import timers from "node:timers/promises";
 
 /** Resolves after `seconds`, or rejects with an `AbortError` once `signal` aborts. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -46,7 +46,7 @@
 const LISTED_STATES = new Set<unknown>(["booting", "running", "failed"]);
 
 /**
- * Validates an entry field by field instead of with a schema, because lists of many hundred machines arrive every few
+ * Validates an entry field by field instead of with a schema, because lists of hundreds of machines arrive every few
  * seconds.
  */
 function decodeListedMachine(entry: unknown): ListedMachine | null {
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -42,7 +42,8 @@
     follows: z.array(jobIdSchema).nullish(),
   })
   .refine((job) => job.cpus > 0 || job.cards > 0 || job.memoryGb > 0)
-  // `together` puts all tasks in one zone, `apart` at most half of them in any: only a single task satisfies both.
+  // `together` requires all tasks in one zone, and `apart` allows at most half of them in each zone. A job may set
+  // both only if it has a single task.
   .refine((job) => !(job.together && job.apart && job.strides > 1));
 
 type WireJob = z.infer<typeof jobSchema>;
--- a/src/wire/key-value.ts
+++ b/src/wire/key-value.ts
@@ -1,8 +1,8 @@
 /**
  * Codecs of the state service's API, between its field names and the types of `core/state/key-value.ts`. On the wire,
- * the `modRevision` of a key is called `mark`, and the `revision` of the state service `ledger`.
+ * the `modRevision` of a key is called `mark`, and the `revision` of the state service is called `ledger`.
  *
- * Pages of keys and changes are validated field by field instead of with a schema, as heartbeats are, because every
+ * Like heartbeats, pages of keys and changes are validated field by field instead of with a schema, because every
  * node reads every change.
  */
 import * as z from "zod";
