--- a/src/state/key-value-client.ts
+++ b/src/state/key-value-client.ts
@@ -83,7 +83,7 @@
 
 const FAILED = { kind: "failed" } as const;
 
-/** Sends requests to the state service. If it does not answer, the result says so; no method rejects. */
+/** Sends requests to the state service. A missing answer is returned as a result. */
 export class KeyValueClient {
   private readonly requestPool: HttpConnectionPool;
   private readonly watchPool: HttpConnectionPool;
